--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -1,3 +1,5 @@
+//! One attempt to send a request to an engine.
+
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -12,30 +14,30 @@
 use super::identify::Denied;
 use super::request::Relayed;
 
-/// Silence of an engine on all connections, while a request waits there, after which it counts as dark. A full
-/// engine that reads several long prompts is silent for up to 350 ms; callers leave a silent stream after
-/// two seconds.
+/// Silence on all connections to an engine, while a request waits there, after which the engine
+/// counts as unresponsive. A full engine is silent while it prefills several long prompts; callers
+/// abandon a silent stream after two seconds.
 const DARK_AFTER: Duration = Duration::from_millis(600);
 
-/// The same where few requests of this node are there: their own pauses say little of the engine.
+/// The same when this node has few requests there: their own pauses say little about the engine.
 const DARK_AFTER_FEW: Duration = Duration::from_millis(900);
 
-/// The same where another node cannot reach the engine: a silent engine that is well is heard by some node.
+/// The same when another node cannot reach the engine: some node would hear from a healthy one.
 const DARK_AFTER_WORD: Duration = Duration::from_millis(250);
 
-/// Requests of this node at an engine from which their common silence says much.
+/// Requests of this node at an engine from which their common silence is a reliable signal.
 const FEW: u32 = 3;
 
-/// Longest wait for a first byte at an engine that is heard on other connections, in objectives of the
-/// route: a request may hang alone.
+/// Longest wait for the first byte from an engine that still responds on other connections, as a
+/// multiple of the route's objective: a single request can hang.
 const HUNG_OBJECTIVES: u32 = 4;
 
-/// Bounds of that wait: below the least a full engine is taken for a hung one, above the most a caller
-/// has given up.
+/// Bounds of that wait: the lower one keeps a full engine from counting as hung, the upper one ends
+/// the wait before callers give up.
 const HUNG_LEAST: Duration = Duration::from_millis(450);
 const HUNG_MOST: Duration = Duration::from_millis(1_300);
 
-/// An answer that has begun.
+/// A response whose head has been read.
 pub(super) struct Begun {
     pub(super) engine: EngineId,
     pub(super) conn: Conn,
@@ -43,21 +45,20 @@
     pub(super) at_engine: AtEngine,
 }
 
-/// What became of one try.
+/// Outcome of one attempt.
 pub(super) enum Tried {
-    /// The answer has begun.
     Begun(Box<Begun>),
-    /// No byte was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The engine says that it has not run.
+    /// The engine rejected the request without executing it.
     NotRun,
-    /// It may have run.
+    /// There is no usable response; the engine may have executed the request.
     Lost,
-    /// The engine went silent and the request was taken from it; the next try is paid for.
+    /// The engine went silent; a retry has been taken from the retry budget.
     Stalled,
-    /// Its time is over; it may have run.
+    /// The deadline has passed; the engine may have executed the request.
     TimeOver,
-    /// No byte was sent: it may not run any more.
+    /// The caller is no longer authorized; no byte of the request was sent.
     Denied(Denied),
 }
 
@@ -75,18 +76,18 @@
     }
 }
 
-/// Why waiting has ended.
+/// Outcome of waiting for an engine.
 pub(super) enum Waited<T> {
     Done(T),
-    /// Another try is paid for.
+    /// The engine is silent; a retry has been taken from the retry budget.
     Stalled,
-    /// The engine has started anew: what it ran before has ended.
+    /// The engine has restarted, which ended its earlier requests.
     StartedAnew,
     TimeOver,
 }
 
 impl Relayed {
-    /// Sends the request to an engine, once.
+    /// Makes one attempt at an engine and logs its failure.
     pub(super) async fn send(&mut self, engine: &EngineId, last_event: Option<u64>) -> Tried {
         let began = Instant::now();
         let tried = self.send_once(engine, last_event).await;
@@ -116,8 +117,8 @@
             }
             Waited::Stalled | Waited::StartedAnew | Waited::TimeOver => return Tried::NotSent,
         };
-        // A choice and a connection may have taken all the time that there was, and the machine may have stood still
-        // meanwhile: the caller has left, and the engine would not know.
+        // Choosing and connecting may have used up the time, and the machine may have been
+        // suspended: an engine should not work for a caller that has left.
         if !self.can_be_sent() {
             node.pool.put(addr, conn);
             return Tried::NotSent;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// An engine could not be reached, or was silent.
+    /// Records that an engine is unreachable or silent, and tells the other nodes.
     pub(super) fn lost(&self, engine: &EngineId) {
         self.node.saw(engine, Verdict::Silent);
         self.node.broke(engine);
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Ends when another node says that an engine cannot be reached.
+    /// Returns once another node reports that the engine is unreachable.
     async fn until_dark(&self, engine: &EngineId) {
         loop {
             let told = self.node.dark.notified();
@@ -187,8 +188,8 @@
         }
     }
 
-    /// The head of the answer to this request: one that comes late to an earlier request on the
-    /// connection is read to its end and dropped.
+    /// Reads the response head for this request. Late responses to earlier requests on the
+    /// connection are drained and dropped.
     async fn answer_to(&self, conn: &mut Conn, req: &Request) -> Result<(Head, Marks), Error> {
         const MOST_STRAY: u32 = 3;
         for _ in 0..MOST_STRAY {
@@ -202,7 +203,7 @@
                 _ => return Ok((head, marks)),
             }
         }
-        Err(Error::Malformed { what: "answers to other requests" })
+        Err(Error::Malformed { what: "too many responses to other requests on the connection" })
     }
 
     async fn take_in(
@@ -231,8 +232,8 @@
             return Tried::NotRun;
         }
         self.runs += 1;
-        // Without its id it may belong to another request; a success without a signature is not the
-        // engine's.
+        // Without an id the response may belong to another request; a success without a signature
+        // does not come from the engine.
         let ours = marks.id.is_some();
         let success = (200..300).contains(&head.status);
         if !ours || (success && !marks.sealed) {
@@ -244,7 +245,8 @@
         Tried::Begun(Box::new(Begun { engine, conn, head, at_engine }))
     }
 
-    /// The engine that answers is another one, or has not the model that it was said to have.
+    /// Corrects the engine list: removes the engine if another one answered at its address, or else
+    /// the model that it does not have.
     fn correct(&mut self, engine: &EngineId, marks: &Marks) {
         let refuted = engine.clone();
         let wanted = self.wanted().cloned();
@@ -279,7 +281,7 @@
         }
     }
 
-    /// Waits no longer than the request's time.
+    /// Waits until the request's deadline at the latest.
     pub(super) async fn bounded<F: Future>(&self, work: F) -> Waited<F::Output> {
         match tokio::time::timeout_at(self.end, work).await {
             Ok(done) => Waited::Done(done),
@@ -287,8 +289,8 @@
         }
     }
 
-    /// Waits for a first byte, and gives up early on an engine that is silent, where the request may be
-    /// sent to another.
+    /// Waits for the first byte. Gives up early on a silent engine if the request may be sent to
+    /// another one.
     async fn watched<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
         if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.attempts {
             return self.at(at_engine, work).await;
@@ -298,7 +300,7 @@
         self.unless_silent(at_engine, hung, work).await
     }
 
-    /// The same for what an engine does, which ends where it starts anew.
+    /// Waits for an engine until the request's deadline or until the engine restarts.
     pub(super) async fn at<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
         let mut work = std::pin::pin!(work);
         loop {
@@ -315,8 +317,9 @@
         }
     }
 
-    /// Waits until the engine has been silent on all connections for a while, or this answer for `hung`, and
-    /// another try can be paid for. Where none can, silence is no reason to end an answer.
+    /// Waits until the engine has been silent on all connections for a while, or this response for
+    /// `hung`, and the retry budget allows another attempt. If it allows none, keeps waiting:
+    /// silence alone does not end a response.
     pub(super) async fn unless_silent<F: Future>(
         &self,
         at_engine: &AtEngine,
@@ -348,7 +351,7 @@
             }
             let silent = self.node.silent_for(engine).min(now - began);
             if silent >= dark_after || now - began >= hung {
-                // Only where another engine can take it is it taken from this one.
+                // Leave this engine only if another one can take the request.
                 if self.choose_now().is_ok() && self.may_go_on() {
                     return Waited::Stalled;
                 }
--- a/crates/gateway/src/relay/events.rs
+++ b/crates/gateway/src/relay/events.rs
@@ -1,6 +1,9 @@
+//! Server-sent event framing.
+
 use bytes::{Bytes, BytesMut};
 
-/// Parts a stream of bytes into whole events, so that a stream can go on elsewhere between two of them.
+/// Splits a byte stream into complete events, so that a stream can resume on another engine between
+/// two of them.
 #[derive(Debug, Default)]
 pub(super) struct Events {
     half: BytesMut,
@@ -8,15 +11,15 @@
 }
 
 impl Events {
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub(super) fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Takes bytes in; gives all events that are whole, as they came.
+    /// Adds bytes and returns all complete events as they were received.
     pub(super) fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
         if self.half.is_empty() {
-            // The usual case: a read brings whole events, which are passed on without a copy.
+            // Usually a read holds only complete events, which need no copy.
             if whole_until(&bytes) == Some(bytes.len()) {
                 self.note(&bytes);
                 return Some(bytes);
@@ -29,12 +32,10 @@
         Some(events)
     }
 
-    /// Whether an event has begun and not ended.
     pub(super) fn has_half(&self) -> bool {
         !self.half.is_empty()
     }
 
-    /// Drops the event that has not ended.
     pub(super) fn drop_half(&mut self) {
         self.half.clear();
     }
@@ -47,7 +48,7 @@
     }
 }
 
-/// Where the last whole event ends.
+/// Returns the end of the last complete event.
 fn whole_until(bytes: &[u8]) -> Option<usize> {
     let plain = bytes.windows(2).rposition(|w| w == b"\n\n").map(|at| at + 2);
     let crlf = bytes.windows(4).rposition(|w| w == b"\r\n\r\n").map(|at| at + 4);
--- a/crates/gateway/src/relay/identify.rs
+++ b/crates/gateway/src/relay/identify.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, and whether it may run.
+//! Authentication of callers and authorization of their requests.
 
 use hgw_direct::{Catalog, Customer, CustomerId, Refusal, Route, Sender, Shown};
 use hgw_events::{Event, emit};
@@ -12,26 +12,26 @@
 
 use super::request::Relayed;
 
-/// Who sends a request, as it showed when it came.
+/// A caller's identity, established when its request arrived.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Identity {
     shown: Shown,
-    /// Whether only customers and open routes are served.
+    /// Whether customers are configured, so that only they and open routes are served.
     is_guarded: bool,
     pub(super) customer: Option<CustomerId>,
 }
 
-/// Why a request with a key may not run.
+/// Why a request may not be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Denied {
-    /// Nobody is known by what it shows.
+    /// The credentials belong to no customer.
     Stranger,
-    /// This node cannot show that the key is still anybody's.
+    /// This node does not know whether its list of keys is current.
     NoProof,
 }
 
 impl Identity {
-    /// Finds out who sends a request to a route.
+    /// Authenticates the caller of a route.
     pub(super) fn find(
         node: &Node,
         catalog: &Catalog,
@@ -43,7 +43,8 @@
         let (customer, settings) = match customers.sender(&shown, route.is_open) {
             Sender::Customer(name, customer) => (Some(name.clone()), Some(customer.clone())),
             Sender::Anybody => (None, None),
-            // A node that cannot tell whether it has the newest keys does not know strangers either.
+            // A key may have been added since: with a possibly outdated list it is not rejected as
+            // unknown.
             Sender::Stranger if proof::holds(node) => return Err(Denied::Stranger),
             Sender::Stranger => return Err(Denied::NoProof),
         };
@@ -53,7 +54,8 @@
         Ok((Identity { shown, is_guarded: true, customer }, settings))
     }
 
-    /// Whether it still is who it was: a request may have waited, or its machine stood still.
+    /// Authenticates again right before sending: the key may have been revoked while the request
+    /// waited or the machine was suspended.
     pub(super) fn look_again(&self, node: &Node, route: &Route) -> Result<(), Denied> {
         let catalog = node.state.borrow().catalog.clone();
         let Some(catalog) = catalog.filter(|_| self.is_guarded) else { return Ok(()) };
@@ -61,7 +63,7 @@
         if now.customer == self.customer { Ok(()) } else { Err(Denied::Stranger) }
     }
 
-    /// As engines are told.
+    /// The identity that is forwarded to engines.
     pub(super) fn sent_by(&self) -> SentBy<'_> {
         match &self.customer {
             Some(name) => SentBy::Customer(name),
@@ -71,7 +73,7 @@
     }
 }
 
-/// The answer to a request that may not run, and has not.
+/// Builds the response to an unauthorized request, which no engine has executed.
 pub(super) fn deny(node: &Node, id: &str, route: &Route, why: Denied) -> Answer {
     match why {
         Denied::NoProof => {
@@ -97,12 +99,11 @@
 }
 
 impl Relayed {
-    /// Whether the request, which no engine has run yet, may still run.
+    /// Checks before the first attempt that the caller is still authorized.
     pub(super) fn is_allowed(&self) -> Result<(), Denied> {
         self.identity.look_again(&self.node, &self.route)
     }
 
-    /// The answer where it may not.
     pub(super) fn deny(&self, why: Denied) -> Answer {
         self.told.set(true);
         deny(&self.node, &self.call.id, &self.route, why)
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the end of its answer.
+//! Proxies one caller request to an engine, from the request head to the end of the response.
 
 mod attempt;
 mod events;
@@ -27,10 +27,9 @@
 use identify::Identity;
 use request::Relayed;
 
-/// When a caller comes back that met a node without configuration or list.
+/// Retry delay for callers while the node has no configuration or engine list yet.
 const NOT_READY: Duration = Duration::from_millis(500);
 
-/// Answers a request.
 pub(crate) async fn answer(node: &Node, req: Request<Incoming>) -> Answer {
     let active = Active::begin(node);
     if stop::takes_no_more(node) {
@@ -61,9 +60,9 @@
     let body = match Limited::new(body, catalog.limits.body).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<LengthLimitError>() => {
-            return own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
+            return own(StatusCode::PAYLOAD_TOO_LARGE, "request body exceeds the configured limit");
         }
-        Err(_) => return own(StatusCode::BAD_REQUEST, "the body cannot be read"),
+        Err(_) => return own(StatusCode::BAD_REQUEST, "request body could not be read"),
     };
     let call = match node.dialects.callers.read(&head) {
         Ok(call) => call,
@@ -72,7 +71,7 @@
     let shown = node.dialects.callers.shown(&head);
     let identity = match Identity::find(node, &catalog, &route, shown) {
         Ok((identity, customer)) => {
-            // A customer's priority goes before the route's.
+            // The customer's priority overrides the route's.
             route.priority = customer.and_then(|c| c.priority).unwrap_or(route.priority);
             identity
         }
@@ -93,7 +92,7 @@
     }
 }
 
-/// Refuses a request that has not run, with a time to come back.
+/// Rejects a request that no engine has executed, with a `Retry-After` delay.
 fn refuse(node: &Node, why: Refusal, wait: Duration) -> Answer {
     let status = match why {
         Refusal::OverLimit => StatusCode::TOO_MANY_REQUESTS,
--- a/crates/gateway/src/relay/pace.rs
+++ b/crates/gateway/src/relay/pace.rs
@@ -1,15 +1,14 @@
+//! Timing of the pieces of a response.
+
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How the pieces of an answer came.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
     first: Instant,
     last: Instant,
-    /// Longest time between two pieces.
     pub(super) longest: Duration,
-    /// Pieces so far.
     pub(super) pieces: u32,
 }
 
@@ -19,13 +18,12 @@
         Pace { first: now, last: now, longest: Duration::ZERO, pieces: 0 }
     }
 
-    /// Mean time between two pieces.
+    /// Mean time between two pieces; `None` for fewer than two pieces.
     pub(super) fn mean(&self) -> Option<Duration> {
         let pauses = self.pieces.checked_sub(1).filter(|pauses| *pauses > 0)?;
         Some((self.last - self.first) / pauses)
     }
 
-    /// A piece has come.
     pub(super) fn piece(&mut self) {
         let now = Instant::now();
         if self.pieces == 0 {
--- a/crates/gateway/src/relay/plain.rs
+++ b/crates/gateway/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Answers that are given whole.
+//! Responses that are buffered and returned whole.
 
 use hgw_direct::{NoEngine, Verdict};
 use hgw_http1::Body;
@@ -10,11 +10,11 @@
 use super::pace::Pace;
 use super::request::{REJECTED, Relayed};
 
-/// Bytes of a whole answer; longer ones are broken off.
+/// Largest response that is buffered; a larger one counts as broken off.
 const MOST: usize = 32 << 20;
 
-/// Serves a request whose answer is collected before any of it is given: one that breaks off can then be
-/// asked for again where that is allowed, and is a failure with a name otherwise.
+/// Serves a request with a buffered response. One that breaks off can be retried if the route
+/// allows it, and is reported as an error otherwise.
 pub(super) async fn answer(mut req: Relayed) -> Answer {
     let mut failure = None;
     loop {
@@ -56,15 +56,15 @@
     }
 }
 
-/// What became of the last engine that may have run the request.
+/// What the last engine that may have executed the request returned.
 enum Failure {
-    /// Its own failure, whole and sealed.
+    /// A complete and signed error response.
     Engine(Answer),
-    /// It gave no answer that can be passed on.
+    /// Nothing that can be passed on.
     Own(&'static str),
 }
 
-/// The answer where no other engine is asked.
+/// The response when no other engine is tried.
 fn ended(req: &Relayed, failure: Option<Failure>, why: NoEngine) -> Answer {
     match failure {
         Some(Failure::Engine(answer)) => {
@@ -77,7 +77,7 @@
     }
 }
 
-/// The engine's answer, or nothing where it is not whole.
+/// Buffers the engine's response; `None` if it is incomplete.
 async fn whole(req: &Relayed, begun: Begun) -> Option<Answer> {
     let Begun { engine, mut conn, head, at_engine } = begun;
     let body = Body::new(head.framing);
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -1,3 +1,5 @@
+//! A caller's request while it is served, and the choice of an engine for it.
+
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,36 +25,37 @@
 
 use super::identify::Identity;
 
-/// Sends that engines reject, beyond the engines that a route may run a request on.
+/// Rejections by engines that a request may meet before it is given up.
 const MORE_REJECTED: u32 = 2;
 
-/// Engines that cannot be reached and are passed over for one request.
+/// Unreachable engines that are skipped for one request.
 const MOST_UNREACHED: u32 = 6;
 
-/// Part of the time left for which a request waits for its model or adapter. Its caller comes back once
-/// in what remains.
+/// Share of the remaining time that a request waits for its model or adapter to be loaded. The rest
+/// lets the caller retry once.
 const WAIT_SHARE: f64 = 0.5;
 
-/// Bounds of that wait: a caller leaves a stream that has not begun after two seconds or four objectives.
+/// Limit of that wait, the larger of the two: callers abandon a stream that has not begun after two
+/// seconds or four objectives.
 const PATIENT_LEAST: Duration = Duration::from_millis(900);
 const PATIENT_OBJECTIVES: u32 = 2;
 
-/// When a caller comes back whose request engines rejected and no other can be asked.
+/// Retry delay after engines rejected a request and no other engine is left.
 pub(super) const REJECTED: Duration = Duration::from_millis(200);
 
-/// When a caller comes back whose service has no engine.
+/// Retry delay while a service has no engine.
 const NO_ENGINE: Duration = Duration::from_millis(300);
 
-/// Part of the objective for which a request waits for an allowance: the rest is the engine's.
+/// Share of the route's objective that a request waits for an allowance; the rest is for the
+/// engine.
 const ALLOWANCE_SHARE: f64 = 0.5;
 
-/// Time over which nodes spread what they send when an engine has read a prompt.
+/// Longest random delay before a waiting request is sent after an engine has prefilled a prompt.
 const TURN_SPREAD: Duration = Duration::from_millis(6);
 
-/// Time between two looks whether a model has come.
+/// Interval between checks whether a model has been loaded.
 const PLACED_CHECK: Duration = Duration::from_millis(100);
 
-/// A caller's request while it is served.
 pub(super) struct Relayed {
     pub(super) node: Node,
     _active: Active,
@@ -61,33 +64,30 @@
     pub(super) call: Call,
     pub(super) route: Route,
     pub(super) service: ServiceId,
-    /// Who sends it.
     pub(super) identity: Identity,
-    /// When its head had come.
+    /// When the request head had been read.
     pub(super) arrived: Instant,
-    /// The same by the clock that counts what the machine was suspended for.
+    /// The same by the boot clock, which also runs while the machine is suspended.
     arrived_by_boot: Duration,
-    /// The time that it has.
     deadline: Deadline,
-    /// When that is over, unless the machine is suspended.
+    /// When the deadline passes, unless the machine is suspended.
     pub(super) end: Instant,
-    /// Engines that it was sent to.
     pub(super) tried: Vec<EngineId>,
-    /// Engines that may have run it.
+    /// Attempts that an engine may have executed.
     pub(super) runs: u32,
-    /// Engines that rejected it.
+    /// Attempts that an engine rejected.
     pub(super) rejected: u32,
-    /// Engines that could not be reached.
+    /// Attempts that did not reach an engine.
     pub(super) unreached: u32,
-    /// An engine that does not hold what it was said to hold.
+    /// An engine that does not have the model that it was listed with.
     pub(super) refuted: Option<EngineId>,
-    /// Whether engines admit it before others of its service.
+    /// Whether engines admit it before other requests of its service.
     goes_first: bool,
-    /// How long it waited until engines had read other prompts.
+    /// Time spent waiting for engines to prefill other prompts.
     pub(super) waited: Duration,
-    /// What it took of its customer's limit.
+    /// The charge to the customer's limit.
     spent: Option<Spent>,
-    /// Whether it was told what became of it.
+    /// Whether the outcome has been logged.
     pub(super) told: Cell<bool>,
 }
 
@@ -143,7 +143,7 @@
         request
     }
 
-    /// Takes what it needs of its customer's limit.
+    /// Charges the request to its customer's limit.
     pub(super) async fn spend(&mut self) -> Result<(), NoAllowance> {
         let Some(customer) = self.identity.customer.clone() else { return Ok(()) };
         let longest = self.route.objective.mul_f64(ALLOWANCE_SHARE);
@@ -151,14 +151,15 @@
         Ok(())
     }
 
-    /// An engine may run it from now on, or says that it has not; what another ran stays used.
+    /// Records whether an engine may execute the request from now on. The charge stays once any
+    /// engine may have executed it.
     pub(super) fn may_run(&self, may: bool) {
         if let Some(spent) = &self.spent {
             spent.is_used(may || self.runs > 0);
         }
     }
 
-    /// Counts the request for the budget of second tries and for placement.
+    /// Counts the request for the retry budget and the demand for its model.
     fn count(&self) {
         let (now, limits) = (self.node.now(), self.node.budget_limits());
         let mut state = self.node.state.borrow_mut();
@@ -180,13 +181,13 @@
         self.deadline.left(self.arrived.elapsed(), by_boot)
     }
 
-    /// Whether there is time enough for an engine to begin.
+    /// Whether enough time is left for an engine to begin.
     pub(super) fn can_be_sent(&self) -> bool {
         self.left() >= LEAST_TO_SEND
     }
 
-    /// Whether it may be sent once more, after an engine has rejected it or may have run it. Takes from
-    /// the budget that all nodes share.
+    /// Whether another attempt is allowed after an engine rejected the request or may have executed
+    /// it. Takes one retry from the budget that all nodes share.
     pub(super) fn may_go_on(&self) -> bool {
         if self.runs >= self.route.attempts || self.rejected > MORE_REJECTED {
             return false;
@@ -200,13 +201,13 @@
         budget.take(now, &limits, self.route.priority <= 1)
     }
 
-    /// Whether another engine may be looked for after one could not be reached.
+    /// Whether another engine may be tried after one could not be reached.
     pub(super) fn may_reach_on(&mut self) -> bool {
         self.unreached += 1;
         self.unreached <= MOST_UNREACHED && self.can_be_sent()
     }
 
-    /// The engine to send to; waits for a model or an adapter that is being placed.
+    /// Chooses an engine; waits for a model or adapter that is being loaded.
     pub(super) async fn choose(&mut self) -> Result<Choice, NoEngine> {
         let began = Instant::now();
         if self.until_read().await {
@@ -228,13 +229,14 @@
                     }
                 }
                 Ok(Placement::Coming(ms)) => {
-                    // Not in time: its caller is told when.
+                    // It will not be loaded in time: the caller is told when to retry.
                     let wait = Duration::from_millis(ms);
                     if Instant::now() + wait > give_up {
                         return Err(NoEngine::NotPlaced(wait));
                     }
                 }
-                // Cut off from the engines that hold it and from the keeper: another node may not be.
+                // This node reaches neither the engines that have the model nor the keeper;
+                // another node may.
                 Ok(Placement::Unknown) if self.is_out_of_reach() => return found,
                 Ok(Placement::Unknown) => {}
                 Err(_) => return found,
@@ -248,8 +250,9 @@
         }
     }
 
-    /// Waits until an engine has read so much that one more prompt makes no stream there pause for too long, while the
-    /// request's own first event can still be on time; tells whether it waited. What was sent before does not wait.
+    /// Waits until one more prompt would not make the streams of an engine pause for too long,
+    /// while the request's own first event can still be on time. Returns whether it waited. Retries
+    /// do not wait.
     async fn until_read(&self) -> bool {
         let Some(gap) = self.route.gap.filter(|_| self.tried.is_empty()) else { return false };
         let left = gap.mul_f64(Policy::default().gap_share);
@@ -268,12 +271,13 @@
             if timeout_at(until, read).await.is_err() {
                 return true;
             }
-            // Nodes that hear of the same moment do not all send: the first tells the others within a millisecond or two.
+            // Several nodes are notified at the same moment; the delay lets the first one report
+            // its send to the others.
             sleep(TURN_SPREAD.mul_f64(random::<f64>())).await;
         }
     }
 
-    /// Whether engines hold what it needs, and none of them can be reached.
+    /// Whether engines have the model but none of them is reachable.
     fn is_out_of_reach(&self) -> bool {
         let (now, state) = (self.node.now(), self.node.state.borrow());
         let Some(wanted) = self.wanted() else { return false };
@@ -282,8 +286,8 @@
             && holders.all(|e| e.judge.is_dark(now))
     }
 
-    /// Waits a while for what the keeper tells of engines. Asked at each change, it would get many more
-    /// questions than there are requests.
+    /// Waits briefly for the keeper's updates about engines. Querying it after each change would
+    /// cost many more queries than there are requests.
     async fn until_placed(&self, give_up: Instant) -> Option<Choice> {
         let until = give_up.min(Instant::now() + PLACED_CHECK);
         while timeout_at(until, self.node.placed.notified()).await.is_ok() {
@@ -298,7 +302,8 @@
         self.choose_at(self.arrived)
     }
 
-    /// The engine to send to; none while a request that can wait until then finds none that has little to read.
+    /// Chooses an engine. Before `waits_until`, fails with `NoEngine::Reading` if every engine has
+    /// too much to prefill.
     fn choose_at(&self, waits_until: Instant) -> Result<Choice, NoEngine> {
         let state = self.node.state.borrow();
         let settings = self.node.settings.borrow();
@@ -320,7 +325,7 @@
         choose(&state.engines, &ask, self.node.now())
     }
 
-    /// The answer to a request that has not run and finds no engine.
+    /// Rejects a request that no engine has executed because none could be chosen.
     pub(super) fn refuse_for(&self, why: NoEngine) -> Answer {
         match why {
             NoEngine::None | NoEngine::Reading => self.refuse(Refusal::NoEngine, NO_ENGINE),
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on event by event as they come.
+//! Responses that are streamed event by event.
 
 use std::time::Duration;
 
@@ -18,14 +18,13 @@
 use super::pace::Pace;
 use super::request::{REJECTED, Relayed};
 
-/// Longest pause between two events at an engine that is heard on other connections, in longest pauses
-/// that are on time.
+/// Longest gap between two events from an engine that still responds on other connections, as a
+/// multiple of the route's maximum gap.
 const HUNG_PAUSES: u32 = 6;
 
-/// Longest such pause where the route tells none.
+/// The same for a route without a maximum gap.
 const HUNG: Duration = Duration::from_millis(1_000);
 
-/// Serves a stream.
 pub(super) async fn answer(mut req: Relayed) -> Answer {
     match begin(&mut req, None).await {
         Ok(begun) => {
@@ -42,7 +41,7 @@
     }
 }
 
-/// Sends until an answer begins, from the event after `last`.
+/// Makes attempts until a response begins; a stream resumes after the event `last`.
 async fn begin(req: &mut Relayed, last: Option<u64>) -> Result<Begun, Answer> {
     let mut failure = None;
     loop {
@@ -88,7 +87,7 @@
     }
 }
 
-/// The answer where no other engine is asked.
+/// The response when no other engine is tried.
 fn ended(req: &Relayed, failure: Option<&'static str>, why: NoEngine) -> Answer {
     match failure {
         Some(failure) => req.fail(StatusCode::BAD_GATEWAY, failure),
@@ -97,15 +96,15 @@
     }
 }
 
-/// A stream that is under way.
+/// A response that is being streamed.
 struct Flow {
     req: Relayed,
     engine: EngineId,
-    /// Until the answer is whole.
+    /// `None` once the response is complete, and between two engines.
     conn: Option<Conn>,
     body: Body,
     events: Events,
-    /// Whether the answer is made of events; a failure's body is passed on as it is.
+    /// Whether the body consists of events; an error body is passed on unchanged.
     is_events: bool,
     at_engine: AtEngine,
     over: bool,
@@ -131,7 +130,7 @@
         }
     }
 
-    /// The next piece for the caller.
+    /// Reads the next piece for the caller.
     async fn step(mut self) -> Option<(Result<Bytes, BrokenOff>, Flow)> {
         if self.over {
             return None;
@@ -185,7 +184,7 @@
         req.unless_silent(&self.at_engine, hung, chunk).await
     }
 
-    /// Goes on at another engine from the last whole event.
+    /// Resumes on another engine after the last complete event, if the retry budget allows it.
     async fn go_on(&mut self) -> bool {
         let req = &mut self.req;
         if !self.is_events || !req.route.kind.may_repeat() || !req.may_go_on() {
@@ -194,9 +193,9 @@
         self.move_on().await
     }
 
-    /// The same, where the next try is paid for.
+    /// Resumes on another engine; the retry has been taken from the retry budget.
     async fn move_on(&mut self) -> bool {
-        // The engine before must not work on it any more.
+        // Closes the connection, which ends the request at the previous engine.
         self.conn = None;
         self.events.drop_half();
         let req = &mut self.req;
--- a/crates/gateway/src/relay/told.rs
+++ b/crates/gateway/src/relay/told.rs
@@ -1,4 +1,4 @@
-//! What a request tells: a log line and a count for each decision on it.
+//! Logs and counts what happens to a request.
 
 use std::time::Duration;
 
@@ -14,12 +14,11 @@
 use super::request::Relayed;
 
 impl Relayed {
-    /// The customer's name; empty where there is none.
+    /// The customer's name; empty if there is none.
     fn customer(&self) -> &str {
         self.identity.customer.as_ref().map_or("", |name| name.0.as_str())
     }
 
-    /// Logs a try that brought no answer.
     pub(super) fn try_failed(&self, engine: &EngineId, why: &'static str, took: Duration) {
         meter::try_failed(why);
         let estimate = self.node.engine(engine, |e| e.estimate(self.node.now()));
@@ -38,13 +37,12 @@
         );
     }
 
-    /// An answer of this node's own to a request that may have run.
+    /// Builds this node's error response to a request that an engine may have executed.
     pub(super) fn fail(&self, status: StatusCode, why: &str) -> Answer {
         self.failed(status.as_u16(), why);
         own(status, why)
     }
 
-    /// Logs that a stream goes on at another engine.
     pub(super) fn resumed(&self, from: &EngineId, to: &EngineId, last: u64) {
         emit(
             Event::RequestResumed,
@@ -59,7 +57,7 @@
         );
     }
 
-    /// Logs that the caller was given no whole answer.
+    /// Logs that the caller got no complete response.
     pub(super) fn failed(&self, status: u16, why: &str) {
         self.told.set(true);
         meter::failed(&self.route, why);
@@ -82,7 +80,7 @@
         );
     }
 
-    /// Logs that nobody waits for the answer any more.
+    /// Logs that the caller left before the response was complete.
     pub(super) fn caller_left(&self) {
         meter::left(&self.route);
         let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
@@ -103,7 +101,7 @@
         );
     }
 
-    /// Logs an engine's whole answer, and what it was chosen by.
+    /// Logs a complete response and the load estimate of its engine.
     pub(super) fn served(&self, engine: &EngineId, status: u16, pace: &Pace) {
         self.told.set(true);
         meter::served(&self.route, status, self.arrived.elapsed());
@@ -132,7 +130,7 @@
         );
     }
 
-    /// Refuses the request, which has not run, with a time to come back.
+    /// Rejects a request that no engine has executed, with a `Retry-After` delay.
     pub(super) fn refuse(&self, why: Refusal, wait: Duration) -> Answer {
         self.told.set(true);
         meter::refused(&self.route, why);
