--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,3 +1,5 @@
+//! Responses to callers.
+
 use std::convert::Infallible;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,25 +10,21 @@
 use http::{Response, StatusCode};
 use hyper::body::{Body, Frame, SizeHint};
 
-/// An answer that could not be given to its end: its connection ends without one.
+/// A response body that ended early; its connection is closed without the end of the body.
 #[derive(Debug, Clone, Copy, Display, Error)]
-#[display("the answer broke off")]
+#[display("response body ended early")]
 pub(crate) struct BrokenOff;
 
 type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>;
 
-/// The body of an answer.
 pub(crate) enum AnswerBody {
-    /// All at once.
     Whole(Option<Bytes>),
-    /// Piece by piece as they come.
     Pieces(Pieces),
 }
 
-/// An answer to a caller.
 pub(crate) type Answer = Response<AnswerBody>;
 
-/// What a caller's connection takes: there is always an answer.
+/// Result of a service function: failures are responses too.
 pub(crate) type Answered = Result<Answer, Infallible>;
 
 impl AnswerBody {
@@ -36,7 +34,7 @@
     }
 }
 
-/// A short answer of this node's own.
+/// Builds a JSON error response of this node's own.
 pub(crate) fn own(status: StatusCode, text: &str) -> Answer {
     let mut answer = Response::new(AnswerBody::whole(format!("{{\"error\":\"{text}\"}}")));
     *answer.status_mut() = status;
--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/at_engine.rs
@@ -1,3 +1,5 @@
+//! Requests in flight at engines.
+
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -7,18 +9,19 @@
 use crate::peers::Word;
 use crate::shared::Node;
 
-/// A request that counts as being at an engine, until this is dropped.
+/// A request in flight at an engine, until dropped.
 pub(crate) struct AtEngine {
     node: Node,
     engine: EngineId,
-    /// The engine's start that it was sent to.
+    /// Start of the engine process that the request was sent to.
     start: Start,
-    /// The request, while the engine has not read its prompt.
+    /// Set until the engine has prefilled the prompt.
     unread: Option<SendId>,
 }
 
 impl AtEngine {
-    /// A request with a prompt of so many tokens, none where the service has no models, goes there.
+    /// Counts a request as in flight. `tokens` is the length of its prompt, 0 for a service without
+    /// models.
     pub(crate) fn begin(node: &Node, engine: &EngineId, request: &str, tokens: u32) -> AtEngine {
         let now = node.now();
         let unread = (tokens > 0).then(|| SendId::of(request));
@@ -36,24 +39,23 @@
         AtEngine { node: Rc::clone(node), engine: engine.clone(), start, unread }
     }
 
-    /// The engine.
     pub(crate) fn engine(&self) -> &EngineId {
         &self.engine
     }
 
-    /// Whether the engine has started anew since: what it ran then has ended.
+    /// Whether the engine has restarted since, which ended this request.
     pub(crate) fn has_ended(&self) -> bool {
         self.node.engine(&self.engine, |e| self.start.is_before(e.listed.start)).unwrap_or(false)
     }
 
-    /// Takes in what became of the request, unless the engine has started anew since.
+    /// Records the outcome of the request, unless the engine has restarted since.
     pub(crate) fn saw(&self, verdict: Verdict) {
         if !self.has_ended() {
             self.node.saw(&self.engine, verdict);
         }
     }
 
-    /// Keeps a connection whose answer was whole, unless the engine has started anew since.
+    /// Returns the connection to the pool, unless the engine has restarted since.
     pub(crate) fn keep(&self, conn: Conn) {
         let addr = self.node.engine(&self.engine, |e| e.listed.addr);
         if let Some(addr) = addr.filter(|_| !self.has_ended()) {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The engine tells its load.
+    /// Records the load that the engine reports.
     pub(crate) fn tells(&self, load: Load) {
         if self.has_ended() {
             return;
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The answer begins: the engine has read the prompt.
+    /// Records that the response begins, which means that the engine has prefilled the prompt.
     pub(crate) fn answers(&mut self, load: Option<Load>) {
         let Some(id) = self.unread.take() else { return };
         let load = load.map(|load| (load.running, load.waiting));
@@ -87,7 +89,7 @@
         self.node.turns.next.notify_waiters();
     }
 
-    /// Its answer was whole, with this mean time between its events.
+    /// Records the mean time between the events of a complete response.
     pub(crate) fn saw_events(&self, mean: Duration) {
         if self.has_ended() {
             return;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Accepts and serves callers' connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,14 +17,14 @@
 use crate::shared::Node;
 use crate::{listen, relay};
 
-/// Pause after a connection could not be accepted, for want of descriptors: without it the thread would
-/// do nothing else.
+/// Pause after a failed `accept`: without it the loop would spin while the process is out of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Time between two looks at whether a connection has been unused for too long.
+/// Interval between checks for an idle connection.
 const IDLE_CHECK: Duration = Duration::from_secs(1);
 
-/// Takes callers' connections until the process ends.
+/// Accepts connections until the process ends.
 pub(crate) async fn serve(node: Node, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
@@ -35,7 +35,8 @@
             }
         };
         let open = node.stop.connections.get();
-        // Beyond the descriptors that engines' connections need, the balancer's other nodes take it.
+        // Above the limit, file descriptors are kept for connections to engines; the load balancer
+        // retries at another node.
         if open >= node.settings.borrow().connections || listen::prepare(&stream).is_err() {
             continue;
         }
@@ -49,7 +50,7 @@
     }
 }
 
-/// What a connection is doing.
+/// Activity on a connection.
 struct Use {
     requests: Cell<u32>,
     since: Cell<Millis>,
@@ -68,7 +69,7 @@
     let mut told = false;
     loop {
         tokio::select! {
-            // Its end, also by a fault of the caller's, needs nothing more.
+            // The connection has ended; an error of the caller needs no handling.
             _ = conn.as_mut() => return,
             () = tokio::time::sleep(IDLE_CHECK) => {}
             () = node.stop.changed.notified() => {}
@@ -84,7 +85,7 @@
     }
 }
 
-/// Counts a request of a connection until its answer is out.
+/// Counts a request as in progress until its response head is returned.
 struct Counted(Rc<Use>, Node);
 
 impl Drop for Counted {
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -1,3 +1,5 @@
+//! TCP listeners and the options of accepted sockets.
+
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,17 +17,17 @@
 use crate::answer::Answered;
 use crate::shared::Node;
 
-/// Connections that may wait to be accepted: with the usual 128 a burst is dropped and comes again only
-/// after seconds.
+/// Listen backlog: with the usual 128, connections of a burst are dropped and retried only after
+/// seconds.
 const BACKLOG: i32 = 4096;
 
-/// Longest time that sent bytes may stay unacknowledged: a caller whose path is cut would else be waited
-/// for until the end of its request.
+/// TCP user timeout: without it, a caller that has become unreachable would be served until its
+/// request ends.
 const UNACKED: Duration = Duration::from_secs(5);
 
 pub(crate) fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
-    // A process that is replaced finds its port still in use by ended connections otherwise.
+    // Without this, a restarted process finds its port in use by closed connections.
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
     socket.listen(BACKLOG)?;
@@ -33,10 +35,10 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Pause after a connection could not be accepted.
+/// Pause after a failed `accept`, so that the loop does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers on a listener that is not for callers, until the process ends.
+/// Serves a listener that is not for callers, until the process ends.
 pub(crate) async fn serve<A, F>(node: Node, listener: TcpListener, answer: A)
 where
     A: Fn(Node, Request<Incoming>) -> F + Clone + 'static,
@@ -53,7 +55,7 @@
         let (node, answer) = (Rc::clone(&node), answer.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(|req| answer(Rc::clone(&node), req));
-            // Who breaks off asks again.
+            // The client retries after a broken connection.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,3 +1,5 @@
+//! Pool of idle keep-alive connections.
+
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -5,23 +7,23 @@
 use hgw_http1::{Conn, ConnectLimits, Result};
 use indexmap::IndexMap;
 
-/// A kept connection is not used again when it may end within this time: its end would cross the request.
+/// An idle connection is not reused if it may be closed within this time: the close could cross the
+/// request on the wire.
 const MARGIN: Duration = Duration::from_millis(500);
 
-/// Connections without a request that are kept for each address.
+/// Idle connections that are kept for each address.
 const MOST_KEPT: usize = 64;
 
-/// Time after which a kept connection is not trusted: it may have gone silent unnoticed.
+/// Idle time after which a connection is not reused: its path may have failed unnoticed.
 const TRUSTED_FOR: Duration = Duration::from_secs(4);
 
-/// Kept connections by address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     kept: RefCell<IndexMap<SocketAddr, Vec<Conn>>>,
 }
 
 impl Pool {
-    /// A kept connection that can be used, the one used last first: those before it run out of use and
+    /// Returns the most recently used idle connection, so that the others reach their idle time and
     /// are closed.
     pub(crate) fn take(&self, addr: SocketAddr) -> Option<Conn> {
         let mut kept = self.kept.borrow_mut();
@@ -34,7 +36,7 @@
         None
     }
 
-    /// A kept connection, or a new one.
+    /// Returns an idle connection or opens a new one.
     pub(crate) async fn get(&self, addr: SocketAddr, limits: ConnectLimits) -> Result<Conn> {
         match self.take(addr) {
             Some(conn) => Ok(conn),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Keeps a connection whose answer was whole.
+    /// Returns a connection to the pool once its response has been read completely.
     pub(crate) fn put(&self, addr: SocketAddr, mut conn: Conn) {
         if !conn.is_usable(MARGIN) {
             return;
@@ -54,12 +56,12 @@
         }
     }
 
-    /// Drops all kept connections to an address.
+    /// Closes all idle connections to an address.
     pub(crate) fn forget(&self, addr: SocketAddr) {
         self.kept.borrow_mut().shift_remove(&addr);
     }
 
-    /// Drops connections that are not trusted any more.
+    /// Closes idle connections that are not reused any more.
     pub(crate) fn sweep(&self) {
         let mut kept = self.kept.borrow_mut();
         for conns in kept.values_mut() {
@@ -68,7 +70,7 @@
         kept.retain(|_, conns| !conns.is_empty());
     }
 
-    /// Drops all kept connections: after the machine stood still none can be trusted.
+    /// Closes all idle connections: after a suspension of the machine none can be trusted.
     pub(crate) fn clear(&self) {
         self.kept.borrow_mut().clear();
     }
--- a/crates/gateway/src/proof.rs
+++ b/crates/gateway/src/proof.rs
@@ -1,4 +1,4 @@
-//! Whether this node can show that its configuration is the newest.
+//! Whether this node's configuration is known to be current.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -10,33 +10,35 @@
 use crate::eras;
 use crate::shared::Shared;
 
-/// Part of the time for which a proof holds after which a node asks the store itself: two calls may then fail before
-/// callers are refused.
+/// Age, as a share of the allowed age, at which a node queries the store itself: two calls may then
+/// fail before callers are refused.
 const ASKS_FROM: f64 = 0.5;
 
-/// The same of a node whose domain has a head: what the head asks is here soon after. The nodes of a domain take turns
-/// over the rest, as the first that is answered proves it for all that ask it.
+/// The same for a node whose domain has a head, which usually delivers a newer result first. The
+/// nodes of a domain are spread over a further share, as the first response serves all nodes that
+/// query the same node.
 const ASKS_FROM_BEHIND: f64 = 0.65;
 const TURNS: f64 = 0.15;
 
-/// Longest pause between two questions that fail, as a part of that time.
+/// Longest pause between failed queries, as a share of the allowed age.
 const PAUSE_SHARE: f64 = 0.2;
 
-/// Part of that time for which the node that reads for all waits at the store for news at the most: its question is the
-/// proof, so that those of all others are as old as it waits.
+/// Longest long poll of the node that reads the store for all others, as a share of the allowed
+/// age. The result dates from the start of the poll, so a long poll ages it on every node.
 const WAIT_SHARE: f64 = 0.1;
 
-/// What this node has learnt, and whether it was enough when it last looked.
+/// What is known about the newest version, and whether it sufficed at the last check.
 #[derive(Debug, Default)]
 pub(crate) struct Proofs {
     learnt: RefCell<Proof>,
     held: Cell<bool>,
 }
 
-/// This node has read that no version newer than this one was there when the store was asked.
+/// Records a read of the store that found no version newer than `seen.newest`.
 ///
-/// A store that has come back from a copy may lack versions that it had acknowledged, with the keys that they take away:
-/// it shows nothing until the operators have written them again, and nothing while it has an older one than is known here.
+/// A store restored from a backup may lack versions that it had acknowledged, and the key
+/// revocations in them. Its reads do not count until operators have had time to write them again,
+/// nor while its newest version is older than the one known here.
 pub(crate) fn read(node: &Shared, seen: Seen) {
     let known = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
     let lacks = node.era.get().era() > Era::FIRST && seen.newest < known;
@@ -49,7 +51,8 @@
     node.proofs.learnt.borrow_mut().learn(seen);
 }
 
-/// What this node can tell others: the newest version that it knows not to be followed by another, and how long ago.
+/// What this node reports to others: the newest version known to be current, and how many
+/// milliseconds ago that was confirmed.
 pub(crate) fn told(node: &Shared) -> Option<(u64, u64)> {
     let version = node.state.borrow().catalog.as_ref()?.version;
     let seen = node.proofs.learnt.borrow().of(version)?;
@@ -57,37 +60,40 @@
     Some((seen.newest, age.as_millis() as u64))
 }
 
-/// Another node tells the same, in answer to a question of this time, which it held back for so long.
+/// Records what another node reported in response to a query sent at `asked`, which it held back
+/// for `held_ms`.
 pub(crate) fn hear(node: &Shared, asked: Duration, held_ms: u64, told: Option<(u64, u64)>) {
     let Some((newest, age_ms)) = told else { return };
     let at = (asked + Duration::from_millis(held_ms)).saturating_sub(Duration::from_millis(age_ms));
     learn(node, Seen { newest, asked: at });
 }
 
-/// How long ago it was last known that there is no newer configuration.
+/// Time since the configuration was last known to be current.
 pub(crate) fn age(node: &Shared) -> Option<Duration> {
     let version = node.state.borrow().catalog.as_ref()?.version;
     node.proofs.learnt.borrow().age(version, boot_time())
 }
 
-/// Whether a request with a key may be sent to an engine now.
+/// Whether the configuration is known to be current, so that requests with a key may be sent to
+/// engines.
 pub(crate) fn holds(node: &Shared) -> bool {
     is_younger(node, 1.0)
 }
 
-/// Whether this node asks the store itself, as nobody tells it of younger questions.
+/// Whether this node must query the store itself because no other node reports a recent result.
 pub(crate) fn is_due(node: &Shared, behind_a_head: bool) -> bool {
     let turn = TURNS * f64::from(node.draw) / f64::from(u32::MAX);
     !is_younger(node, if behind_a_head { ASKS_FROM_BEHIND + turn } else { ASKS_FROM })
 }
 
-/// Longest pause before the store is asked again.
+/// Longest pause before the store is queried again.
 pub(crate) fn longest_pause(node: &Shared) -> Duration {
     let longest = node.settings.borrow().revoke_within;
     longest.map_or(Duration::MAX, |longest| longest.mul_f64(PAUSE_SHARE))
 }
 
-/// Whether the proof is younger than this share of the time for which it holds; true where none is needed.
+/// Whether the last confirmation is younger than this share of the allowed age; true if none is
+/// needed.
 fn is_younger(node: &Shared, share: f64) -> bool {
     let Some(longest) = node.settings.borrow().revoke_within else { return true };
     let version = {
@@ -102,13 +108,13 @@
     age.is_some_and(|age| age < longest.mul_f64(share))
 }
 
-/// How long a question for a new configuration waits at the store at the most.
+/// Longest long poll for a new configuration.
 pub(crate) fn longest_wait(node: &Shared, usual: Duration) -> Duration {
     let longest = node.settings.borrow().revoke_within;
     longest.map_or(usual, |longest| usual.min(longest.mul_f64(WAIT_SHARE)))
 }
 
-/// Says when the proof is lost, or there again.
+/// Logs when the configuration stops or starts being known to be current.
 pub(crate) fn look(node: &Shared) {
     if node.state.borrow().catalog.is_none() {
         return;
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -1,3 +1,5 @@
+//! Queue of requests that wait for engines to prefill other prompts.
+
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -6,18 +8,17 @@
 
 use crate::shared::Node;
 
-/// Requests that wait until engines have read what they have to read.
 #[derive(Debug, Default)]
 pub(crate) struct Turns {
-    /// Model and priority, by the order in which they came.
+    /// Model and priority by arrival number.
     waiting: RefCell<IndexMap<u64, (String, u8)>>,
     last: Cell<u64>,
-    /// Told when an engine has read a prompt, and when a request waits no more.
+    /// Notified when an engine has prefilled a prompt or a request has left the queue.
     pub(crate) next: Notify,
 }
 
-/// A request's place among those that wait for a model, until this is dropped: the most urgent first, then by their
-/// coming.
+/// A request's place in the queue until dropped. Requests for the same model are ordered by
+/// priority, then by arrival.
 pub(crate) struct Turn {
     node: Node,
     number: u64,
@@ -31,7 +32,7 @@
         Turn { node: Rc::clone(node), number }
     }
 
-    /// Whether nobody else goes first.
+    /// Whether no other request for the same model goes first.
     pub(crate) fn is_first(&self) -> bool {
         let waiting = self.node.turns.waiting.borrow();
         let Some((model, priority)) = waiting.get(&self.number) else { return true };
