--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform's names, formats and calls are translated to.
+//! Traits by which a platform provides its protocols and its store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,330 +14,307 @@
 use http::HeaderMap;
 use http::request::Parts;
 
-/// All borders of a node.
+/// The protocols that a node speaks on a platform.
 pub struct Dialects {
-    /// What callers speak.
     pub callers: Box<dyn Callers>,
-    /// What engines speak.
     pub upstreams: Box<dyn Upstreams>,
-    /// What the platform's store speaks.
     pub store: Box<dyn Store>,
 }
 
-/// What callers speak.
+/// Protocol between callers and a node.
 pub trait Callers {
-    /// What a request says beside its method, path and body.
+    /// Parses the request's headers.
     fn read(&self, head: &Parts) -> Result<Call, BadCall>;
 
-    /// What a request shows of who sends it.
+    /// The credentials of a request.
     fn shown(&self, head: &Parts) -> Shown;
 
-    /// Says that a key is needed.
+    /// Adds the challenge of a 401 response.
     fn ask_for_key(&self, headers: &mut HeaderMap);
 
-    /// Says when a refused caller should come back.
+    /// Adds the delay after which a rejected caller should retry.
     fn come_back(&self, headers: &mut HeaderMap, after: Duration);
 
-    /// Whether a request asks if this node takes callers.
+    /// Whether the request is a readiness probe.
     fn asks_ready(&self, head: &Parts) -> bool;
 }
 
-/// What a caller's request says.
+/// The parsed headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Call {
-    /// Its id, which engines echo.
+    /// Request id, which engines echo.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub deadline: Option<Duration>,
-    /// Its prompt, where it names a model.
+    /// `None` if the request names no model.
     pub prompt: Option<Prompt>,
-    /// Tokens of its prompt and the most of its answer, where it tells them.
+    /// Tokens of the prompt plus the maximum of the response, if given.
     pub tokens: Option<u64>,
-    /// The last event that the caller has of this stream.
+    /// The last event that the caller has received of this stream.
     pub last_event: Option<u64>,
 }
 
-/// A request that cannot be read.
+/// A header with a value that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field} is `{value}`: {allowed}")]
 pub struct BadCall {
-    /// The field.
     pub field: &'static str,
-    /// Its value; empty where it is missing.
+    /// Empty if the header is missing.
     pub value: String,
-    /// What is allowed.
+    /// Describes the allowed values.
     pub allowed: &'static str,
 }
 
-/// A request as it is sent to an engine.
+/// What a request to an engine carries beside the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct Sending<'a> {
-    /// The engine.
     pub engine: &'a EngineId,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub left: Duration,
-    /// 0 is served first.
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// The last event that the caller has, where a stream goes on.
+    /// The last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
-    /// Who sends it.
     pub sender: SentBy<'a>,
 }
 
-/// Who sends a request, as engines are told.
+/// The identity of a caller that is forwarded to engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SentBy<'a> {
-    /// No customers are configured, and what callers show is theirs and the engines'.
+    /// No customers are configured: credentials are passed through to engines.
     Unknown,
-    /// Anybody, on an open route.
+    /// No credentials, on an open route.
     Anybody,
-    /// A customer. Its key stays here.
+    /// A customer; its key is not forwarded.
     Customer(&'a CustomerId),
 }
 
-/// What engines speak.
+/// Protocol between a node and engines.
 pub trait Upstreams {
-    /// The fields of a request to an engine.
+    /// The headers of a request to an engine.
     fn headers(&self, caller: &Parts, sending: &Sending<'_>) -> HeaderMap;
 
-    /// What the head of an answer says.
+    /// Parses the head of a response.
     fn read(&self, head: &Head) -> Marks;
 
-    /// Fields of an engine's answer that the caller gets.
+    /// The headers of an engine's response that are passed on to the caller.
     fn answer(&self, head: &Head) -> HeaderMap;
 
-    /// An order.
+    /// Builds the request for an order.
     fn order(&self, order: &Order<'_>) -> Request;
 
-    /// A question for what an engine holds.
+    /// Builds the request for an engine's report.
     fn ask_report(&self, addr: SocketAddr, engine: &EngineId) -> Request;
 
-    /// Its answer.
+    /// Parses a report.
     fn report(&self, body: &[u8]) -> Result<Report, Malformed>;
 }
 
-/// What the head of an engine's answer says.
+/// The parsed head of an engine's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Marks {
-    /// The request that it answers.
+    /// Id of the request that it belongs to.
     pub id: Option<String>,
-    /// Whether it bears the engine's signature.
+    /// Whether the engine has signed it.
     pub sealed: bool,
-    /// Whether the engine says that the request has not run.
+    /// Whether the engine rejected the request without executing it.
     pub not_run: bool,
-    /// Whether the address belongs to another engine, or the model is not there.
+    /// Whether another engine answered at the address, or this one lacks the model.
     pub misdirected: bool,
-    /// The engine that answers, where it says so.
+    /// The engine that answered, if it is named.
     pub engine: Option<EngineId>,
-    /// The load that the engine tells.
     pub load: Option<Load>,
 }
 
-/// What an order is to bring about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum OrderKind {
-    /// Hold a model or an adapter.
+    /// Load a model or an adapter.
     #[display("load")]
     Load,
-    /// Drop it.
+    /// Unload it.
     #[display("unload")]
     Unload,
 }
 
-/// An order to an engine.
+/// An order to an engine to load or unload a model or an adapter.
 #[derive(Debug, Clone, Copy)]
 pub struct Order<'a> {
-    /// Where the engine is reached.
     pub addr: SocketAddr,
-    /// The engine.
     pub engine: &'a EngineId,
-    /// What to do.
     pub kind: OrderKind,
-    /// With what.
     pub wanted: &'a Wanted,
-    /// Orders that the engine had accepted when this one was decided on; it refuses another count.
+    /// Number of orders that the engine had accepted when this one was decided; the engine rejects the
+    /// order if its own count differs.
     pub seq: u64,
-    /// The machine that gives it.
+    /// The leader that gives the order.
     pub holder: &'a str,
-    /// The holder's fencing number.
+    /// Fencing token of its lease.
     pub fence: u64,
 }
 
-/// What an engine holds and does.
+/// State of an engine as it reports it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    /// What it holds.
+    /// Loaded models.
     pub held: Vec<Held>,
-    /// What it need not fetch to load.
+    /// Models that it can load without fetching them.
     pub at_hand: AtHand,
-    /// Adapters that are on their way to it.
+    /// Adapters that are being loaded.
     pub coming: Vec<Wanted>,
-    /// Whether an order for a model is under way.
+    /// Whether it is executing an order for a model.
     pub busy: bool,
-    /// Orders that it has accepted.
+    /// Number of orders that it has accepted.
     pub seq: u64,
-    /// When the engine was started.
     pub start: Start,
-    /// Its load.
     pub load: Load,
 }
 
-/// Bytes that cannot be read.
+/// Bytes that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("cannot read {what}: {why}")]
 pub struct Malformed {
-    /// What they should have been.
+    /// What they were parsed as.
     pub what: &'static str,
-    /// Why not.
     #[error(not(source))]
     pub why: String,
 }
 
-/// Why a call to the store did not bring what was asked for.
+/// Why a call to the store failed.
 #[derive(Debug, Display, Error)]
 pub enum StoreError {
-    /// The store refused it and did nothing: too many calls, or not able to.
+    /// The store rejected the call without executing it, by rate limit or for a fault of its own.
     #[display("the store refused the call: status {status}")]
     Refused {
-        /// The status of its answer.
+        /// HTTP status.
         status: u16,
     },
-    /// The condition did not hold; nothing was done.
+    /// The call's precondition did not hold; nothing was changed.
     #[display("the condition did not hold")]
     Condition,
-    /// A newer holder has taken over; nothing was done.
+    /// Another node has become leader since; nothing was changed.
     #[display("fenced off by a newer holder")]
     Fenced,
-    /// No answer: it may have been done, or may yet be.
+    /// There was no response: the call may have been executed, or may yet be.
     #[display("no answer from the store: {why}")]
     Lost {
-        /// What happened to the connection.
         #[error(not(source))]
         why: String,
     },
-    /// Its answer cannot be read.
+    /// The response could not be parsed.
     #[display("{_0}")]
     Malformed(Malformed),
-    /// The answer is of an earlier era than is known: it was long on its way, or comes from what is left of an earlier
-    /// life of the store.
+    /// The response belongs to an earlier era than the newest known one: it was delayed, or comes from
+    /// a part of the store that has not been restored yet.
     #[display("the answer is of era {era}, and the store is in era {known}")]
     Outdated {
-        /// The era of the answer.
+        /// Era of the response.
         era: Era,
-        /// The newest that is known.
+        /// Newest known era.
         known: Era,
     },
-    /// The store has come back from a copy, and the place that the call goes on from is not there any more. What was
-    /// appended stands in another log than was meant.
+    /// The store has been restored from a backup, so the cursor of the call is no longer valid. An
+    /// append has gone to another log than the one intended.
     #[display("the store has come back in era {era}")]
     NewEra {
-        /// Its era now.
+        /// Current era of the store.
         era: Era,
     },
 }
 
-/// Result of a call to the store.
 pub type StoreResult<T> = Result<T, StoreError>;
 
-/// News of the configuration.
+/// Changes of the configuration since a cursor.
 #[derive(Debug, Clone)]
 pub struct CatalogNews {
-    /// Where to read on.
+    /// Where to continue reading.
     pub cursor: Cursor,
-    /// The text of the newest one, where there is one since the cursor.
+    /// Text of the newest configuration, if there is a new one.
     pub catalog: Option<Bytes>,
 }
 
-/// News of the list of engines.
+/// Changes of the list of engines since a cursor.
 #[derive(Debug, Clone, Default)]
 pub struct EngineNews {
-    /// Where to read on.
+    /// Where to continue reading.
     pub cursor: Cursor,
-    /// Whether `entries` is the whole list, and not what changed.
+    /// Whether `entries` is the whole list instead of the changes.
     pub whole: bool,
-    /// The entries.
     pub entries: Vec<EngineChange>,
-    /// Entries that could not be read.
+    /// Entries that could not be parsed.
     pub malformed: Vec<Malformed>,
 }
 
-/// An entry of the list of engines, and where in the store's log it stands.
+/// An entry of the list of engines, with its position in the store's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineChange {
-    /// The place.
     pub at: Cursor,
-    /// The entry.
     pub entry: EngineEntry,
 }
 
-/// An entry of the list of engines.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineEntry {
-    /// An engine, with the time until it is gone where it leaves.
     Listed {
-        /// The engine.
         listed: Box<Listed>,
-        /// Time that is left to it.
+        /// Time until the engine stops, if it is leaving.
         left: Option<Duration>,
     },
-    /// The entry is gone.
+    /// The entry has been removed.
     Gone(EngineId),
-    /// It cannot be read.
+    /// The entry could not be parsed.
     Unreadable(EngineId),
 }
 
-/// A record of the claim's log.
+/// A record of the lease log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Its place, unique and rising.
+    /// Position in the log, unique and increasing.
     pub at: Cursor,
-    /// What it says.
     pub data: Bytes,
 }
 
-/// News of the claim's log.
+/// New records of the lease log since a cursor.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimNews {
-    /// The end of the log: where the next record goes.
+    /// End of the log, where the next record is appended.
     pub end: Cursor,
-    /// Records since the cursor.
     pub records: Vec<Record>,
 }
 
-/// What the platform's store speaks.
+/// Client of the platform's store.
 pub trait Store {
-    /// Waits for a configuration since the cursor; reads the newest one without a cursor.
+    /// Long-polls for a configuration newer than the cursor; without a cursor, reads the newest one.
     fn catalog(
         &self,
         since: Option<Cursor>,
         wait: Duration,
     ) -> LocalBoxFuture<'_, StoreResult<CatalogNews>>;
 
-    /// Reads the text of a configuration.
+    /// Parses the text of a configuration.
     fn read_catalog(&self, text: &[u8]) -> Result<Catalog, Malformed>;
 
-    /// Reads what changed in the list of engines since the cursor, or the whole list without one.
+    /// Reads the changes of the list of engines since the cursor; without a cursor, the whole list.
     fn engines(&self, since: Option<Cursor>) -> LocalBoxFuture<'_, StoreResult<EngineNews>>;
 
-    /// Waits for records of the claim's log.
+    /// Long-polls for records of the lease log.
     fn claims(
         &self,
         since: Option<Cursor>,
         wait: Duration,
     ) -> LocalBoxFuture<'_, StoreResult<ClaimNews>>;
 
-    /// Appends to the claim's log if it ends at `at`; the record stands there then.
+    /// Appends a record to the lease log at `at`, if the log ends there.
     fn claim(&self, at: Cursor, data: Bytes) -> LocalBoxFuture<'_, StoreResult<()>>;
 
-    /// Makes this node known to the others, by its name.
+    /// Registers this node under its name, for the other nodes to find.
     fn announce(&self, node: &str, data: Bytes) -> LocalBoxFuture<'_, StoreResult<()>>;
 
-    /// All nodes that made themselves known.
+    /// All registered nodes.
     fn nodes(&self) -> LocalBoxFuture<'_, StoreResult<Vec<(String, Bytes)>>>;
 
-    /// The newest era that is known.
+    /// The newest known era of the store; it increases by one each time the store is restored from a
+    /// backup.
     fn era(&self) -> Era;
 
-    /// Another node knows of this era: no answer of an earlier one counts any more.
+    /// Records an era that another node knows of; responses of earlier eras are rejected from now on.
     fn heard_of(&self, era: Era);
 }
