--- a/crates/gateway/src/quotas/fill.rs
+++ b/crates/gateway/src/quotas/fill.rs
@@ -1,4 +1,4 @@
-//! Asking for allowances ahead of need.
+//! Requests allowances ahead of need.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,36 +18,37 @@
 use super::message::{Ask, Given};
 use super::{Source, limit, now, source, with};
 
-/// Time between two looks whether there is anything to ask for.
+/// Interval between checks whether allowances are needed.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Least time between two questions, so that one asks for several requests.
+/// Shortest time between two requests for allowances, so that one covers several callers.
 const ASKS_LEAST: Duration = Duration::from_millis(10);
 
-/// The same while nothing waits.
+/// The same while no caller waits.
 const ASKS_AHEAD: Duration = Duration::from_millis(40);
 
-/// Longest wait for an answer of the issuer. Where it is late its domain goes on alone, and tells it afterwards.
+/// Timeout of requests to the issuer. After it the domain uses its own share, which it reports
+/// later.
 const PATIENCE: Duration = Duration::from_millis(150);
 
-/// The same for an answer of a head, which may ask the issuer itself, and how often in a row it may stay away before
-/// another head is asked.
+/// Timeout of requests to a hub, which may query the issuer first, and the number of timeouts in a
+/// row after which another hub is used.
 const HEAD_PATIENCE: Duration = Duration::from_millis(300);
 const HEAD_SILENT: u32 = 2;
 
-/// Time between two questions whether the issuer is back.
+/// Pause between probes of an unresponsive issuer.
 const PROBE: Duration = Duration::from_millis(150);
 
-/// Time after which the issuer hears that this node and those behind it are there, where they need nothing.
+/// Interval at which this node reports itself and the nodes behind it, if it needs no allowances.
 const SAYS_AGAIN: Millis = 400;
 
-/// Time without an answer after which a domain goes on with its own share.
+/// Time without a response after which a domain uses its own share.
 const ALONE_AFTER: Millis = 150;
 
-/// Time within which nodes must have asked to count as heard.
+/// Time since its last request within which a node behind this one is counted.
 const HEARD_WITHIN: Millis = 1_000;
 
-/// Asks for allowances ahead of need, until the process ends.
+/// Requests allowances ahead of need until the process ends.
 pub(crate) async fn keep(node: Node) {
     let mut last = Instant::now();
     let mut said = 0;
@@ -83,7 +84,7 @@
     all.filter(|(_, want)| want.most > 0.0).collect()
 }
 
-/// Fills the purses from where this node gets allowances.
+/// Requests allowances from where this node gets them.
 async fn fill(node: &Node, wants: Vec<(CustomerId, Want)>) {
     match source(node) {
         Source::Itself => {
@@ -91,7 +92,8 @@
             let asked = now();
             let rows = wants.iter().map(|(c, want)| (c.clone(), *want, 0.0)).collect();
             let given = issue(node, &Ask { from: me, of_issuer: true, nodes: 0, rows });
-            // Without it nobody else issues either, until its lease is over for all.
+            // If this node's lease is uncertain, no other node issues either until the lease has
+            // expired for all.
             if let Some(given) = given {
                 take_in(node, asked, &wants, given);
             }
@@ -110,7 +112,8 @@
     }
 }
 
-/// Asks the issuer, and tells it what was used without it; whether it answered.
+/// Requests allowances from the issuer and reports what was used without it. Returns whether it
+/// responded.
 async fn ask_issuer(node: &Node, addr: SocketAddr, wants: &[(CustomerId, Want)]) -> bool {
     let quotas = &node.quotas;
     let used = quotas.alone.borrow_mut().take_used(now());
@@ -125,7 +128,7 @@
     true
 }
 
-/// Asks the head of this node's domain.
+/// Requests allowances from the hub of this node's domain.
 async fn ask_head(node: &Node, addr: SocketAddr, wants: &[(CustomerId, Want)]) {
     let quotas = &node.quotas;
     match ask(node, addr, wants, &[], false).await {
@@ -144,7 +147,7 @@
     }
 }
 
-/// Looks whether the issuer is back, while this domain goes on alone: requests do not wait for that.
+/// Checks in the background whether an unresponsive issuer is back, so that requests need not wait for it.
 fn probe(node: &Node, addr: SocketAddr) {
     if node.quotas.probing.replace(true) {
         return;
@@ -180,7 +183,8 @@
     Some((asked, given))
 }
 
-/// Takes in the answer to a question of this time: an allowance lives from then, whatever its answer took.
+/// Adds the granted allowances. They expire relative to the time of the request, so that a slow
+/// response does not extend them.
 fn take_in(node: &Node, asked: Millis, wants: &[(CustomerId, Want)], given: Given) {
     let rows = given.rows.into_iter().map(|(customer, grants, room)| (customer, (grants, room)));
     let mut given: IndexMap<CustomerId, (Vec<Grant>, Option<Millis>)> = rows.collect();
@@ -195,7 +199,7 @@
     }
 }
 
-/// Uses this domain's own share, where the issuer has been silent for a while.
+/// Uses this domain's own share if the issuer has not responded for a while.
 fn go_on_alone(node: &Node, wants: &[(CustomerId, Want)]) {
     let now = now();
     let counted = !node.members.borrow().is_empty() || node.was_followed();
@@ -217,7 +221,7 @@
     }
 }
 
-/// Says when a domain goes on with its own share, and when the issuer is heard again.
+/// Logs when this domain starts or stops using its own share.
 fn is_alone(node: &Node, alone: bool) {
     if node.quotas.is_alone.replace(alone) != alone {
         emit(Event::LimitsAlone, &[("node", &node.settings.borrow().node), ("alone", &alone)]);
--- a/crates/gateway/src/quotas/give.rs
+++ b/crates/gateway/src/quotas/give.rs
@@ -1,4 +1,4 @@
-//! Giving allowances to nodes that ask for them.
+//! Grants allowances to other nodes.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use super::message::{Ask, Given};
 use super::{Source, Waits, limit, now, source, with};
 
-/// Longest time for which a head holds an answer back to ask for more itself.
+/// Longest time that a hub delays a response to request more itself.
 const HELD_BACK: Duration = Duration::from_millis(60);
 
-/// Gives allowances, where this node is sure that no other does.
+/// Grants allowances if this node's lease ensures that no other node issues.
 pub(super) fn issue(node: &Node, ask: &Ask) -> Option<Given> {
     let lease = node.settings.borrow().lease;
     let fence = node.holding.borrow().sure(lease)?;
@@ -39,7 +39,7 @@
     Some(given)
 }
 
-/// Goes on issuing under another claim of this node: what it gave under the one before still counts.
+/// Continues to issue under a new fencing token of this node; what was granted before still counts.
 pub(crate) fn go_on(node: &Node, before: u64, fence: u64) {
     if let Some((known, _)) = node.quotas.issuer.borrow_mut().as_mut()
         && *known == before
@@ -48,13 +48,13 @@
     }
 }
 
-/// Answers a node that asks for allowances; nothing where this one has none to give.
+/// Handles a request for allowances; `None` if this node has none to grant.
 pub(crate) async fn answer(node: &Node, body: &[u8]) -> Result<Option<Vec<u8>>, serde_json::Error> {
     let ask: Ask = serde_json::from_slice(body)?;
     let given = match source(node) {
         Source::Itself => issue(node, &ask),
         _ if ask.of_issuer => None,
-        // Two levels and no more: a head passes on what the issuer gives.
+        // A node that has a hub itself forwards nothing: there are only two levels.
         Source::Node(Parent::Head(_), _) => None,
         Source::Node(Parent::Holder, _) | Source::Nobody => Some(pass_on(node, &ask).await),
     };
@@ -78,7 +78,7 @@
     if !waits.is_empty() {
         let filled = node.quotas.filled.notified();
         node.quotas.wake.notify_one();
-        // What has come by then is given; the node asks again.
+        // Grants what has arrived by then; the node requests the rest again.
         let _ = timeout(HELD_BACK, filled).await;
     }
     drop(waits);
--- a/crates/gateway/src/quotas/message.rs
+++ b/crates/gateway/src/quotas/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say of allowances.
+//! Messages between nodes about allowances.
 
 use std::net::SocketAddr;
 
@@ -6,20 +6,22 @@
 use hgw_direct::{CustomerId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// Asks for allowances.
+/// A request for allowances.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Ask {
     pub(super) from: SocketAddr,
-    /// Whether the one that is asked is taken for the issuer: then no other answer is of use.
+    /// Whether only the issuer may answer, and not a hub.
     pub(super) of_issuer: bool,
-    /// Nodes for which it asks.
+    /// Number of nodes that the request covers.
     pub(super) nodes: u32,
-    /// What is wanted of each customer's limit, and what was used of it without the issuer.
+    /// For each customer: what is requested of its limit, and what was used of it without the
+    /// issuer.
     pub(super) rows: Vec<(CustomerId, Want, f64)>,
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Given {
-    /// What is given of each customer's limit; and where there is no more, when there will be, in milliseconds.
+    /// For each customer: what is granted, and if the limit is used up, the milliseconds until more
+    /// is available.
     pub(super) rows: Vec<(CustomerId, Vec<Grant>, Option<Millis>)>,
 }
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -1,8 +1,5 @@
-//! What customers may use, as this node has it.
-//!
-//! Requests take what they need from allowances that lapse; one task asks for more ahead of need. The keeper issues
-//! them, heads pass them on to their domains, and where the keeper is silent a domain goes on with its share. How much
-//! that is, and why no sum exceeds a limit, is decided in `hgw_direct::quota`.
+//! Customer quotas on this node: requests use up allowances that expire, and a task requests more
+//! from the issuer ahead of need.
 
 mod fill;
 mod give;
@@ -26,29 +23,29 @@
 pub(crate) use fill::keep;
 pub(crate) use give::{answer, go_on};
 
-/// Longest time for which a request waits for an allowance.
+/// Longest time that a request waits for an allowance.
 const LONGEST_WAIT: Duration = Duration::from_millis(250);
 
-/// When a caller comes back whose customer has used all it may, at least and at most.
+/// Bounds of the retry delay for a customer that has used up its limit.
 const COME_BACK_LEAST: Duration = Duration::from_millis(300);
 const COME_BACK_MOST: Duration = Duration::from_secs(4);
 
-/// The same where nobody tells what it may use.
+/// Retry delay while no issuer responds.
 const NO_WORD: Duration = Duration::from_millis(400);
 
-/// What a node knows of what customers use.
+/// The allowances of customers on this node, and those that it issues.
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     accounts: RefCell<IndexMap<CustomerId, Account>>,
-    /// While this node issues, and under which claim.
+    /// Fencing token of the lease under which this node issues, and the issuer.
     issuer: RefCell<Option<(u64, Issuer)>>,
     alone: RefCell<Alone>,
-    /// When the issuer last answered, itself or through a head.
+    /// When the issuer last responded, directly or through a hub.
     answered: Cell<Millis>,
     is_alone: Cell<bool>,
-    /// Whether this node is looking whether the issuer is back.
+    /// Whether a probe of an unresponsive issuer is running.
     probing: Cell<bool>,
-    /// Questions in a row that a head did not answer.
+    /// Requests in a row that the hub did not answer.
     unanswered: Cell<u32>,
     wake: Notify,
     filled: Notify,
@@ -57,23 +54,24 @@
 /// Why a request gets no allowance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum NoAllowance {
-    /// Its customer has used what it may; there is room again after this time.
+    /// The customer has used up its limit; more is available after this time.
     OverLimit(Duration),
-    /// Nobody tells.
+    /// No issuer responded in time.
     NoWord(Duration),
 }
 
-/// What a request took of its customer's limit; given back where it does not run.
+/// The charge of a request to its customer's limit; refunded on drop unless an engine may have
+/// executed the request.
 pub(crate) struct Spent {
     node: Node,
     customer: CustomerId,
     lots: Vec<Lot>,
-    /// Whether an engine may run the request, or did.
+    /// Whether an engine may have executed the request.
     used: Cell<bool>,
 }
 
 impl Spent {
-    /// An engine may run the request from now on, or says that it has not and will not.
+    /// Records whether an engine may have executed the request.
     pub(crate) fn is_used(&self, used: bool) {
         self.used.set(used);
     }
@@ -90,12 +88,12 @@
     }
 }
 
-/// Time by the clock that counts what the machine was suspended for: an allowance lapses meanwhile.
+/// Time by the boot clock: allowances also expire while the machine is suspended.
 fn now() -> Millis {
     boot_time().as_millis() as Millis
 }
 
-/// The limit of a customer, and what a request that tells so many tokens takes of it.
+/// The limit of a customer, and what a request with so many tokens costs.
 fn limit(node: &Node, customer: &CustomerId, tokens: Option<u64>) -> Option<(Terms, f64)> {
     let state = node.state.borrow();
     let quota = state.catalog.as_ref()?.customers.as_ref()?.get(customer)?.quota?;
@@ -103,7 +101,7 @@
     Some((terms, quota.unit.of(tokens)))
 }
 
-/// Takes what a request needs of its customer's limit; nothing where that has none.
+/// Charges a request to its customer's limit; `None` if the customer has none.
 pub(crate) async fn spend(
     node: &Node,
     customer: &CustomerId,
@@ -137,7 +135,7 @@
         let waiting = Waiting { most: cost, least: cost };
         with(node, customer, |account| account.wait(waiting));
         quotas.wake.notify_one();
-        // Dropped here or run out: what waits is told by the guard.
+        // A guard, so that the wait also ends if this future is dropped.
         let waits = Waits { node, customer, waiting };
         let _ = timeout_at(until, filled).await;
         drop(waits);
@@ -165,13 +163,13 @@
     look(accounts.entry(customer.clone()).or_default())
 }
 
-/// Whom this node asks.
+/// Where this node gets its allowances.
 enum Source {
-    /// It issues itself.
+    /// This node is the issuer.
     Itself,
-    /// The issuer, or the head of its domain.
+    /// The issuer, or the hub of this node's domain.
     Node(Parent, SocketAddr),
-    /// Nobody is known.
+    /// No issuer and no hub is known.
     Nobody,
 }
 
