--- a/crates/gateway/src/proof.rs
+++ b/crates/gateway/src/proof.rs
@@ -14,7 +14,7 @@
 /// fail before callers are refused.
 const ASKS_FROM: f64 = 0.5;
 
-/// The same for a node whose domain has a head, which usually delivers a newer result first. The
+/// The same for a node whose domain has a hub, which usually delivers a newer result first. The
 /// nodes of a domain are spread over a further share, as the first response serves all nodes that
 /// query the same node.
 const ASKS_FROM_BEHIND: f64 = 0.65;
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -15,8 +15,8 @@
 use super::request::Relayed;
 
 /// Silence on all connections to an engine, while a request waits there, after which the engine
-/// counts as unresponsive. A full engine is silent while it prefills several long prompts; callers
-/// abandon a silent stream after two seconds.
+/// counts as unresponsive. A full engine sends nothing while it prefills several long prompts; callers
+/// abandon a stalled stream after two seconds.
 const DARK_AFTER: Duration = Duration::from_millis(600);
 
 /// The same when this node has few requests there: their own pauses say little about the engine.
@@ -54,7 +54,7 @@
     NotRun,
     /// There is no usable response; the engine may have executed the request.
     Lost,
-    /// The engine went silent; a retry has been taken from the retry budget.
+    /// The engine became unresponsive; a retry has been taken from the retry budget.
     Stalled,
     /// The deadline has passed; the engine may have executed the request.
     TimeOver,
@@ -79,7 +79,7 @@
 /// Outcome of waiting for an engine.
 pub(super) enum Waited<T> {
     Done(T),
-    /// The engine is silent; a retry has been taken from the retry budget.
+    /// The engine is unresponsive; a retry has been taken from the retry budget.
     Stalled,
     /// The engine has restarted, which ended its earlier requests.
     StartedAnew,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Records that an engine is unreachable or silent, and tells the other nodes.
+    /// Records that an engine is unreachable or unresponsive, and reports it to the other nodes.
     pub(super) fn lost(&self, engine: &EngineId) {
         self.node.saw(engine, Verdict::Silent);
         self.node.broke(engine);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Waits for the first byte. Gives up early on a silent engine if the request may be sent to
+    /// Waits for the first byte. Gives up early on an unresponsive engine if the request may be sent to
     /// another one.
     async fn watched<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
         if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.attempts {
--- a/crates/gateway/src/relay/plain.rs
+++ b/crates/gateway/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Responses that are buffered and returned whole.
+//! Responses that are buffered and returned at once.
 
 use hgw_direct::{NoEngine, Verdict};
 use hgw_http1::Body;
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -229,13 +229,13 @@
                     }
                 }
                 Ok(Placement::Coming(ms)) => {
-                    // It will not be loaded in time: the caller is told when to retry.
+                    // It will not be loaded in time: the response says when to retry.
                     let wait = Duration::from_millis(ms);
                     if Instant::now() + wait > give_up {
                         return Err(NoEngine::NotPlaced(wait));
                     }
                 }
-                // This node reaches neither the engines that have the model nor the keeper;
+                // This node reaches neither the engines that have the model nor the leader;
                 // another node may.
                 Ok(Placement::Unknown) if self.is_out_of_reach() => return found,
                 Ok(Placement::Unknown) => {}
@@ -286,7 +286,7 @@
             && holders.all(|e| e.judge.is_dark(now))
     }
 
-    /// Waits briefly for the keeper's updates about engines. Querying it after each change would
+    /// Waits briefly for the leader's updates about engines. Querying it after each change would
     /// cost many more queries than there are requests.
     async fn until_placed(&self, give_up: Instant) -> Option<Choice> {
         let until = give_up.min(Instant::now() + PLACED_CHECK);
