--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -35,12 +35,12 @@
 }
 
 /// Builds a JSON error response of this node's own.
-pub(crate) fn own(status: StatusCode, text: &str) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(format!("{{\"error\":\"{text}\"}}")));
-    *answer.status_mut() = status;
+pub(crate) fn own(status: StatusCode, message: &str) -> Answer {
+    let mut response = Response::new(AnswerBody::whole(format!("{{\"error\":\"{message}\"}}")));
+    *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(http::header::CONTENT_TYPE, json);
+    response
 }
 
 impl Body for AnswerBody {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -19,10 +19,10 @@
 
 /// Pause after a failed `accept`: without it the loop would spin while the process is out of file
 /// descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Interval between checks for an idle connection.
-const IDLE_CHECK: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Accepts connections until the process ends.
 pub(crate) async fn serve(node: Node, listener: TcpListener) {
@@ -30,78 +30,83 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(_) => {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let open = node.stop.connections.get();
         // Above the limit, file descriptors are kept for connections to engines; the load balancer
         // retries at another node.
-        if open >= node.settings.borrow().connections || listen::prepare(&stream).is_err() {
+        if open >= node.settings.borrow().connections
+            || listen::set_socket_options(&stream).is_err()
+        {
             continue;
         }
         node.stop.connections.set(open + 1);
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
             let stop = &node.stop;
-            connection(&node, stream).await;
+            serve_connection(&node, stream).await;
             stop.connections.set(stop.connections.get() - 1);
         });
     }
 }
 
 /// Activity on a connection.
-struct Use {
-    requests: Cell<u32>,
-    since: Cell<Millis>,
+struct ConnectionActivity {
+    open_requests: Cell<u32>,
+    last_active: Cell<Millis>,
 }
 
-async fn connection(node: &Node, stream: TcpStream) {
-    let usage = Rc::new(Use { requests: Cell::new(0), since: Cell::new(node.now()) });
-    let service = service_fn(|req| answer(Rc::clone(node), Rc::clone(&usage), req));
-    let limit = node.state.borrow().catalog.as_ref().map_or(16 << 10, |c| c.limits.head);
+async fn serve_connection(node: &Node, stream: TcpStream) {
+    let activity = Rc::new(ConnectionActivity {
+        open_requests: Cell::new(0),
+        last_active: Cell::new(node.now()),
+    });
+    let service = service_fn(|req| handle(Rc::clone(node), Rc::clone(&activity), req));
+    let max_head = node.state.borrow().catalog.as_ref().map_or(16 << 10, |c| c.limits.head);
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(limit.max(16 << 10))
+        .max_buf_size(max_head.max(16 << 10))
         .serve_connection(TokioIo::new(stream), service);
     let mut conn = std::pin::pin!(conn);
-    let mut told = false;
+    let mut is_shutting_down = false;
     loop {
         tokio::select! {
             // The connection has ended; an error of the caller needs no handling.
             _ = conn.as_mut() => return,
-            () = tokio::time::sleep(IDLE_CHECK) => {}
+            () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {}
             () = node.stop.changed.notified() => {}
         }
-        let idle = node.now().saturating_sub(usage.since.get());
-        let longest = node.state.borrow().catalog.as_ref().map(|c| c.limits.idle);
-        let longest = longest.unwrap_or(Duration::from_secs(60)).as_millis() as Millis;
-        let unused = usage.requests.get() == 0 && idle > longest;
-        if !told && (unused || node.stop.closing.get()) {
-            told = true;
+        let idle = node.now().saturating_sub(activity.last_active.get());
+        let idle_timeout = node.state.borrow().catalog.as_ref().map(|c| c.limits.idle);
+        let idle_timeout = idle_timeout.unwrap_or(Duration::from_secs(60)).as_millis() as Millis;
+        let is_idle = activity.open_requests.get() == 0 && idle > idle_timeout;
+        if !is_shutting_down && (is_idle || node.stop.closing.get()) {
+            is_shutting_down = true;
             conn.as_mut().graceful_shutdown();
         }
     }
 }
 
 /// Counts a request as in progress until its response head is returned.
-struct Counted(Rc<Use>, Node);
+struct OpenRequest(Rc<ConnectionActivity>, Node);
 
-impl Drop for Counted {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.requests.set(self.0.requests.get() - 1);
-        self.0.since.set(self.1.now());
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
+        self.0.last_active.set(self.1.now());
     }
 }
 
-async fn answer(node: Node, usage: Rc<Use>, req: Request<Incoming>) -> Answered {
-    usage.requests.set(usage.requests.get() + 1);
-    let counted = Counted(usage, Rc::clone(&node));
-    let mut answer = relay::answer(&node, req).await;
+async fn handle(node: Node, activity: Rc<ConnectionActivity>, req: Request<Incoming>) -> Answered {
+    activity.open_requests.set(activity.open_requests.get() + 1);
+    let open_request = OpenRequest(activity, Rc::clone(&node));
+    let mut response = relay::answer(&node, req).await;
     if node.sends_away() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    drop(counted);
-    Ok(answer)
+    drop(open_request);
+    Ok(response)
 }
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -23,7 +23,7 @@
 
 /// TCP user timeout: without it, a caller that has become unreachable would be served until its
 /// request ends.
-const UNACKED: Duration = Duration::from_secs(5);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(crate) fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
@@ -36,38 +36,38 @@
 }
 
 /// Pause after a failed `accept`, so that the loop does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves a listener that is not for callers, until the process ends.
-pub(crate) async fn serve<A, F>(node: Node, listener: TcpListener, answer: A)
+pub(crate) async fn serve<H, F>(node: Node, listener: TcpListener, handler: H)
 where
-    A: Fn(Node, Request<Incoming>) -> F + Clone + 'static,
+    H: Fn(Node, Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Answered> + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if prepare(&stream).is_err() {
+        if set_socket_options(&stream).is_err() {
             continue;
         }
-        let (node, answer) = (Rc::clone(&node), answer.clone());
+        let (node, handler) = (Rc::clone(&node), handler.clone());
         tokio::task::spawn_local(async move {
-            let service = service_fn(|req| answer(Rc::clone(&node), req));
+            let service = service_fn(|req| handler(Rc::clone(&node), req));
             // The client retries after a broken connection.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-pub(crate) fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKED))?;
-    let keep_alive = TcpKeepalive::new()
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
         .with_time(Duration::from_secs(3))
         .with_interval(Duration::from_secs(1))
         .with_retries(3);
-    socket.set_tcp_keepalive(&keep_alive)
+    socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -11,11 +11,12 @@
 use crate::shared::Shared;
 
 /// Upper bounds of the latency buckets in seconds, around the usual objectives and deadlines.
-const LATENCIES: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 20.0];
+const LATENCY_BUCKETS_S: [f64; 12] =
+    [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 20.0];
 
 /// Installs the recorder of the process; `None` if the program has installed its own.
 pub(crate) fn recorder() -> Option<PrometheusHandle> {
-    let builder = PrometheusBuilder::new().set_buckets(&LATENCIES).ok()?;
+    let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS_S).ok()?;
     builder.install_recorder().ok()
 }
 
@@ -31,37 +32,37 @@
 }
 
 /// Records the time a request waited for engines to prefill other prompts.
-pub(crate) fn waited(route: &Route, time: Duration) {
-    histogram!("hgw_waited_seconds", "route" => route.name.clone()).record(time.as_secs_f64());
+pub(crate) fn prefill_wait(route: &Route, wait: Duration) {
+    histogram!("hgw_waited_seconds", "route" => route.name.clone()).record(wait.as_secs_f64());
 }
 
-pub(crate) fn refused(route: &Route, why: Refusal) {
-    let (route, why) = (route.name.clone(), why.to_string());
-    counter!("hgw_requests_total", "route" => route, "outcome" => "refused", "reason" => why)
+pub(crate) fn refused(route: &Route, reason: Refusal) {
+    let (route, reason) = (route.name.clone(), reason.to_string());
+    counter!("hgw_requests_total", "route" => route, "outcome" => "refused", "reason" => reason)
         .increment(1);
 }
 
 /// Counts a request without an allowance. Customers come from the configuration, which bounds the
 /// number of label values.
-pub(crate) fn limited(customer: &str, why: Refusal) {
-    let (customer, why) = (customer.to_owned(), why.to_string());
-    counter!("hgw_limited_total", "customer" => customer, "reason" => why).increment(1);
+pub(crate) fn quota_refused(customer: &str, reason: Refusal) {
+    let (customer, reason) = (customer.to_owned(), reason.to_string());
+    counter!("hgw_limited_total", "customer" => customer, "reason" => reason).increment(1);
 }
 
-pub(crate) fn failed(route: &Route, why: &str) {
-    let (route, why) = (route.name.clone(), why.to_owned());
-    counter!("hgw_requests_total", "route" => route, "outcome" => "failed", "reason" => why)
+pub(crate) fn failed(route: &Route, reason: &str) {
+    let (route, reason) = (route.name.clone(), reason.to_owned());
+    counter!("hgw_requests_total", "route" => route, "outcome" => "failed", "reason" => reason)
         .increment(1);
 }
 
-pub(crate) fn left(route: &Route) {
+pub(crate) fn caller_left(route: &Route) {
     let route = route.name.clone();
     counter!("hgw_requests_total", "route" => route, "outcome" => "left", "reason" => "the caller left")
         .increment(1);
 }
 
-pub(crate) fn try_failed(why: &'static str) {
-    counter!("hgw_tries_failed_total", "reason" => why).increment(1);
+pub(crate) fn attempt_failed(reason: &'static str) {
+    counter!("hgw_tries_failed_total", "reason" => reason).increment(1);
 }
 
 pub(crate) fn word_lost() {
@@ -72,7 +73,7 @@
     counter!("hgw_orders_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-pub(crate) fn store_call(what: &'static str, result: Result<(), &StoreError>) {
+pub(crate) fn store_call(call: &'static str, result: Result<(), &StoreError>) {
     let result = match result {
         Ok(()) => "ok",
         Err(StoreError::Refused { .. }) => "refused",
@@ -83,7 +84,7 @@
         Err(StoreError::Outdated { .. }) => "outdated",
         Err(StoreError::NewEra { .. }) => "new_era",
     };
-    counter!("hgw_store_calls_total", "what" => what, "result" => result).increment(1);
+    counter!("hgw_store_calls_total", "what" => call, "result" => result).increment(1);
 }
 
 pub(crate) fn beliefs(node: &Shared) {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -9,27 +9,26 @@
 
 /// An idle connection is not reused if it may be closed within this time: the close could cross the
 /// request on the wire.
-const MARGIN: Duration = Duration::from_millis(500);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(500);
 
-/// Idle connections that are kept for each address.
-const MOST_KEPT: usize = 64;
+const MAX_IDLE_PER_ADDR: usize = 64;
 
 /// Idle time after which a connection is not reused: its path may have failed unnoticed.
-const TRUSTED_FOR: Duration = Duration::from_secs(4);
+const MAX_IDLE: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    kept: RefCell<IndexMap<SocketAddr, Vec<Conn>>>,
+    idle: RefCell<IndexMap<SocketAddr, Vec<Conn>>>,
 }
 
 impl Pool {
     /// Returns the most recently used idle connection, so that the others reach their idle time and
     /// are closed.
     pub(crate) fn take(&self, addr: SocketAddr) -> Option<Conn> {
-        let mut kept = self.kept.borrow_mut();
-        let conns = kept.get_mut(&addr)?;
+        let mut idle = self.idle.borrow_mut();
+        let conns = idle.get_mut(&addr)?;
         while let Some(mut conn) = conns.pop() {
-            if conn.idle_since().elapsed() < TRUSTED_FOR && conn.is_usable(MARGIN) {
+            if conn.idle_since().elapsed() < MAX_IDLE && conn.is_usable(EXPIRY_MARGIN) {
                 return Some(conn);
             }
         }
@@ -46,32 +45,32 @@
 
     /// Returns a connection to the pool once its response has been read completely.
     pub(crate) fn put(&self, addr: SocketAddr, mut conn: Conn) {
-        if !conn.is_usable(MARGIN) {
+        if !conn.is_usable(EXPIRY_MARGIN) {
             return;
         }
-        let mut kept = self.kept.borrow_mut();
-        let conns = kept.entry(addr).or_default();
-        if conns.len() < MOST_KEPT {
+        let mut idle = self.idle.borrow_mut();
+        let conns = idle.entry(addr).or_default();
+        if conns.len() < MAX_IDLE_PER_ADDR {
             conns.push(conn);
         }
     }
 
     /// Closes all idle connections to an address.
     pub(crate) fn forget(&self, addr: SocketAddr) {
-        self.kept.borrow_mut().shift_remove(&addr);
+        self.idle.borrow_mut().shift_remove(&addr);
     }
 
     /// Closes idle connections that are not reused any more.
     pub(crate) fn sweep(&self) {
-        let mut kept = self.kept.borrow_mut();
-        for conns in kept.values_mut() {
-            conns.retain_mut(|c| c.idle_since().elapsed() < TRUSTED_FOR && c.is_usable(MARGIN));
+        let mut idle = self.idle.borrow_mut();
+        for conns in idle.values_mut() {
+            conns.retain_mut(|c| c.idle_since().elapsed() < MAX_IDLE && c.is_usable(EXPIRY_MARGIN));
         }
-        kept.retain(|_, conns| !conns.is_empty());
+        idle.retain(|_, conns| !conns.is_empty());
     }
 
     /// Closes all idle connections: after a suspension of the machine none can be trusted.
     pub(crate) fn clear(&self) {
-        self.kept.borrow_mut().clear();
+        self.idle.borrow_mut().clear();
     }
 }
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -212,7 +212,7 @@
         let began = Instant::now();
         if self.until_read().await {
             self.waited += began.elapsed();
-            meter::waited(&self.route, self.waited);
+            meter::prefill_wait(&self.route, self.waited);
         }
         let longest = (self.route.objective * PATIENT_OBJECTIVES).max(PATIENT_LEAST);
         let give_up = Instant::now() + self.left().mul_f64(WAIT_SHARE).min(longest);
@@ -262,7 +262,7 @@
             return false;
         }
         let Some(wanted) = self.wanted() else { return false };
-        let turn = Turn::wait(&self.node, &wanted.model, self.route.priority);
+        let turn = Turn::enqueue(&self.node, &wanted.model, self.route.priority);
         loop {
             let read = self.node.turns.next.notified();
             if turn.is_first() && !reads(self.choose_at(until)) {
--- a/crates/gateway/src/relay/told.rs
+++ b/crates/gateway/src/relay/told.rs
@@ -20,7 +20,7 @@
     }
 
     pub(super) fn try_failed(&self, engine: &EngineId, why: &'static str, took: Duration) {
-        meter::try_failed(why);
+        meter::attempt_failed(why);
         let estimate = self.node.engine(engine, |e| e.estimate(self.node.now()));
         emit(
             Event::TryFailed,
@@ -82,7 +82,7 @@
 
     /// Logs that the caller left before the response was complete.
     pub(super) fn caller_left(&self) {
-        meter::left(&self.route);
+        meter::caller_left(&self.route);
         let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
         let upstream = self.tried.last().map(EngineId::to_string).unwrap_or_default();
         emit(
@@ -135,7 +135,7 @@
         self.told.set(true);
         meter::refused(&self.route, why);
         if matches!(why, Refusal::OverLimit | Refusal::NoAllowance) {
-            meter::limited(self.customer(), why);
+            meter::quota_refused(self.customer(), why);
         }
         let held = self.arrived.elapsed().as_millis();
         let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -12,7 +12,7 @@
 pub(crate) struct Turns {
     /// Model and priority by arrival number.
     waiting: RefCell<IndexMap<u64, (String, u8)>>,
-    last: Cell<u64>,
+    last_number: Cell<u64>,
     /// Notified when an engine has prefilled a prompt or a request has left the queue.
     pub(crate) next: Notify,
 }
@@ -25,9 +25,9 @@
 }
 
 impl Turn {
-    pub(crate) fn wait(node: &Node, model: &str, priority: u8) -> Turn {
-        let number = node.turns.last.get() + 1;
-        node.turns.last.set(number);
+    pub(crate) fn enqueue(node: &Node, model: &str, priority: u8) -> Turn {
+        let number = node.turns.last_number.get() + 1;
+        node.turns.last_number.set(number);
         node.turns.waiting.borrow_mut().insert(number, (model.to_owned(), priority));
         Turn { node: Rc::clone(node), number }
     }
