--- /dev/null
+++ b/crates/gateway/src/quotas/grant.rs
@@ -0,0 +1,111 @@
+//! Grants allowances to other nodes.
+
+use std::time::Duration;
+
+use hgw_direct::heads::Parent;
+use hgw_direct::quota::{Grant, Issuer, Lot, Waiting};
+use tokio::time::timeout;
+
+use crate::shared::Node;
+
+use super::message::{GrantRequest, GrantResponse};
+use super::{AllowanceSource, WaitGuard, allowance_source, boot_now, customer_quota, with_account};
+
+/// Longest time that a hub delays a response to request more itself.
+const MAX_HUB_DELAY: Duration = Duration::from_millis(60);
+
+/// Grants allowances if this node's lease ensures that no other node issues.
+pub(super) fn issue(node: &Node, request: &GrantRequest) -> Option<GrantResponse> {
+    let lease = node.settings.borrow().lease;
+    let fence = node.holding.borrow().sure(lease)?;
+    let (now, nodes) = (boot_now(), node.state.borrow().nodes);
+    let mut issuer = node.quotas.issuer.borrow_mut();
+    if issuer.as_ref().is_none_or(|(current, _)| *current != fence) {
+        *issuer = Some((fence, Issuer::begin(now)));
+    }
+    let (_, issuer) = issuer.as_mut()?;
+    if request.nodes > 0 {
+        issuer.hear(request.from, request.nodes, now);
+    }
+    let silent_share = issuer.silent_share(nodes, now);
+    let mut response = GrantResponse::default();
+    for (customer, requested, fallback_usage) in &request.rows {
+        let Some((params, _)) = customer_quota(node, customer, None) else { continue };
+        let max_share = Issuer::part_of(request.nodes, nodes);
+        let issued = issuer.give(
+            request.from,
+            customer,
+            &params,
+            requested,
+            (*fallback_usage, silent_share, max_share),
+            now,
+        );
+        let grant = Grant { amount: issued.amount, for_ms: params.life() };
+        response.rows.push((customer.clone(), vec![grant], issued.room_in));
+    }
+    Some(response)
+}
+
+/// Continues to issue under a new fencing token of this node; what was granted before still counts.
+pub(crate) fn go_on(node: &Node, old_fence: u64, fence: u64) {
+    if let Some((current, _)) = node.quotas.issuer.borrow_mut().as_mut()
+        && *current == old_fence
+    {
+        *current = fence;
+    }
+}
+
+/// Handles a request for allowances; `None` if this node has none to grant.
+pub(crate) async fn answer(node: &Node, body: &[u8]) -> Result<Option<Vec<u8>>, serde_json::Error> {
+    let request: GrantRequest = serde_json::from_slice(body)?;
+    let response = match allowance_source(node) {
+        AllowanceSource::Issuer => issue(node, &request),
+        _ if request.issuer_only => None,
+        // A node that has a hub itself forwards nothing: there are only two levels.
+        AllowanceSource::Node(Parent::Head(_), _) => None,
+        AllowanceSource::Node(Parent::Holder, _) | AllowanceSource::None => {
+            Some(forward(node, &request).await)
+        }
+    };
+    response.map(|response| serde_json::to_vec(&response)).transpose()
+}
+
+async fn forward(node: &Node, request: &GrantRequest) -> GrantResponse {
+    let mut waiters = Vec::new();
+    for (customer, requested, _) in &request.rows {
+        let is_short = with_account(node, customer, |account| {
+            account.count_want(boot_now(), requested);
+            let is_short = requested.most > account.purse.balance(boot_now());
+            is_short && account.room_in(boot_now()).is_none()
+        });
+        if is_short {
+            let waiter = Waiting { most: requested.most, least: requested.least };
+            with_account(node, customer, |account| account.wait(waiter));
+            waiters.push(WaitGuard { node, customer, waiter });
+        }
+    }
+    if !waiters.is_empty() {
+        let refilled = node.quotas.refilled.notified();
+        node.quotas.refill_needed.notify_one();
+        // Grants what has arrived by then; the node requests the rest again.
+        let _ = timeout(MAX_HUB_DELAY, refilled).await;
+    }
+    drop(waiters);
+    let mut response = GrantResponse::default();
+    for (customer, requested, _) in &request.rows {
+        let now = boot_now();
+        let (allowances, available_in) = with_account(node, customer, |account| {
+            let balance = account.purse.balance(now);
+            let allowances = account.purse.take(now, requested.of(balance));
+            (allowances, account.room_in(now))
+        });
+        let grant = |allowance: Lot| Grant {
+            amount: allowance.amount,
+            for_ms: allowance.until.saturating_sub(now),
+        };
+        let grants: Vec<Grant> = allowances.into_iter().map(grant).collect();
+        response.rows.push((customer.clone(), grants, available_in));
+    }
+    node.quotas.refill_needed.notify_one();
+    response
+}
--- a/crates/gateway/src/quotas/message.rs
+++ b/crates/gateway/src/quotas/message.rs
@@ -8,10 +8,11 @@
 
 /// A request for allowances.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Ask {
+pub(super) struct GrantRequest {
     pub(super) from: SocketAddr,
     /// Whether only the issuer may answer, and not a hub.
-    pub(super) of_issuer: bool,
+    #[serde(rename = "of_issuer")]
+    pub(super) issuer_only: bool,
     /// Number of nodes that the request covers.
     pub(super) nodes: u32,
     /// For each customer: what is requested of its limit, and what was used of it without the
@@ -20,7 +21,7 @@
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(super) struct Given {
+pub(super) struct GrantResponse {
     /// For each customer: what is granted, and if the limit is used up, the milliseconds until more
     /// is available.
     pub(super) rows: Vec<(CustomerId, Vec<Grant>, Option<Millis>)>,
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -1,9 +1,9 @@
 //! Customer quotas on this node: requests use up allowances that expire, and a task requests more
 //! from the issuer ahead of need.
 
-mod fill;
-mod give;
+mod grant;
 mod message;
+mod refill;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,18 +20,18 @@
 use crate::clock::boot_time;
 use crate::shared::Node;
 
-pub(crate) use fill::keep;
-pub(crate) use give::{answer, go_on};
+pub(crate) use grant::{answer, go_on};
+pub(crate) use refill::keep;
 
 /// Longest time that a request waits for an allowance.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+const MAX_ALLOWANCE_WAIT: Duration = Duration::from_millis(250);
 
 /// Bounds of the retry delay for a customer that has used up its limit.
-const COME_BACK_LEAST: Duration = Duration::from_millis(300);
-const COME_BACK_MOST: Duration = Duration::from_secs(4);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 
 /// Retry delay while no issuer responds.
-const NO_WORD: Duration = Duration::from_millis(400);
+const NO_ISSUER_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// The allowances of customers on this node, and those that it issues.
 #[derive(Debug, Default)]
@@ -39,143 +39,145 @@
     accounts: RefCell<IndexMap<CustomerId, Account>>,
     /// Fencing token of the lease under which this node issues, and the issuer.
     issuer: RefCell<Option<(u64, Issuer)>>,
-    alone: RefCell<Alone>,
+    fallback: RefCell<Alone>,
     /// When the issuer last responded, directly or through a hub.
-    answered: Cell<Millis>,
-    is_alone: Cell<bool>,
+    last_response_at: Cell<Millis>,
+    uses_fallback: Cell<bool>,
     /// Whether a probe of an unresponsive issuer is running.
-    probing: Cell<bool>,
+    is_probing: Cell<bool>,
     /// Requests in a row that the hub did not answer.
-    unanswered: Cell<u32>,
-    wake: Notify,
-    filled: Notify,
+    hub_timeouts: Cell<u32>,
+    refill_needed: Notify,
+    refilled: Notify,
 }
 
 /// Why a request gets no allowance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum NoAllowance {
     /// The customer has used up its limit; more is available after this time.
-    OverLimit(Duration),
+    QuotaExceeded(Duration),
     /// No issuer responded in time.
-    NoWord(Duration),
+    NoResponse(Duration),
 }
 
 /// The charge of a request to its customer's limit; refunded on drop unless an engine may have
 /// executed the request.
-pub(crate) struct Spent {
+pub(crate) struct Charge {
     node: Node,
     customer: CustomerId,
-    lots: Vec<Lot>,
+    allowances: Vec<Lot>,
     /// Whether an engine may have executed the request.
-    used: Cell<bool>,
+    may_have_run: Cell<bool>,
 }
 
-impl Spent {
+impl Charge {
     /// Records whether an engine may have executed the request.
-    pub(crate) fn is_used(&self, used: bool) {
-        self.used.set(used);
+    pub(crate) fn set_may_have_run(&self, may_have_run: bool) {
+        self.may_have_run.set(may_have_run);
     }
 }
 
-impl Drop for Spent {
+impl Drop for Charge {
     fn drop(&mut self) {
-        if self.used.get() {
+        if self.may_have_run.get() {
             return;
         }
         let mut accounts = self.node.quotas.accounts.borrow_mut();
         let account = accounts.entry(self.customer.clone()).or_default();
-        self.lots.drain(..).for_each(|lot| account.purse.add(lot));
+        self.allowances.drain(..).for_each(|allowance| account.purse.add(allowance));
     }
 }
 
 /// Time by the boot clock: allowances also expire while the machine is suspended.
-fn now() -> Millis {
+fn boot_now() -> Millis {
     boot_time().as_millis() as Millis
 }
 
 /// The limit of a customer, and what a request with so many tokens costs.
-fn limit(node: &Node, customer: &CustomerId, tokens: Option<u64>) -> Option<(Terms, f64)> {
+fn customer_quota(node: &Node, customer: &CustomerId, tokens: Option<u64>) -> Option<(Terms, f64)> {
     let state = node.state.borrow();
     let quota = state.catalog.as_ref()?.customers.as_ref()?.get(customer)?.quota?;
-    let terms = Terms::of(quota, &node.settings.borrow().quotas);
-    Some((terms, quota.unit.of(tokens)))
+    let params = Terms::of(quota, &node.settings.borrow().quotas);
+    Some((params, quota.unit.of(tokens)))
 }
 
 /// Charges a request to its customer's limit; `None` if the customer has none.
-pub(crate) async fn spend(
+pub(crate) async fn charge(
     node: &Node,
     customer: &CustomerId,
     tokens: Option<u64>,
-    longest: Duration,
-) -> Result<Option<Spent>, NoAllowance> {
-    let Some((_, cost)) = limit(node, customer, tokens) else { return Ok(None) };
-    let until = Instant::now() + longest.min(LONGEST_WAIT);
+    max_wait: Duration,
+) -> Result<Option<Charge>, NoAllowance> {
+    let Some((_, cost)) = customer_quota(node, customer, tokens) else { return Ok(None) };
+    let until = Instant::now() + max_wait.min(MAX_ALLOWANCE_WAIT);
     let quotas = &node.quotas;
-    with(node, customer, |account| account.count(now(), cost));
+    with_account(node, customer, |account| account.count(boot_now(), cost));
     loop {
-        let filled = quotas.filled.notified();
-        let (spent, low, short) = with(node, customer, |account| {
-            let spent = account.purse.spend(now(), cost);
-            (spent, account.is_low(now()), account.room_in(now()))
+        let refilled = quotas.refilled.notified();
+        let (taken, needs_refill, available_in) = with_account(node, customer, |account| {
+            let taken = account.purse.spend(boot_now(), cost);
+            (taken, account.is_low(boot_now()), account.room_in(boot_now()))
         });
-        if low {
-            quotas.wake.notify_one();
+        if needs_refill {
+            quotas.refill_needed.notify_one();
         }
-        if let Some(lots) = spent {
+        if let Some(allowances) = taken {
             let (node, customer) = (Rc::clone(node), customer.clone());
-            return Ok(Some(Spent { node, customer, lots, used: Cell::new(false) }));
+            return Ok(Some(Charge { node, customer, allowances, may_have_run: Cell::new(false) }));
         }
-        if let Some(room_in) = short {
-            let wait = Duration::from_millis(room_in).clamp(COME_BACK_LEAST, COME_BACK_MOST);
-            return Err(NoAllowance::OverLimit(wait));
+        if let Some(available_in) = available_in {
+            let retry_after =
+                Duration::from_millis(available_in).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+            return Err(NoAllowance::QuotaExceeded(retry_after));
         }
         if Instant::now() >= until {
-            return Err(NoAllowance::NoWord(NO_WORD));
+            return Err(NoAllowance::NoResponse(NO_ISSUER_RETRY_AFTER));
         }
-        let waiting = Waiting { most: cost, least: cost };
-        with(node, customer, |account| account.wait(waiting));
-        quotas.wake.notify_one();
+        let waiter = Waiting { most: cost, least: cost };
+        with_account(node, customer, |account| account.wait(waiter));
+        quotas.refill_needed.notify_one();
         // A guard, so that the wait also ends if this future is dropped.
-        let waits = Waits { node, customer, waiting };
-        let _ = timeout_at(until, filled).await;
-        drop(waits);
+        let guard = WaitGuard { node, customer, waiter };
+        let _ = timeout_at(until, refilled).await;
+        drop(guard);
     }
 }
 
 /// A request that waits for an allowance, until this is dropped.
-struct Waits<'a> {
+struct WaitGuard<'a> {
     node: &'a Node,
     customer: &'a CustomerId,
-    waiting: Waiting,
+    waiter: Waiting,
 }
 
-impl Drop for Waits<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        with(self.node, self.customer, |account| account.wait_over(self.waiting));
+        with_account(self.node, self.customer, |account| account.wait_over(self.waiter));
     }
 }
 
-fn with<R>(node: &Node, customer: &CustomerId, look: impl FnOnce(&mut Account) -> R) -> R {
+fn with_account<R>(node: &Node, customer: &CustomerId, f: impl FnOnce(&mut Account) -> R) -> R {
     let mut accounts = node.quotas.accounts.borrow_mut();
     if let Some(account) = accounts.get_mut(customer) {
-        return look(account);
+        return f(account);
     }
-    look(accounts.entry(customer.clone()).or_default())
+    f(accounts.entry(customer.clone()).or_default())
 }
 
 /// Where this node gets its allowances.
-enum Source {
+enum AllowanceSource {
     /// This node is the issuer.
-    Itself,
+    Issuer,
     /// The issuer, or the hub of this node's domain.
     Node(Parent, SocketAddr),
     /// No issuer and no hub is known.
-    Nobody,
+    None,
 }
 
-fn source(node: &Node) -> Source {
+fn allowance_source(node: &Node) -> AllowanceSource {
     if node.holding.borrow().is_mine() {
-        return Source::Itself;
+        return AllowanceSource::Issuer;
     }
-    node.parent().map_or(Source::Nobody, |(parent, addr)| Source::Node(parent, addr))
+    node.parent()
+        .map_or(AllowanceSource::None, |(parent, addr)| AllowanceSource::Node(parent, addr))
 }
--- /dev/null
+++ b/crates/gateway/src/quotas/refill.rs
@@ -0,0 +1,255 @@
+//! Requests allowances ahead of need.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hgw_direct::heads::Parent;
+use hgw_direct::quota::{Account, Grant, Lot, Used, Want};
+use hgw_direct::{CustomerId, Millis};
+use hgw_events::{Event, emit};
+use indexmap::IndexMap;
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::peers;
+use crate::shared::Node;
+
+use super::grant::issue;
+use super::message::{GrantRequest, GrantResponse};
+use super::{AllowanceSource, allowance_source, boot_now, customer_quota, with_account};
+
+/// Interval between checks whether allowances are needed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Shortest time between two requests for allowances, so that one covers several callers.
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The same while no caller waits.
+const AHEAD_REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Timeout of requests to the issuer. After it the domain uses its own share, which it reports
+/// later.
+const ISSUER_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// Timeout of requests to a hub, which may query the issuer first, and the number of timeouts in a
+/// row after which another hub is used.
+const HUB_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_HUB_TIMEOUTS: u32 = 2;
+
+/// Pause between probes of an unresponsive issuer.
+const PROBE_PAUSE: Duration = Duration::from_millis(150);
+
+/// Interval at which this node reports itself and the nodes behind it, if it needs no allowances.
+const REPORT_INTERVAL_MS: Millis = 400;
+
+/// Time without a response after which a domain uses its own share.
+const FALLBACK_AFTER_MS: Millis = 150;
+
+/// Time since its last request within which a node behind this one is counted.
+const CONTACT_WITHIN_MS: Millis = 1_000;
+
+/// Requests allowances ahead of need until the process ends.
+pub(crate) async fn keep(node: Node) {
+    let mut last_request = Instant::now();
+    let mut last_report = 0;
+    loop {
+        let _ = timeout(CHECK_INTERVAL, node.quotas.refill_needed.notified()).await;
+        if !has_quotas(&node) {
+            continue;
+        }
+        let has_waiters = node.quotas.accounts.borrow().values().any(Account::has_waiting);
+        let interval = if has_waiters { MIN_REQUEST_INTERVAL } else { AHEAD_REQUEST_INTERVAL };
+        sleep(interval.saturating_sub(last_request.elapsed())).await;
+        last_request = Instant::now();
+        let requests = pending_requests(&node);
+        let is_due = boot_now().saturating_sub(last_report) >= REPORT_INTERVAL_MS;
+        if !requests.is_empty() || is_due {
+            last_report = boot_now();
+            request_allowances(&node, requests).await;
+            node.quotas.refilled.notify_waiters();
+        }
+    }
+}
+
+fn has_quotas(node: &Node) -> bool {
+    let state = node.state.borrow();
+    let customers = state.catalog.as_ref().and_then(|c| c.customers.as_ref());
+    customers.is_some_and(|c| c.all().any(|(_, customer)| customer.quota.is_some()))
+}
+
+fn pending_requests(node: &Node) -> Vec<(CustomerId, Want)> {
+    let now = boot_now();
+    let mut accounts = node.quotas.accounts.borrow_mut();
+    let requests =
+        accounts.iter_mut().map(|(customer, account)| (customer.clone(), account.want(now)));
+    requests.filter(|(_, request)| request.most > 0.0).collect()
+}
+
+/// Requests allowances from where this node gets them.
+async fn request_allowances(node: &Node, requests: Vec<(CustomerId, Want)>) {
+    match allowance_source(node) {
+        AllowanceSource::Issuer => {
+            let from = node.settings.borrow().peers;
+            let asked_at = boot_now();
+            let rows = requests.iter().map(|(c, request)| (c.clone(), *request, 0.0)).collect();
+            let response = issue(node, &GrantRequest { from, issuer_only: true, nodes: 0, rows });
+            // If this node's lease is uncertain, no other node issues either until the lease has
+            // expired for all.
+            if let Some(response) = response {
+                add_grants(node, asked_at, &requests, response);
+            }
+        }
+        AllowanceSource::Node(Parent::Holder, addr) if node.quotas.uses_fallback.get() => {
+            use_fallback(node, &requests);
+            probe(node, addr);
+        }
+        AllowanceSource::Node(Parent::Holder, addr) => {
+            if !request_from_issuer(node, addr, &requests).await {
+                use_fallback(node, &requests);
+            }
+        }
+        AllowanceSource::Node(Parent::Head(_), addr) => {
+            request_from_hub(node, addr, &requests).await
+        }
+        AllowanceSource::None => use_fallback(node, &requests),
+    }
+}
+
+/// Requests allowances from the issuer and reports what was used without it. Returns whether it
+/// responded.
+async fn request_from_issuer(
+    node: &Node,
+    addr: SocketAddr,
+    requests: &[(CustomerId, Want)],
+) -> bool {
+    let quotas = &node.quotas;
+    let usage = quotas.fallback.borrow_mut().take_used(boot_now());
+    let Some((asked_at, response)) = send_request(node, addr, requests, &usage, true).await else {
+        quotas.fallback.borrow_mut().give_back(usage);
+        return false;
+    };
+    quotas.fallback.borrow_mut().end();
+    set_uses_fallback(node, false);
+    quotas.last_response_at.set(boot_now());
+    add_grants(node, asked_at, requests, response);
+    true
+}
+
+/// Requests allowances from the hub of this node's domain.
+async fn request_from_hub(node: &Node, addr: SocketAddr, requests: &[(CustomerId, Want)]) {
+    let quotas = &node.quotas;
+    match send_request(node, addr, requests, &[], false).await {
+        Some((asked_at, response)) => {
+            quotas.hub_timeouts.set(0);
+            quotas.last_response_at.set(boot_now());
+            add_grants(node, asked_at, requests, response);
+        }
+        None => {
+            quotas.hub_timeouts.set(quotas.hub_timeouts.get() + 1);
+            if quotas.hub_timeouts.get() >= MAX_HUB_TIMEOUTS {
+                quotas.hub_timeouts.set(0);
+                peers::is_silent(node, addr);
+            }
+        }
+    }
+}
+
+/// Checks in the background whether an unresponsive issuer is back, so that requests need not wait for it.
+fn probe(node: &Node, addr: SocketAddr) {
+    if node.quotas.is_probing.replace(true) {
+        return;
+    }
+    let node = Rc::clone(node);
+    tokio::task::spawn_local(async move {
+        if !request_from_issuer(&node, addr, &[]).await {
+            sleep(PROBE_PAUSE).await;
+        }
+        node.quotas.is_probing.set(false);
+    });
+}
+
+async fn send_request(
+    node: &Node,
+    addr: SocketAddr,
+    requests: &[(CustomerId, Want)],
+    usage: &[Used],
+    issuer_only: bool,
+) -> Option<(Millis, GrantResponse)> {
+    let timeout = if issuer_only { ISSUER_TIMEOUT } else { HUB_TIMEOUT };
+    let mut rows: IndexMap<CustomerId, (Want, f64)> =
+        requests.iter().map(|(customer, request)| (customer.clone(), (*request, 0.0))).collect();
+    for entry in usage {
+        rows.entry(entry.customer.clone()).or_default().1 += entry.amount;
+    }
+    let rows =
+        rows.into_iter().map(|(customer, (request, usage))| (customer, request, usage)).collect();
+    let from = node.settings.borrow().peers;
+    let nodes = 1 + node.children.heard_within(CONTACT_WITHIN_MS, node.now());
+    let asked_at = boot_now();
+    let response = peers::call(
+        node,
+        addr,
+        "/quota",
+        &GrantRequest { from, issuer_only, nodes, rows },
+        timeout,
+    )
+    .await?;
+    Some((asked_at, response))
+}
+
+/// Adds the granted allowances. They expire relative to the time of the request, so that a slow
+/// response does not extend them.
+fn add_grants(
+    node: &Node,
+    asked_at: Millis,
+    requests: &[(CustomerId, Want)],
+    response: GrantResponse,
+) {
+    let rows = response
+        .rows
+        .into_iter()
+        .map(|(customer, grants, available_in)| (customer, (grants, available_in)));
+    let mut response: IndexMap<CustomerId, (Vec<Grant>, Option<Millis>)> = rows.collect();
+    for (customer, request) in requests {
+        let (grants, available_in) = response.swap_remove(customer).unwrap_or_default();
+        with_account(node, customer, |account| {
+            account.answered(boot_now(), request, available_in);
+            for grant in grants {
+                account.purse.add(Lot { amount: grant.amount, until: asked_at + grant.for_ms });
+            }
+        });
+    }
+}
+
+/// Uses this domain's own share if the issuer has not responded for a while.
+fn use_fallback(node: &Node, requests: &[(CustomerId, Want)]) {
+    let now = boot_now();
+    let knows_nodes = !node.members.borrow().is_empty() || node.was_followed();
+    let has_recent_response =
+        now.saturating_sub(node.quotas.last_response_at.get()) < FALLBACK_AFTER_MS;
+    if !knows_nodes || has_recent_response && !node.quotas.uses_fallback.get() {
+        return;
+    }
+    set_uses_fallback(node, true);
+    let nodes = node.state.borrow().nodes.max(1);
+    let covered_nodes = 1 + node.children.heard_within(CONTACT_WITHIN_MS, node.now());
+    let share = (f64::from(covered_nodes) / f64::from(nodes)).min(1.0);
+    for (customer, request) in requests {
+        let Some((params, _)) = customer_quota(node, customer, None) else { continue };
+        let issued = node.quotas.fallback.borrow_mut().give(customer, &params, request, share, now);
+        with_account(node, customer, |account| {
+            account.answered(now, request, issued.room_in);
+            account.purse.add(Lot { amount: issued.amount, until: now + params.life() });
+        });
+    }
+}
+
+/// Logs when this domain starts or stops using its own share.
+fn set_uses_fallback(node: &Node, uses_fallback: bool) {
+    if node.quotas.uses_fallback.replace(uses_fallback) != uses_fallback {
+        emit(
+            Event::LimitsAlone,
+            &[("node", &node.settings.borrow().node), ("alone", &uses_fallback)],
+        );
+    }
+}
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -81,8 +81,8 @@
         Relayed::new(node, active, head, body, call, route, service, identity, arrived);
     if let Err(none) = relayed.spend().await {
         return match none {
-            NoAllowance::OverLimit(wait) => relayed.refuse(Refusal::OverLimit, wait),
-            NoAllowance::NoWord(wait) => relayed.refuse(Refusal::NoAllowance, wait),
+            NoAllowance::QuotaExceeded(wait) => relayed.refuse(Refusal::OverLimit, wait),
+            NoAllowance::NoResponse(wait) => relayed.refuse(Refusal::NoAllowance, wait),
         };
     }
     if relayed.route.kind.is_stream() {
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -18,7 +18,7 @@
 use crate::dialect::Call;
 use crate::meter;
 use crate::peers::{self, Placement};
-use crate::quotas::{self, NoAllowance, Spent};
+use crate::quotas::{self, Charge, NoAllowance};
 use crate::shared::Node;
 use crate::stop::Active;
 use crate::turn::Turn;
@@ -86,7 +86,7 @@
     /// Time spent waiting for engines to prefill other prompts.
     pub(super) waited: Duration,
     /// The charge to the customer's limit.
-    spent: Option<Spent>,
+    spent: Option<Charge>,
     /// Whether the outcome has been logged.
     pub(super) told: Cell<bool>,
 }
@@ -147,7 +147,7 @@
     pub(super) async fn spend(&mut self) -> Result<(), NoAllowance> {
         let Some(customer) = self.identity.customer.clone() else { return Ok(()) };
         let longest = self.route.objective.mul_f64(ALLOWANCE_SHARE);
-        self.spent = quotas::spend(&self.node, &customer, self.call.tokens, longest).await?;
+        self.spent = quotas::charge(&self.node, &customer, self.call.tokens, longest).await?;
         Ok(())
     }
 
@@ -155,7 +155,7 @@
     /// engine may have executed it.
     pub(super) fn may_run(&self, may: bool) {
         if let Some(spent) = &self.spent {
-            spent.is_used(may || self.runs > 0);
+            spent.set_may_have_run(may || self.runs > 0);
         }
     }
 
