--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/at_engine.rs
@@ -13,30 +13,30 @@
 pub(crate) struct AtEngine {
     node: Node,
     engine: EngineId,
-    /// Start of the engine process that the request was sent to.
-    start: Start,
+    /// Start time of the engine process that the request was sent to.
+    started_at: Start,
     /// Set until the engine has prefilled the prompt.
-    unread: Option<SendId>,
+    pending_prefill: Option<SendId>,
 }
 
 impl AtEngine {
     /// Counts a request as in flight. `tokens` is the length of its prompt, 0 for a service without
     /// models.
-    pub(crate) fn begin(node: &Node, engine: &EngineId, request: &str, tokens: u32) -> AtEngine {
+    pub(crate) fn start(node: &Node, engine: &EngineId, request_id: &str, tokens: u32) -> AtEngine {
         let now = node.now();
-        let unread = (tokens > 0).then(|| SendId::of(request));
-        let mut start = Start::default();
+        let pending_prefill = (tokens > 0).then(|| SendId::of(request_id));
+        let mut started_at = Start::default();
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-            start = engine.listed.start;
+            started_at = engine.listed.start;
             engine.own += 1;
-            if let Some(id) = unread {
+            if let Some(id) = pending_prefill {
                 engine.unread.send(id, tokens, now);
             }
         }
-        if let Some(id) = unread {
-            node.sends.tell(node, &Word::Sent(engine.clone(), start, id, tokens));
+        if let Some(id) = pending_prefill {
+            node.sends.tell(node, &Word::Sent(engine.clone(), started_at, id, tokens));
         }
-        AtEngine { node: Rc::clone(node), engine: engine.clone(), start, unread }
+        AtEngine { node: Rc::clone(node), engine: engine.clone(), started_at, pending_prefill }
     }
 
     pub(crate) fn engine(&self) -> &EngineId {
@@ -44,28 +44,30 @@
     }
 
     /// Whether the engine has restarted since, which ended this request.
-    pub(crate) fn has_ended(&self) -> bool {
-        self.node.engine(&self.engine, |e| self.start.is_before(e.listed.start)).unwrap_or(false)
+    pub(crate) fn engine_restarted(&self) -> bool {
+        self.node
+            .engine(&self.engine, |e| self.started_at.is_before(e.listed.start))
+            .unwrap_or(false)
     }
 
     /// Records the outcome of the request, unless the engine has restarted since.
-    pub(crate) fn saw(&self, verdict: Verdict) {
-        if !self.has_ended() {
-            self.node.saw(&self.engine, verdict);
+    pub(crate) fn record_outcome(&self, outcome: Verdict) {
+        if !self.engine_restarted() {
+            self.node.saw(&self.engine, outcome);
         }
     }
 
     /// Returns the connection to the pool, unless the engine has restarted since.
-    pub(crate) fn keep(&self, conn: Conn) {
+    pub(crate) fn return_connection(&self, conn: Conn) {
         let addr = self.node.engine(&self.engine, |e| e.listed.addr);
-        if let Some(addr) = addr.filter(|_| !self.has_ended()) {
+        if let Some(addr) = addr.filter(|_| !self.engine_restarted()) {
             self.node.pool.put(addr, conn);
         }
     }
 
     /// Records the load that the engine reports.
-    pub(crate) fn tells(&self, load: Load) {
-        if self.has_ended() {
+    pub(crate) fn record_load(&self, load: Load) {
+        if self.engine_restarted() {
             return;
         }
         let now = self.node.now();
@@ -75,10 +77,12 @@
     }
 
     /// Records that the response begins, which means that the engine has prefilled the prompt.
-    pub(crate) fn answers(&mut self, load: Option<Load>) {
-        let Some(id) = self.unread.take() else { return };
+    pub(crate) fn record_response_start(&mut self, load: Option<Load>) {
+        let Some(id) = self.pending_prefill.take() else { return };
         let load = load.map(|load| (load.running, load.waiting));
-        self.node.sends.tell(&self.node, &Word::Answers(self.engine.clone(), self.start, id, load));
+        self.node
+            .sends
+            .tell(&self.node, &Word::Answers(self.engine.clone(), self.started_at, id, load));
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let Some(engine) = state.engines.get_mut(&self.engine) else { return };
@@ -90,12 +94,12 @@
     }
 
     /// Records the mean time between the events of a complete response.
-    pub(crate) fn saw_events(&self, mean: Duration) {
-        if self.has_ended() {
+    pub(crate) fn record_event_interval(&self, mean_gap: Duration) {
+        if self.engine_restarted() {
             return;
         }
         if let Some(engine) = self.node.state.borrow_mut().engines.get_mut(&self.engine) {
-            engine.saw_events(mean.as_secs_f64() * 1_000.0);
+            engine.saw_events(mean_gap.as_secs_f64() * 1_000.0);
         }
     }
 }
@@ -103,18 +107,20 @@
 impl Drop for AtEngine {
     fn drop(&mut self) {
         let now = self.node.now();
-        let unread = self.unread.take();
-        if self.has_ended() {
+        let pending_prefill = self.pending_prefill.take();
+        if self.engine_restarted() {
             return;
         }
         if let Some(engine) = self.node.state.borrow_mut().engines.get_mut(&self.engine) {
             engine.own = engine.own.saturating_sub(1);
-            if let Some(id) = unread {
+            if let Some(id) = pending_prefill {
                 engine.unread.read(id, now);
             }
         }
-        if let Some(id) = unread {
-            self.node.sends.tell(&self.node, &Word::Ended(self.engine.clone(), self.start, id));
+        if let Some(id) = pending_prefill {
+            self.node
+                .sends
+                .tell(&self.node, &Word::Ended(self.engine.clone(), self.started_at, id));
             self.node.turns.next.notify_waiters();
         }
     }
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -11,165 +11,177 @@
 use crate::dialect::{Marks, Sending};
 use crate::peers;
 
-use super::identify::Denied;
-use super::request::Relayed;
+use super::identity::AuthError;
+use super::request::RelayedRequest;
 
 /// Silence on all connections to an engine, while a request waits there, after which the engine
 /// counts as unresponsive. A full engine sends nothing while it prefills several long prompts; callers
 /// abandon a stalled stream after two seconds.
-const DARK_AFTER: Duration = Duration::from_millis(600);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(600);
 
 /// The same when this node has few requests there: their own pauses say little about the engine.
-const DARK_AFTER_FEW: Duration = Duration::from_millis(900);
+const UNRESPONSIVE_AFTER_FEW_REQUESTS: Duration = Duration::from_millis(900);
 
 /// The same when another node cannot reach the engine: some node would hear from a healthy one.
-const DARK_AFTER_WORD: Duration = Duration::from_millis(250);
+const UNRESPONSIVE_AFTER_PEER_REPORT: Duration = Duration::from_millis(250);
 
-/// Requests of this node at an engine from which their common silence is a reliable signal.
-const FEW: u32 = 3;
+/// Below this number, the requests that this node has in flight at an engine count as few.
+const FEW_REQUESTS: u32 = 3;
 
 /// Longest wait for the first byte from an engine that still responds on other connections, as a
 /// multiple of the route's objective: a single request can hang.
-const HUNG_OBJECTIVES: u32 = 4;
+const HUNG_AFTER_OBJECTIVES: u32 = 4;
 
 /// Bounds of that wait: the lower one keeps a full engine from counting as hung, the upper one ends
 /// the wait before callers give up.
-const HUNG_LEAST: Duration = Duration::from_millis(450);
-const HUNG_MOST: Duration = Duration::from_millis(1_300);
+const HUNG_AFTER_MIN: Duration = Duration::from_millis(450);
+const HUNG_AFTER_MAX: Duration = Duration::from_millis(1_300);
 
 /// A response whose head has been read.
-pub(super) struct Begun {
+pub(super) struct StartedResponse {
     pub(super) engine: EngineId,
     pub(super) conn: Conn,
     pub(super) head: Head,
-    pub(super) at_engine: AtEngine,
+    pub(super) guard: AtEngine,
 }
 
 /// Outcome of one attempt.
-pub(super) enum Tried {
-    Begun(Box<Begun>),
+pub(super) enum AttemptResult {
+    Started(Box<StartedResponse>),
     /// No byte of the request was sent.
     NotSent,
     /// The engine rejected the request without executing it.
     NotRun,
     /// There is no usable response; the engine may have executed the request.
-    Lost,
+    NoResponse,
     /// The engine became unresponsive; a retry has been taken from the retry budget.
     Stalled,
     /// The deadline has passed; the engine may have executed the request.
-    TimeOver,
+    TimedOut,
     /// The caller is no longer authorized; no byte of the request was sent.
-    Denied(Denied),
+    Unauthorized(AuthError),
 }
 
-impl Tried {
-    fn failure(&self) -> Option<&'static str> {
+impl AttemptResult {
+    fn failure_reason(&self) -> Option<&'static str> {
         match self {
-            Tried::Begun(_) => None,
-            Tried::NotSent => Some("no connection"),
-            Tried::NotRun => Some("rejected unrun"),
-            Tried::Lost => Some("no answer of this request"),
-            Tried::Stalled => Some("silent"),
-            Tried::TimeOver => Some("time over"),
-            Tried::Denied(_) => Some("not allowed any more"),
+            AttemptResult::Started(_) => None,
+            AttemptResult::NotSent => Some("no connection"),
+            AttemptResult::NotRun => Some("rejected unrun"),
+            AttemptResult::NoResponse => Some("no answer of this request"),
+            AttemptResult::Stalled => Some("silent"),
+            AttemptResult::TimedOut => Some("time over"),
+            AttemptResult::Unauthorized(_) => Some("not allowed any more"),
         }
     }
 }
 
 /// Outcome of waiting for an engine.
-pub(super) enum Waited<T> {
+pub(super) enum WaitResult<T> {
     Done(T),
     /// The engine is unresponsive; a retry has been taken from the retry budget.
     Stalled,
     /// The engine has restarted, which ended its earlier requests.
-    StartedAnew,
-    TimeOver,
+    EngineRestarted,
+    TimedOut,
 }
 
-impl Relayed {
+impl RelayedRequest {
     /// Makes one attempt at an engine and logs its failure.
-    pub(super) async fn send(&mut self, engine: &EngineId, last_event: Option<u64>) -> Tried {
-        let began = Instant::now();
-        let tried = self.send_once(engine, last_event).await;
-        if let Some(why) = tried.failure() {
-            self.try_failed(engine, why, began.elapsed());
+    pub(super) async fn attempt(
+        &mut self,
+        engine: &EngineId,
+        last_event: Option<u64>,
+    ) -> AttemptResult {
+        let started = Instant::now();
+        let result = self.attempt_unlogged(engine, last_event).await;
+        if let Some(reason) = result.failure_reason() {
+            self.log_failed_attempt(engine, reason, started.elapsed());
         }
-        tried
+        result
     }
 
-    async fn send_once(&mut self, engine: &EngineId, last_event: Option<u64>) -> Tried {
+    async fn attempt_unlogged(
+        &mut self,
+        engine: &EngineId,
+        last_event: Option<u64>,
+    ) -> AttemptResult {
         let node = Rc::clone(&self.node);
-        let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return Tried::NotSent };
-        self.tried.push(engine.clone());
+        let Some(addr) = node.engine(engine, |e| e.listed.addr) else {
+            return AttemptResult::NotSent;
+        };
+        self.tried_engines.push(engine.clone());
         let tokens = self.prompt().map_or(0, |prompt| prompt.tokens_in);
-        let at_engine = AtEngine::begin(&node, engine, &self.call.id, tokens);
+        let guard = AtEngine::start(&node, engine, &self.info.id, tokens);
         let connected = node.pool.get(addr, node.connect_limits());
         let connected = tokio::select! {
             biased;
-            connected = self.bounded(connected) => connected,
-            () = self.until_dark(engine) => return Tried::NotSent,
+            connected = self.within_deadline(connected) => connected,
+            () = self.wait_until_reported_unreachable(engine) => return AttemptResult::NotSent,
         };
         let mut conn = match connected {
-            Waited::Done(Ok(conn)) => conn,
-            Waited::Done(Err(_)) => {
-                self.lost(engine);
-                return Tried::NotSent;
+            WaitResult::Done(Ok(conn)) => conn,
+            WaitResult::Done(Err(_)) => {
+                self.report_unreachable(engine);
+                return AttemptResult::NotSent;
+            }
+            WaitResult::Stalled | WaitResult::EngineRestarted | WaitResult::TimedOut => {
+                return AttemptResult::NotSent;
             }
-            Waited::Stalled | Waited::StartedAnew | Waited::TimeOver => return Tried::NotSent,
         };
         // Choosing and connecting may have used up the time, and the machine may have been
         // suspended: an engine should not work for a caller that has left.
-        if !self.can_be_sent() {
+        if !self.has_time_to_send() {
             node.pool.put(addr, conn);
-            return Tried::NotSent;
+            return AttemptResult::NotSent;
         }
         if self.runs == 0
-            && let Err(denied) = self.is_allowed()
+            && let Err(error) = self.check_authorized()
         {
             node.pool.put(addr, conn);
-            return Tried::Denied(denied);
+            return AttemptResult::Unauthorized(error);
         }
-        let req = self.request(engine, last_event);
-        self.may_run(true);
-        let sent = async {
+        let req = self.upstream_request(engine, last_event);
+        self.set_may_run(true);
+        let response_head = async {
             conn.begin(&req).await?;
-            self.answer_to(&mut conn, &req).await
+            self.read_response_head(&mut conn, &req).await
         };
-        let waited = self.watched(&at_engine, sent).await;
-        match waited {
-            Waited::Done(Ok((head, marks))) => {
+        let result = self.wait_for_first_byte(&guard, response_head).await;
+        match result {
+            WaitResult::Done(Ok((head, info))) => {
                 node.heard(engine);
-                self.take_in(engine, conn, head, marks, at_engine).await
+                self.handle_response_head(engine, conn, head, info, guard).await
             }
-            Waited::Done(Err(e)) => {
-                let verdict = match e {
+            WaitResult::Done(Err(e)) => {
+                let outcome = match e {
                     Error::Connect { .. } => Verdict::Silent,
                     Error::Io(_) | Error::Ended | Error::Malformed { .. } => Verdict::Failed,
                 };
-                at_engine.saw(verdict);
+                guard.record_outcome(outcome);
                 node.broke(engine);
                 self.runs += 1;
-                Tried::Lost
+                AttemptResult::NoResponse
             }
-            Waited::StartedAnew => {
+            WaitResult::EngineRestarted => {
                 self.runs += 1;
-                Tried::Lost
+                AttemptResult::NoResponse
             }
-            Waited::Stalled => {
-                self.lost(engine);
+            WaitResult::Stalled => {
+                self.report_unreachable(engine);
                 self.runs += 1;
-                Tried::Stalled
+                AttemptResult::Stalled
             }
-            Waited::TimeOver => {
-                at_engine.saw(Verdict::Failed);
+            WaitResult::TimedOut => {
+                guard.record_outcome(Verdict::Failed);
                 self.runs += 1;
-                Tried::TimeOver
+                AttemptResult::TimedOut
             }
         }
     }
 
     /// Records that an engine is unreachable or unresponsive, and reports it to the other nodes.
-    pub(super) fn lost(&self, engine: &EngineId) {
+    pub(super) fn report_unreachable(&self, engine: &EngineId) {
         self.node.saw(engine, Verdict::Silent);
         self.node.broke(engine);
         if let Some(key) = self.node.engine(engine, Engine::key) {
@@ -178,141 +190,156 @@
     }
 
     /// Returns once another node reports that the engine is unreachable.
-    async fn until_dark(&self, engine: &EngineId) {
+    async fn wait_until_reported_unreachable(&self, engine: &EngineId) {
         loop {
-            let told = self.node.dark.notified();
+            let changed = self.node.dark.notified();
             if self.node.is_dark(engine) {
                 return;
             }
-            told.await;
+            changed.await;
         }
     }
 
     /// Reads the response head for this request. Late responses to earlier requests on the
     /// connection are drained and dropped.
-    async fn answer_to(&self, conn: &mut Conn, req: &Request) -> Result<(Head, Marks), Error> {
-        const MOST_STRAY: u32 = 3;
-        for _ in 0..MOST_STRAY {
+    async fn read_response_head(
+        &self,
+        conn: &mut Conn,
+        req: &Request,
+    ) -> Result<(Head, Marks), Error> {
+        const MAX_STRAY_RESPONSES: u32 = 3;
+        for _ in 0..MAX_STRAY_RESPONSES {
             let head = conn.head(&req.method).await?;
-            let marks = self.node.dialects.upstreams.read(&head);
-            match &marks.id {
-                Some(id) if *id != self.call.id => {
+            let info = self.node.dialects.upstreams.read(&head);
+            match &info.id {
+                Some(id) if *id != self.info.id => {
                     let body = hgw_http1::Body::new(head.framing);
                     conn.collect(body, 1 << 20).await?;
                 }
-                _ => return Ok((head, marks)),
+                _ => return Ok((head, info)),
             }
         }
         Err(Error::Malformed { what: "too many responses to other requests on the connection" })
     }
 
-    async fn take_in(
+    async fn handle_response_head(
         &mut self,
         engine: &EngineId,
         mut conn: Conn,
         head: Head,
-        marks: Marks,
-        mut at_engine: AtEngine,
-    ) -> Tried {
-        if let Some(load) = marks.load {
-            at_engine.tells(load);
+        info: Marks,
+        mut guard: AtEngine,
+    ) -> AttemptResult {
+        if let Some(load) = info.load {
+            guard.record_load(load);
         }
-        if marks.not_run || marks.misdirected {
+        if info.not_run || info.misdirected {
             self.rejected += 1;
-            self.may_run(false);
-            if marks.misdirected {
-                self.correct(engine, &marks);
+            self.set_may_run(false);
+            if info.misdirected {
+                self.correct_engine_list(engine, &info);
             } else {
-                at_engine.saw(Verdict::Full);
+                guard.record_outcome(Verdict::Full);
             }
             let body = hgw_http1::Body::new(head.framing);
-            if let Waited::Done(Ok(_)) = self.bounded(conn.collect(body, 64 << 10)).await {
-                at_engine.keep(conn);
+            if let WaitResult::Done(Ok(_)) =
+                self.within_deadline(conn.collect(body, 64 << 10)).await
+            {
+                guard.return_connection(conn);
             }
-            return Tried::NotRun;
+            return AttemptResult::NotRun;
         }
         self.runs += 1;
         // Without an id the response may belong to another request; a success without a signature
         // does not come from the engine.
-        let ours = marks.id.is_some();
-        let success = (200..300).contains(&head.status);
-        if !ours || (success && !marks.sealed) {
-            at_engine.saw(Verdict::Failed);
-            return Tried::Lost;
+        let is_ours = info.id.is_some();
+        let is_success = (200..300).contains(&head.status);
+        if !is_ours || (is_success && !info.sealed) {
+            guard.record_outcome(Verdict::Failed);
+            return AttemptResult::NoResponse;
         }
-        at_engine.answers(marks.load);
+        guard.record_response_start(info.load);
         let engine = engine.clone();
-        Tried::Begun(Box::new(Begun { engine, conn, head, at_engine }))
+        AttemptResult::Started(Box::new(StartedResponse { engine, conn, head, guard }))
     }
 
     /// Corrects the engine list: removes the engine if another one answered at its address, or else
     /// the model that it does not have.
-    fn correct(&mut self, engine: &EngineId, marks: &Marks) {
-        let refuted = engine.clone();
-        let wanted = self.wanted().cloned();
+    fn correct_engine_list(&mut self, engine: &EngineId, info: &Marks) {
+        let stale = engine.clone();
+        let model_ref = self.model_ref().cloned();
         let mut state = self.node.state.borrow_mut();
-        if marks.engine.as_ref().is_some_and(|answered| answered != engine) {
-            let at = state.engines.get(engine).map(|e| e.listed.at).unwrap_or_default();
-            state.engines.unlist(engine, at);
+        if info.engine.as_ref().is_some_and(|answered| answered != engine) {
+            let position = state.engines.get(engine).map(|e| e.listed.at).unwrap_or_default();
+            state.engines.unlist(engine, position);
             return;
         }
-        let (Some(wanted), Some(engine)) = (&wanted, state.engines.get_mut(engine)) else {
+        let (Some(model_ref), Some(engine)) = (&model_ref, state.engines.get_mut(engine)) else {
             return;
         };
-        engine.drop_held(wanted);
+        engine.drop_held(model_ref);
         drop(state);
-        self.refuted = Some(refuted);
+        self.stale_engine = Some(stale);
     }
 
-    fn request(&self, engine: &EngineId, last_event: Option<u64>) -> Request {
-        let sending = Sending {
+    fn upstream_request(&self, engine: &EngineId, last_event: Option<u64>) -> Request {
+        let upstream = Sending {
             engine,
-            left: self.left(),
+            left: self.time_left(),
             priority: self.route.priority,
-            last_event: last_event.or(self.call.last_event),
-            sender: self.identity.sent_by(),
+            last_event: last_event.or(self.info.last_event),
+            sender: self.identity.for_upstream(),
         };
         let target = self.head.uri.path_and_query().map_or("/", |t| t.as_str());
         Request {
             method: self.head.method.clone(),
             target: target.to_owned(),
-            headers: self.node.dialects.upstreams.headers(&self.head, &sending),
+            headers: self.node.dialects.upstreams.headers(&self.head, &upstream),
             body: self.body.clone(),
         }
     }
 
     /// Waits until the request's deadline at the latest.
-    pub(super) async fn bounded<F: Future>(&self, work: F) -> Waited<F::Output> {
-        match tokio::time::timeout_at(self.end, work).await {
-            Ok(done) => Waited::Done(done),
-            Err(_) => Waited::TimeOver,
+    pub(super) async fn within_deadline<F: Future>(&self, future: F) -> WaitResult<F::Output> {
+        match tokio::time::timeout_at(self.deadline_at, future).await {
+            Ok(done) => WaitResult::Done(done),
+            Err(_) => WaitResult::TimedOut,
         }
     }
 
     /// Waits for the first byte. Gives up early on an unresponsive engine if the request may be sent to
     /// another one.
-    async fn watched<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
+    async fn wait_for_first_byte<F: Future>(
+        &self,
+        guard: &AtEngine,
+        future: F,
+    ) -> WaitResult<F::Output> {
         if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.attempts {
-            return self.at(at_engine, work).await;
+            return self.unless_engine_restarts(guard, future).await;
         }
-        let hung = (self.route.objective * HUNG_OBJECTIVES).clamp(HUNG_LEAST, HUNG_MOST);
-        let work = std::pin::pin!(work);
-        self.unless_silent(at_engine, hung, work).await
+        let hung =
+            (self.route.objective * HUNG_AFTER_OBJECTIVES).clamp(HUNG_AFTER_MIN, HUNG_AFTER_MAX);
+        let future = std::pin::pin!(future);
+        self.unless_unresponsive(guard, hung, future).await
     }
 
     /// Waits for an engine until the request's deadline or until the engine restarts.
-    pub(super) async fn at<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
-        let mut work = std::pin::pin!(work);
+    pub(super) async fn unless_engine_restarts<F: Future>(
+        &self,
+        guard: &AtEngine,
+        future: F,
+    ) -> WaitResult<F::Output> {
+        let mut future = std::pin::pin!(future);
         loop {
-            let started_anew = self.node.started_anew.notified();
-            if at_engine.has_ended() {
-                return Waited::StartedAnew;
+            let restarted = self.node.started_anew.notified();
+            if guard.engine_restarted() {
+                return WaitResult::EngineRestarted;
             }
             tokio::select! {
                 biased;
-                done = &mut work => return Waited::Done(done),
-                () = started_anew => {}
-                () = sleep_until(self.end) => return Waited::TimeOver,
+                done = &mut future => return WaitResult::Done(done),
+                () = restarted => {}
+                () = sleep_until(self.deadline_at) => return WaitResult::TimedOut,
             }
         }
     }
@@ -320,42 +347,47 @@
     /// Waits until the engine has been silent on all connections for a while, or this response for
     /// `hung`, and the retry budget allows another attempt. If it allows none, keeps waiting:
     /// silence alone does not end a response.
-    pub(super) async fn unless_silent<F: Future>(
+    pub(super) async fn unless_unresponsive<F: Future>(
         &self,
-        at_engine: &AtEngine,
+        guard: &AtEngine,
         hung: Duration,
-        mut work: std::pin::Pin<&mut F>,
-    ) -> Waited<F::Output> {
-        let (began, engine) = (Instant::now(), at_engine.engine());
-        let few = self.node.engine(engine, |e| e.own).unwrap_or(0) < FEW;
-        let usual = if few { DARK_AFTER_FEW } else { DARK_AFTER };
+        mut future: std::pin::Pin<&mut F>,
+    ) -> WaitResult<F::Output> {
+        let (started, engine) = (Instant::now(), guard.engine());
+        let has_few_requests = self.node.engine(engine, |e| e.own).unwrap_or(0) < FEW_REQUESTS;
+        let default_limit =
+            if has_few_requests { UNRESPONSIVE_AFTER_FEW_REQUESTS } else { UNRESPONSIVE_AFTER };
         loop {
-            let dark_after = if self.node.is_dark(engine) { DARK_AFTER_WORD } else { usual };
-            let silent = self.node.silent_for(engine).min(began.elapsed());
-            let look = (Instant::now() + dark_after.saturating_sub(silent)).min(began + hung);
-            let told = self.node.dark.notified();
-            let started_anew = self.node.started_anew.notified();
-            if at_engine.has_ended() {
-                return Waited::StartedAnew;
+            let limit = if self.node.is_dark(engine) {
+                UNRESPONSIVE_AFTER_PEER_REPORT
+            } else {
+                default_limit
+            };
+            let silence = self.node.silent_for(engine).min(started.elapsed());
+            let check_at = (Instant::now() + limit.saturating_sub(silence)).min(started + hung);
+            let reachability_changed = self.node.dark.notified();
+            let restarted = self.node.started_anew.notified();
+            if guard.engine_restarted() {
+                return WaitResult::EngineRestarted;
             }
             tokio::select! {
                 biased;
-                done = &mut work => return Waited::Done(done),
-                () = started_anew => continue,
-                () = told => continue,
-                () = sleep_until(look.min(self.end)) => {}
+                done = &mut future => return WaitResult::Done(done),
+                () = restarted => continue,
+                () = reachability_changed => continue,
+                () = sleep_until(check_at.min(self.deadline_at)) => {}
             }
             let now = Instant::now();
-            if now >= self.end {
-                return Waited::TimeOver;
+            if now >= self.deadline_at {
+                return WaitResult::TimedOut;
             }
-            let silent = self.node.silent_for(engine).min(now - began);
-            if silent >= dark_after || now - began >= hung {
+            let silence = self.node.silent_for(engine).min(now - started);
+            if silence >= limit || now - started >= hung {
                 // Leave this engine only if another one can take the request.
-                if self.choose_now().is_ok() && self.may_go_on() {
-                    return Waited::Stalled;
+                if self.choose_now().is_ok() && self.take_retry() {
+                    return WaitResult::Stalled;
                 }
-                return self.at(at_engine, work).await;
+                return self.unless_engine_restarts(guard, future).await;
             }
         }
     }
--- a/crates/gateway/src/relay/pace.rs
+++ b/crates/gateway/src/relay/event_timing.rs
@@ -5,31 +5,31 @@
 use tokio::time::Instant;
 
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct EventTiming {
     first: Instant,
     last: Instant,
-    pub(super) longest: Duration,
+    pub(super) max_gap: Duration,
     pub(super) pieces: u32,
 }
 
-impl Pace {
-    pub(super) fn begin() -> Pace {
+impl EventTiming {
+    pub(super) fn start() -> EventTiming {
         let now = Instant::now();
-        Pace { first: now, last: now, longest: Duration::ZERO, pieces: 0 }
+        EventTiming { first: now, last: now, max_gap: Duration::ZERO, pieces: 0 }
     }
 
     /// Mean time between two pieces; `None` for fewer than two pieces.
-    pub(super) fn mean(&self) -> Option<Duration> {
-        let pauses = self.pieces.checked_sub(1).filter(|pauses| *pauses > 0)?;
-        Some((self.last - self.first) / pauses)
+    pub(super) fn mean_gap(&self) -> Option<Duration> {
+        let gaps = self.pieces.checked_sub(1).filter(|gaps| *gaps > 0)?;
+        Some((self.last - self.first) / gaps)
     }
 
-    pub(super) fn piece(&mut self) {
+    pub(super) fn record_piece(&mut self) {
         let now = Instant::now();
         if self.pieces == 0 {
             self.first = now;
         } else {
-            self.longest = self.longest.max(now - self.last);
+            self.max_gap = self.max_gap.max(now - self.last);
         }
         self.last = now;
         self.pieces += 1;
--- a/crates/gateway/src/relay/identify.rs
+++ b/crates/gateway/src/relay/identity.rs
@@ -10,102 +10,107 @@
 use crate::proof;
 use crate::shared::Node;
 
-use super::request::Relayed;
+use super::request::RelayedRequest;
 
 /// A caller's identity, established when its request arrived.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Identity {
-    shown: Shown,
+    credentials: Shown,
     /// Whether customers are configured, so that only they and open routes are served.
-    is_guarded: bool,
+    has_customers: bool,
     pub(super) customer: Option<CustomerId>,
 }
 
 /// Why a request may not be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Denied {
+pub(super) enum AuthError {
     /// The credentials belong to no customer.
-    Stranger,
+    Unauthorized,
     /// This node does not know whether its list of keys is current.
-    NoProof,
+    StaleConfig,
 }
 
 impl Identity {
     /// Authenticates the caller of a route.
-    pub(super) fn find(
+    pub(super) fn authenticate(
         node: &Node,
         catalog: &Catalog,
         route: &Route,
-        shown: Shown,
-    ) -> Result<(Identity, Option<Customer>), Denied> {
+        credentials: Shown,
+    ) -> Result<(Identity, Option<Customer>), AuthError> {
         let Some(customers) = &catalog.customers else { return Ok((Identity::default(), None)) };
-        let has_key = shown != Shown::Nothing;
-        let (customer, settings) = match customers.sender(&shown, route.is_open) {
+        let has_key = credentials != Shown::Nothing;
+        let (customer, config) = match customers.sender(&credentials, route.is_open) {
             Sender::Customer(name, customer) => (Some(name.clone()), Some(customer.clone())),
             Sender::Anybody => (None, None),
             // A key may have been added since: with a possibly outdated list it is not rejected as
             // unknown.
-            Sender::Stranger if proof::holds(node) => return Err(Denied::Stranger),
-            Sender::Stranger => return Err(Denied::NoProof),
+            Sender::Stranger if proof::holds(node) => return Err(AuthError::Unauthorized),
+            Sender::Stranger => return Err(AuthError::StaleConfig),
         };
         if has_key && !proof::holds(node) {
-            return Err(Denied::NoProof);
+            return Err(AuthError::StaleConfig);
         }
-        Ok((Identity { shown, is_guarded: true, customer }, settings))
+        Ok((Identity { credentials, has_customers: true, customer }, config))
     }
 
     /// Authenticates again right before sending: the key may have been revoked while the request
     /// waited or the machine was suspended.
-    pub(super) fn look_again(&self, node: &Node, route: &Route) -> Result<(), Denied> {
+    pub(super) fn reauthenticate(&self, node: &Node, route: &Route) -> Result<(), AuthError> {
         let catalog = node.state.borrow().catalog.clone();
-        let Some(catalog) = catalog.filter(|_| self.is_guarded) else { return Ok(()) };
-        let (now, _) = Identity::find(node, &catalog, route, self.shown.clone())?;
-        if now.customer == self.customer { Ok(()) } else { Err(Denied::Stranger) }
+        let Some(catalog) = catalog.filter(|_| self.has_customers) else { return Ok(()) };
+        let (current, _) = Identity::authenticate(node, &catalog, route, self.credentials.clone())?;
+        if current.customer == self.customer { Ok(()) } else { Err(AuthError::Unauthorized) }
     }
 
     /// The identity that is forwarded to engines.
-    pub(super) fn sent_by(&self) -> SentBy<'_> {
+    pub(super) fn for_upstream(&self) -> SentBy<'_> {
         match &self.customer {
             Some(name) => SentBy::Customer(name),
-            None if self.is_guarded => SentBy::Anybody,
+            None if self.has_customers => SentBy::Anybody,
             None => SentBy::Unknown,
         }
     }
 }
 
 /// Builds the response to an unauthorized request, which no engine has executed.
-pub(super) fn deny(node: &Node, id: &str, route: &Route, why: Denied) -> Answer {
-    match why {
-        Denied::NoProof => {
+pub(super) fn refuse_unauthorized(
+    node: &Node,
+    id: &str,
+    route: &Route,
+    error: AuthError,
+) -> Answer {
+    match error {
+        AuthError::StaleConfig => {
             meter::refused(route, Refusal::NoProof);
-            tell(node, id, route, &Refusal::NoProof);
-            super::refuse(node, Refusal::NoProof, super::NOT_READY)
+            log_denied(node, id, route, &Refusal::NoProof);
+            super::refuse(node, Refusal::NoProof, super::NOT_READY_RETRY_AFTER)
         }
-        Denied::Stranger => {
+        AuthError::Unauthorized => {
             meter::failed(route, "no valid key");
-            tell(node, id, route, &"no valid key");
-            let mut answer = own(StatusCode::UNAUTHORIZED, "no valid key");
-            node.dialects.callers.ask_for_key(answer.headers_mut());
-            answer
+            log_denied(node, id, route, &"no valid key");
+            let mut response = own(StatusCode::UNAUTHORIZED, "no valid key");
+            node.dialects.callers.ask_for_key(response.headers_mut());
+            response
         }
     }
 }
 
-fn tell(node: &Node, id: &str, route: &Route, why: &dyn std::fmt::Display) {
-    let name = &node.settings.borrow().node;
+fn log_denied(node: &Node, id: &str, route: &Route, reason: &dyn std::fmt::Display) {
+    let node_name = &node.settings.borrow().node;
     let fields: &[(&str, &dyn std::fmt::Display)] =
-        &[("node", name), ("id", &id), ("route", &route.name), ("why", why)];
+        &[("node", node_name), ("id", &id), ("route", &route.name), ("why", reason)];
     emit(Event::CallerDenied, fields);
 }
 
-impl Relayed {
+impl RelayedRequest {
     /// Checks before the first attempt that the caller is still authorized.
-    pub(super) fn is_allowed(&self) -> Result<(), Denied> {
-        self.identity.look_again(&self.node, &self.route)
+    pub(super) fn check_authorized(&self) -> Result<(), AuthError> {
+        self.identity.reauthenticate(&self.node, &self.route)
     }
 
-    pub(super) fn deny(&self, why: Denied) -> Answer {
-        self.told.set(true);
-        deny(&self.node, &self.call.id, &self.route, why)
+    pub(super) fn refuse_unauthorized(&self, error: AuthError) -> Answer {
+        self.is_logged.set(true);
+        refuse_unauthorized(&self.node, &self.info.id, &self.route, error)
     }
 }
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -1,13 +1,13 @@
 //! Proxies one caller request to an engine, from the request head to the end of the response.
 
 mod attempt;
-mod events;
-mod identify;
-mod pace;
-mod plain;
+mod buffered;
+mod event_buffer;
+mod event_timing;
+mod identity;
+mod outcome;
 mod request;
 mod stream;
-mod told;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 use crate::stop;
 use crate::stop::Active;
 
-use identify::Identity;
-use request::Relayed;
+use identity::Identity;
+use request::RelayedRequest;
 
 /// Retry delay for callers while the node has no configuration or engine list yet.
-const NOT_READY: Duration = Duration::from_millis(500);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 pub(crate) async fn answer(node: &Node, req: Request<Incoming>) -> Answer {
     let active = Active::begin(node);
@@ -36,27 +36,27 @@
         return refuse(node, Refusal::Stopping, Duration::ZERO);
     }
     let catalog = node.state.borrow().catalog.clone();
-    let listed = node.state.borrow().listed;
-    match catalog.filter(|_| listed) {
-        Some(catalog) => routed(node, active, catalog, req).await,
-        None => refuse(node, Refusal::NotReady, NOT_READY),
+    let has_engine_list = node.state.borrow().listed;
+    match catalog.filter(|_| has_engine_list) {
+        Some(catalog) => handle_routed(node, active, catalog, req).await,
+        None => refuse(node, Refusal::NotReady, NOT_READY_RETRY_AFTER),
     }
 }
 
-async fn routed(
+async fn handle_routed(
     node: &Node,
     active: Active,
     catalog: Arc<Catalog>,
     req: Request<Incoming>,
 ) -> Answer {
-    let arrived = tokio::time::Instant::now();
+    let received_at = tokio::time::Instant::now();
     let (head, body) = req.into_parts();
     let host = head.headers.get(http::header::HOST).and_then(|h| h.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
-    let Some(found) = catalog.find(host, head.uri.path(), random()) else {
+    let Some(matched) = catalog.find(host, head.uri.path(), random()) else {
         return own(StatusCode::NOT_FOUND, "no route");
     };
-    let (mut route, service) = (found.route.clone(), found.service.clone());
+    let (mut route, service) = (matched.route.clone(), matched.service.clone());
     let body = match Limited::new(body, catalog.limits.body).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<LengthLimitError>() => {
@@ -64,41 +64,45 @@
         }
         Err(_) => return own(StatusCode::BAD_REQUEST, "request body could not be read"),
     };
-    let call = match node.dialects.callers.read(&head) {
-        Ok(call) => call,
-        Err(bad) => return own(StatusCode::BAD_REQUEST, &bad.to_string()),
+    let info = match node.dialects.callers.read(&head) {
+        Ok(info) => info,
+        Err(invalid) => return own(StatusCode::BAD_REQUEST, &invalid.to_string()),
     };
-    let shown = node.dialects.callers.shown(&head);
-    let identity = match Identity::find(node, &catalog, &route, shown) {
+    let credentials = node.dialects.callers.shown(&head);
+    let identity = match Identity::authenticate(node, &catalog, &route, credentials) {
         Ok((identity, customer)) => {
             // The customer's priority overrides the route's.
             route.priority = customer.and_then(|c| c.priority).unwrap_or(route.priority);
             identity
         }
-        Err(why) => return identify::deny(node, &call.id, &route, why),
+        Err(error) => return identity::refuse_unauthorized(node, &info.id, &route, error),
     };
     let mut relayed =
-        Relayed::new(node, active, head, body, call, route, service, identity, arrived);
-    if let Err(none) = relayed.spend().await {
-        return match none {
-            NoAllowance::QuotaExceeded(wait) => relayed.refuse(Refusal::OverLimit, wait),
-            NoAllowance::NoResponse(wait) => relayed.refuse(Refusal::NoAllowance, wait),
+        RelayedRequest::new(node, active, head, body, info, route, service, identity, received_at);
+    if let Err(error) = relayed.charge_quota().await {
+        return match error {
+            NoAllowance::QuotaExceeded(retry_after) => {
+                relayed.refuse(Refusal::OverLimit, retry_after)
+            }
+            NoAllowance::NoResponse(retry_after) => {
+                relayed.refuse(Refusal::NoAllowance, retry_after)
+            }
         };
     }
     if relayed.route.kind.is_stream() {
-        stream::answer(relayed).await
+        stream::serve(relayed).await
     } else {
-        plain::answer(relayed).await
+        buffered::serve(relayed).await
     }
 }
 
 /// Rejects a request that no engine has executed, with a `Retry-After` delay.
-fn refuse(node: &Node, why: Refusal, wait: Duration) -> Answer {
-    let status = match why {
+fn refuse(node: &Node, reason: Refusal, retry_after: Duration) -> Answer {
+    let status = match reason {
         Refusal::OverLimit => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut answer = own(status, &why.to_string());
-    node.dialects.callers.come_back(answer.headers_mut(), come_back(wait, random()));
-    answer
+    let mut response = own(status, &reason.to_string());
+    node.dialects.callers.come_back(response.headers_mut(), come_back(retry_after, random()));
+    response
 }
--- /dev/null
+++ b/crates/gateway/src/relay/outcome.rs
@@ -0,0 +1,164 @@
+//! Logs and counts what happens to a request.
+
+use std::time::Duration;
+
+use hgw_direct::{EngineId, Refusal, Wanted};
+use hgw_events::{Event, emit};
+use http::StatusCode;
+
+use crate::answer::{Answer, own};
+use crate::meter;
+
+use super::event_timing::EventTiming;
+use super::refuse;
+use super::request::RelayedRequest;
+
+impl RelayedRequest {
+    /// The customer's name; empty if there is none.
+    fn customer_name(&self) -> &str {
+        self.identity.customer.as_ref().map_or("", |name| name.0.as_str())
+    }
+
+    pub(super) fn log_failed_attempt(
+        &self,
+        engine: &EngineId,
+        reason: &'static str,
+        took: Duration,
+    ) {
+        meter::attempt_failed(reason);
+        let estimate = self.node.engine(engine, |e| e.estimate(self.node.now()));
+        emit(
+            Event::TryFailed,
+            &[
+                ("node", &self.node.settings.borrow().node),
+                ("id", &self.info.id),
+                ("upstream", engine),
+                ("why", &reason),
+                ("ms", &took.as_millis()),
+                ("left_ms", &self.time_left().as_millis()),
+                ("runs", &self.runs),
+                ("at_engine", &estimate.unwrap_or_default()),
+            ],
+        );
+    }
+
+    /// Builds this node's error response to a request that an engine may have executed.
+    pub(super) fn fail(&self, status: StatusCode, reason: &str) -> Answer {
+        self.log_failed(status.as_u16(), reason);
+        own(status, reason)
+    }
+
+    pub(super) fn log_resumed(&self, from: &EngineId, to: &EngineId, last: u64) {
+        emit(
+            Event::RequestResumed,
+            &[
+                ("node", &self.node.settings.borrow().node),
+                ("id", &self.info.id),
+                ("from", from),
+                ("upstream", to),
+                ("after_event", &last),
+                ("ms", &self.received_at.elapsed().as_millis()),
+            ],
+        );
+    }
+
+    /// Logs that the caller got no complete response.
+    pub(super) fn log_failed(&self, status: u16, reason: &str) {
+        self.is_logged.set(true);
+        meter::failed(&self.route, reason);
+        let model_ref = self.model_ref().map(Wanted::to_string).unwrap_or_default();
+        emit(
+            Event::RequestFailed,
+            &[
+                ("node", &self.node.settings.borrow().node),
+                ("id", &self.info.id),
+                ("customer", &self.customer_name()),
+                ("route", &self.route.name),
+                ("wanted", &model_ref),
+                ("status", &status),
+                ("why", &reason),
+                ("ms", &self.received_at.elapsed().as_millis()),
+                ("runs", &self.runs),
+                ("rejected", &self.rejected),
+                ("unreached", &self.unreached),
+            ],
+        );
+    }
+
+    /// Logs that the caller left before the response was complete.
+    pub(super) fn log_caller_left(&self) {
+        meter::caller_left(&self.route);
+        let model_ref = self.model_ref().map(Wanted::to_string).unwrap_or_default();
+        let upstream = self.tried_engines.last().map(EngineId::to_string).unwrap_or_default();
+        emit(
+            Event::CallerLeft,
+            &[
+                ("node", &self.node.settings.borrow().node),
+                ("id", &self.info.id),
+                ("route", &self.route.name),
+                ("wanted", &model_ref),
+                ("upstream", &upstream),
+                ("ms", &self.received_at.elapsed().as_millis()),
+                ("runs", &self.runs),
+                ("rejected", &self.rejected),
+                ("unreached", &self.unreached),
+            ],
+        );
+    }
+
+    /// Logs a complete response and the load estimate of its engine.
+    pub(super) fn log_served(&self, engine: &EngineId, status: u16, timing: &EventTiming) {
+        self.is_logged.set(true);
+        meter::served(&self.route, status, self.received_at.elapsed());
+        let model_ref = self.model_ref().map(Wanted::to_string).unwrap_or_default();
+        let (estimate, own_requests) =
+            self.node.engine(engine, |e| (e.estimate(self.node.now()), e.own)).unwrap_or_default();
+        emit(
+            Event::RequestServed,
+            &[
+                ("node", &self.node.settings.borrow().node),
+                ("id", &self.info.id),
+                ("customer", &self.customer_name()),
+                ("route", &self.route.name),
+                ("wanted", &model_ref),
+                ("priority", &self.route.priority),
+                ("upstream", engine),
+                ("status", &status),
+                ("ms", &self.received_at.elapsed().as_millis()),
+                ("waited_ms", &self.prefill_wait.as_millis()),
+                ("pieces", &timing.pieces),
+                ("longest_pause_ms", &timing.max_gap.as_millis()),
+                ("runs", &self.runs),
+                ("at_engine", &estimate),
+                ("own_at_engine", &own_requests),
+            ],
+        );
+    }
+
+    /// Rejects a request that no engine has executed, with a `Retry-After` delay.
+    pub(super) fn refuse(&self, reason: Refusal, retry_after: Duration) -> Answer {
+        self.is_logged.set(true);
+        meter::refused(&self.route, reason);
+        if matches!(reason, Refusal::OverLimit | Refusal::NoAllowance) {
+            meter::quota_refused(self.customer_name(), reason);
+        }
+        let held_ms = self.received_at.elapsed().as_millis();
+        let model_ref = self.model_ref().map(Wanted::to_string).unwrap_or_default();
+        emit(
+            Event::RequestRefused,
+            &[
+                ("node", &self.node.settings.borrow().node),
+                ("id", &self.info.id),
+                ("customer", &self.customer_name()),
+                ("route", &self.route.name),
+                ("wanted", &model_ref),
+                ("why", &reason),
+                ("wait_ms", &retry_after.as_millis()),
+                ("held_ms", &held_ms),
+                ("unreached", &self.unreached),
+                ("rejected", &self.rejected),
+            ],
+        );
+        refuse(&self.node, reason, retry_after)
+    }
+}
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -23,56 +23,56 @@
 use crate::stop::Active;
 use crate::turn::Turn;
 
-use super::identify::Identity;
+use super::identity::Identity;
 
 /// Rejections by engines that a request may meet before it is given up.
-const MORE_REJECTED: u32 = 2;
+const MAX_REJECTED: u32 = 2;
 
 /// Unreachable engines that are skipped for one request.
-const MOST_UNREACHED: u32 = 6;
+const MAX_UNREACHED: u32 = 6;
 
 /// Share of the remaining time that a request waits for its model or adapter to be loaded. The rest
 /// lets the caller retry once.
-const WAIT_SHARE: f64 = 0.5;
+const PLACEMENT_WAIT_SHARE: f64 = 0.5;
 
 /// Limit of that wait, the larger of the two: callers abandon a stream that has not begun after two
 /// seconds or four objectives.
-const PATIENT_LEAST: Duration = Duration::from_millis(900);
-const PATIENT_OBJECTIVES: u32 = 2;
+const PLACEMENT_WAIT_FLOOR: Duration = Duration::from_millis(900);
+const PLACEMENT_WAIT_OBJECTIVES: u32 = 2;
 
 /// Retry delay after engines rejected a request and no other engine is left.
-pub(super) const REJECTED: Duration = Duration::from_millis(200);
+pub(super) const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Retry delay while a service has no engine.
-const NO_ENGINE: Duration = Duration::from_millis(300);
+const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Share of the route's objective that a request waits for an allowance; the rest is for the
 /// engine.
-const ALLOWANCE_SHARE: f64 = 0.5;
+const ALLOWANCE_WAIT_SHARE: f64 = 0.5;
 
 /// Longest random delay before a waiting request is sent after an engine has prefilled a prompt.
-const TURN_SPREAD: Duration = Duration::from_millis(6);
+const MAX_SEND_JITTER: Duration = Duration::from_millis(6);
 
 /// Interval between checks whether a model has been loaded.
-const PLACED_CHECK: Duration = Duration::from_millis(100);
+const PLACEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-pub(super) struct Relayed {
+pub(super) struct RelayedRequest {
     pub(super) node: Node,
     _active: Active,
     pub(super) head: Parts,
     pub(super) body: Bytes,
-    pub(super) call: Call,
+    pub(super) info: Call,
     pub(super) route: Route,
     pub(super) service: ServiceId,
     pub(super) identity: Identity,
     /// When the request head had been read.
-    pub(super) arrived: Instant,
+    pub(super) received_at: Instant,
     /// The same by the boot clock, which also runs while the machine is suspended.
-    arrived_by_boot: Duration,
+    received_at_boot: Duration,
     deadline: Deadline,
     /// When the deadline passes, unless the machine is suspended.
-    pub(super) end: Instant,
-    pub(super) tried: Vec<EngineId>,
+    pub(super) deadline_at: Instant,
+    pub(super) tried_engines: Vec<EngineId>,
     /// Attempts that an engine may have executed.
     pub(super) runs: u32,
     /// Attempts that an engine rejected.
@@ -80,119 +80,119 @@
     /// Attempts that did not reach an engine.
     pub(super) unreached: u32,
     /// An engine that does not have the model that it was listed with.
-    pub(super) refuted: Option<EngineId>,
+    pub(super) stale_engine: Option<EngineId>,
     /// Whether engines admit it before other requests of its service.
-    goes_first: bool,
+    has_precedence: bool,
     /// Time spent waiting for engines to prefill other prompts.
-    pub(super) waited: Duration,
+    pub(super) prefill_wait: Duration,
     /// The charge to the customer's limit.
-    spent: Option<Charge>,
+    charge: Option<Charge>,
     /// Whether the outcome has been logged.
-    pub(super) told: Cell<bool>,
+    pub(super) is_logged: Cell<bool>,
 }
 
-impl Drop for Relayed {
+impl Drop for RelayedRequest {
     fn drop(&mut self) {
-        if !self.told.get() {
-            self.caller_left();
+        if !self.is_logged.get() {
+            self.log_caller_left();
         }
     }
 }
 
-impl Relayed {
+impl RelayedRequest {
     #[expect(clippy::too_many_arguments, reason = "each is a part of the request, met once")]
     pub(super) fn new(
         node: &Node,
         active: Active,
         head: Parts,
         body: Bytes,
-        call: Call,
+        info: Call,
         route: Route,
         service: ServiceId,
         identity: Identity,
-        arrived: Instant,
-    ) -> Relayed {
-        let longest = call.deadline.map_or(route.timeout, |d| d.min(route.timeout));
-        let mut request = Relayed {
+        received_at: Instant,
+    ) -> RelayedRequest {
+        let timeout = info.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+        let mut request = RelayedRequest {
             node: Rc::clone(node),
             _active: active,
             head,
             body,
-            call,
+            info,
             route,
             service,
             identity,
-            arrived,
-            arrived_by_boot: boot_time().saturating_sub(arrived.elapsed()),
-            deadline: Deadline { longest },
-            end: arrived + longest,
-            tried: Vec::new(),
+            received_at,
+            received_at_boot: boot_time().saturating_sub(received_at.elapsed()),
+            deadline: Deadline { longest: timeout },
+            deadline_at: received_at + timeout,
+            tried_engines: Vec::new(),
             runs: 0,
             rejected: 0,
             unreached: 0,
-            refuted: None,
-            goes_first: false,
-            waited: Duration::ZERO,
-            spent: None,
-            told: Cell::new(false),
+            stale_engine: None,
+            has_precedence: false,
+            prefill_wait: Duration::ZERO,
+            charge: None,
+            is_logged: Cell::new(false),
         };
         let catalog = node.state.borrow().catalog.clone();
-        request.goes_first =
+        request.has_precedence =
             catalog.is_some_and(|c| c.has_less_urgent(&request.service, request.route.priority));
-        request.count();
+        request.count_request();
         request
     }
 
     /// Charges the request to its customer's limit.
-    pub(super) async fn spend(&mut self) -> Result<(), NoAllowance> {
+    pub(super) async fn charge_quota(&mut self) -> Result<(), NoAllowance> {
         let Some(customer) = self.identity.customer.clone() else { return Ok(()) };
-        let longest = self.route.objective.mul_f64(ALLOWANCE_SHARE);
-        self.spent = quotas::charge(&self.node, &customer, self.call.tokens, longest).await?;
+        let max_wait = self.route.objective.mul_f64(ALLOWANCE_WAIT_SHARE);
+        self.charge = quotas::charge(&self.node, &customer, self.info.tokens, max_wait).await?;
         Ok(())
     }
 
     /// Records whether an engine may execute the request from now on. The charge stays once any
     /// engine may have executed it.
-    pub(super) fn may_run(&self, may: bool) {
-        if let Some(spent) = &self.spent {
-            spent.set_may_have_run(may || self.runs > 0);
+    pub(super) fn set_may_run(&self, may_run: bool) {
+        if let Some(charge) = &self.charge {
+            charge.set_may_have_run(may_run || self.runs > 0);
         }
     }
 
     /// Counts the request for the retry budget and the demand for its model.
-    fn count(&self) {
+    fn count_request(&self) {
         let (now, limits) = (self.node.now(), self.node.budget_limits());
         let mut state = self.node.state.borrow_mut();
         state.budgets.entry(self.service.clone()).or_default().first(now, &limits);
-        let Some(wanted) = self.wanted() else { return };
-        state.asked_for(now, wanted, 1.0);
+        let Some(model_ref) = self.model_ref() else { return };
+        state.asked_for(now, model_ref, 1.0);
     }
 
     pub(super) fn prompt(&self) -> Option<&Prompt> {
-        self.call.prompt.as_ref()
+        self.info.prompt.as_ref()
     }
 
-    pub(super) fn wanted(&self) -> Option<&Wanted> {
+    pub(super) fn model_ref(&self) -> Option<&Wanted> {
         self.prompt().and_then(|p| p.wanted.as_ref())
     }
 
-    pub(super) fn left(&self) -> Duration {
-        let by_boot = boot_time().saturating_sub(self.arrived_by_boot);
-        self.deadline.left(self.arrived.elapsed(), by_boot)
+    pub(super) fn time_left(&self) -> Duration {
+        let elapsed_boot = boot_time().saturating_sub(self.received_at_boot);
+        self.deadline.left(self.received_at.elapsed(), elapsed_boot)
     }
 
     /// Whether enough time is left for an engine to begin.
-    pub(super) fn can_be_sent(&self) -> bool {
-        self.left() >= LEAST_TO_SEND
+    pub(super) fn has_time_to_send(&self) -> bool {
+        self.time_left() >= LEAST_TO_SEND
     }
 
     /// Whether another attempt is allowed after an engine rejected the request or may have executed
     /// it. Takes one retry from the budget that all nodes share.
-    pub(super) fn may_go_on(&self) -> bool {
-        if self.runs >= self.route.attempts || self.rejected > MORE_REJECTED {
+    pub(super) fn take_retry(&self) -> bool {
+        if self.runs >= self.route.attempts || self.rejected > MAX_REJECTED {
             return false;
         }
-        if !self.can_be_sent() {
+        if !self.has_time_to_send() {
             return false;
         }
         let (now, limits) = (self.node.now(), self.node.budget_limits());
@@ -201,28 +201,29 @@
         budget.take(now, &limits, self.route.priority <= 1)
     }
 
-    /// Whether another engine may be tried after one could not be reached.
-    pub(super) fn may_reach_on(&mut self) -> bool {
+    /// Counts an engine that could not be reached. Returns whether another one may be tried.
+    pub(super) fn may_skip_unreachable(&mut self) -> bool {
         self.unreached += 1;
-        self.unreached <= MOST_UNREACHED && self.can_be_sent()
+        self.unreached <= MAX_UNREACHED && self.has_time_to_send()
     }
 
     /// Chooses an engine; waits for a model or adapter that is being loaded.
-    pub(super) async fn choose(&mut self) -> Result<Choice, NoEngine> {
-        let began = Instant::now();
-        if self.until_read().await {
-            self.waited += began.elapsed();
-            meter::prefill_wait(&self.route, self.waited);
+    pub(super) async fn choose_engine(&mut self) -> Result<Choice, NoEngine> {
+        let started = Instant::now();
+        if self.wait_for_prefill().await {
+            self.prefill_wait += started.elapsed();
+            meter::prefill_wait(&self.route, self.prefill_wait);
         }
-        let longest = (self.route.objective * PATIENT_OBJECTIVES).max(PATIENT_LEAST);
-        let give_up = Instant::now() + self.left().mul_f64(WAIT_SHARE).min(longest);
+        let max_wait = (self.route.objective * PLACEMENT_WAIT_OBJECTIVES).max(PLACEMENT_WAIT_FLOOR);
+        let wait_until =
+            Instant::now() + self.time_left().mul_f64(PLACEMENT_WAIT_SHARE).min(max_wait);
         loop {
-            let found = self.choose_now();
-            let (Err(NoEngine::NotPlaced(_)), Some(wanted)) = (&found, self.wanted()) else {
-                return found;
+            let result = self.choose_now();
+            let (Err(NoEngine::NotPlaced(_)), Some(model_ref)) = (&result, self.model_ref()) else {
+                return result;
             };
-            let want = peers::want(&self.node, wanted, self.refuted.as_ref());
-            match timeout_at(give_up, want).await {
+            let placement = peers::want(&self.node, model_ref, self.stale_engine.as_ref());
+            match timeout_at(wait_until, placement).await {
                 Ok(Placement::Placed) => {
                     if let Ok(choice) = self.choose_now() {
                         return Ok(choice);
@@ -230,22 +231,22 @@
                 }
                 Ok(Placement::Coming(ms)) => {
                     // It will not be loaded in time: the response says when to retry.
-                    let wait = Duration::from_millis(ms);
-                    if Instant::now() + wait > give_up {
-                        return Err(NoEngine::NotPlaced(wait));
+                    let retry_after = Duration::from_millis(ms);
+                    if Instant::now() + retry_after > wait_until {
+                        return Err(NoEngine::NotPlaced(retry_after));
                     }
                 }
                 // This node reaches neither the engines that have the model nor the leader;
                 // another node may.
-                Ok(Placement::Unknown) if self.is_out_of_reach() => return found,
+                Ok(Placement::Unknown) if self.is_model_unreachable() => return result,
                 Ok(Placement::Unknown) => {}
-                Err(_) => return found,
+                Err(_) => return result,
             }
-            if let Some(choice) = self.until_placed(give_up).await {
+            if let Some(choice) = self.wait_for_placement(wait_until).await {
                 return Ok(choice);
             }
-            if Instant::now() >= give_up {
-                return found;
+            if Instant::now() >= wait_until {
+                return result;
             }
         }
     }
@@ -253,43 +254,44 @@
     /// Waits until one more prompt would not make the streams of an engine pause for too long,
     /// while the request's own first event can still be on time. Returns whether it waited. Retries
     /// do not wait.
-    async fn until_read(&self) -> bool {
-        let Some(gap) = self.route.gap.filter(|_| self.tried.is_empty()) else { return false };
-        let left = gap.mul_f64(Policy::default().gap_share);
-        let until = self.arrived + self.route.objective.saturating_sub(left);
-        let reads = |choice: Result<Choice, NoEngine>| choice == Err(NoEngine::Reading);
-        if Instant::now() >= until || !reads(self.choose_at(until)) {
+    async fn wait_for_prefill(&self) -> bool {
+        let Some(gap) = self.route.gap.filter(|_| self.tried_engines.is_empty()) else {
+            return false;
+        };
+        let expected_gap = gap.mul_f64(Policy::default().gap_share);
+        let until = self.received_at + self.route.objective.saturating_sub(expected_gap);
+        let is_busy = |choice: Result<Choice, NoEngine>| choice == Err(NoEngine::Reading);
+        if Instant::now() >= until || !is_busy(self.choose_until(until)) {
             return false;
         }
-        let Some(wanted) = self.wanted() else { return false };
-        let turn = Turn::enqueue(&self.node, &wanted.model, self.route.priority);
+        let Some(model_ref) = self.model_ref() else { return false };
+        let ticket = Turn::enqueue(&self.node, &model_ref.model, self.route.priority);
         loop {
-            let read = self.node.turns.next.notified();
-            if turn.is_first() && !reads(self.choose_at(until)) {
+            let changed = self.node.turns.next.notified();
+            if ticket.is_first() && !is_busy(self.choose_until(until)) {
                 return true;
             }
-            if timeout_at(until, read).await.is_err() {
+            if timeout_at(until, changed).await.is_err() {
                 return true;
             }
             // Several nodes are notified at the same moment; the delay lets the first one report
             // its send to the others.
-            sleep(TURN_SPREAD.mul_f64(random::<f64>())).await;
+            sleep(MAX_SEND_JITTER.mul_f64(random::<f64>())).await;
         }
     }
 
     /// Whether engines have the model but none of them is reachable.
-    fn is_out_of_reach(&self) -> bool {
+    fn is_model_unreachable(&self) -> bool {
         let (now, state) = (self.node.now(), self.node.state.borrow());
-        let Some(wanted) = self.wanted() else { return false };
-        let mut holders = state.engines.iter().filter(|e| e.takes_work() && e.holds(wanted));
-        holders.next().is_some_and(|e| e.judge.is_dark(now))
-            && holders.all(|e| e.judge.is_dark(now))
+        let Some(model_ref) = self.model_ref() else { return false };
+        let mut loaded = state.engines.iter().filter(|e| e.takes_work() && e.holds(model_ref));
+        loaded.next().is_some_and(|e| e.judge.is_dark(now)) && loaded.all(|e| e.judge.is_dark(now))
     }
 
     /// Waits briefly for the leader's updates about engines. Querying it after each change would
     /// cost many more queries than there are requests.
-    async fn until_placed(&self, give_up: Instant) -> Option<Choice> {
-        let until = give_up.min(Instant::now() + PLACED_CHECK);
+    async fn wait_for_placement(&self, wait_until: Instant) -> Option<Choice> {
+        let until = wait_until.min(Instant::now() + PLACEMENT_CHECK_INTERVAL);
         while timeout_at(until, self.node.placed.notified()).await.is_ok() {
             if let Ok(choice) = self.choose_now() {
                 return Some(choice);
@@ -299,38 +301,40 @@
     }
 
     pub(super) fn choose_now(&self) -> Result<Choice, NoEngine> {
-        self.choose_at(self.arrived)
+        self.choose_until(self.received_at)
     }
 
-    /// Chooses an engine. Before `waits_until`, fails with `NoEngine::Reading` if every engine has
+    /// Chooses an engine. Before `wait_until`, fails with `NoEngine::Reading` if every engine has
     /// too much to prefill.
-    fn choose_at(&self, waits_until: Instant) -> Result<Choice, NoEngine> {
+    fn choose_until(&self, wait_until: Instant) -> Result<Choice, NoEngine> {
         let state = self.node.state.borrow();
         let settings = self.node.settings.borrow();
-        let most = state.catalog.as_ref().and_then(|c| c.services.get(&self.service));
-        let conns = most.map_or(u32::MAX, |s| (s.max_conns / state.nodes.max(1)).max(1));
-        let ask = Ask {
+        let service = state.catalog.as_ref().and_then(|c| c.services.get(&self.service));
+        let max_conns = service.map_or(u32::MAX, |s| (s.max_conns / state.nodes.max(1)).max(1));
+        let params = Ask {
             service: &self.service,
             prompt: self.prompt(),
             domain: &settings.domain,
-            tried: &self.tried,
+            tried: &self.tried_engines,
             nodes: state.nodes,
-            conns,
-            goes_first: self.goes_first,
+            conns: max_conns,
+            goes_first: self.has_precedence,
             gap: self.route.gap,
-            waits: Instant::now() < waits_until,
+            waits: Instant::now() < wait_until,
             draw: random(),
             policy: Policy::default(),
         };
-        choose(&state.engines, &ask, self.node.now())
+        choose(&state.engines, &params, self.node.now())
     }
 
     /// Rejects a request that no engine has executed because none could be chosen.
-    pub(super) fn refuse_for(&self, why: NoEngine) -> Answer {
-        match why {
-            NoEngine::None | NoEngine::Reading => self.refuse(Refusal::NoEngine, NO_ENGINE),
-            NoEngine::NotPlaced(wait) => self.refuse(Refusal::NotPlaced, wait),
-            NoEngine::Full(wait) => self.refuse(Refusal::Full, wait),
+    pub(super) fn refuse_no_engine(&self, reason: NoEngine) -> Answer {
+        match reason {
+            NoEngine::None | NoEngine::Reading => {
+                self.refuse(Refusal::NoEngine, NO_ENGINE_RETRY_AFTER)
+            }
+            NoEngine::NotPlaced(retry_after) => self.refuse(Refusal::NotPlaced, retry_after),
+            NoEngine::Full(retry_after) => self.refuse(Refusal::Full, retry_after),
         }
     }
 }
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -13,74 +13,75 @@
 use crate::at_engine::AtEngine;
 use crate::meter;
 
-use super::attempt::{Begun, Tried, Waited};
-use super::events::Events;
-use super::pace::Pace;
-use super::request::{REJECTED, Relayed};
+use super::attempt::{AttemptResult, StartedResponse, WaitResult};
+use super::event_buffer::EventBuffer;
+use super::event_timing::EventTiming;
+use super::request::{REJECTED_RETRY_AFTER, RelayedRequest};
 
 /// Longest gap between two events from an engine that still responds on other connections, as a
 /// multiple of the route's maximum gap.
-const HUNG_PAUSES: u32 = 6;
+const HUNG_AFTER_GAPS: u32 = 6;
 
 /// The same for a route without a maximum gap.
-const HUNG: Duration = Duration::from_millis(1_000);
-
-pub(super) async fn answer(mut req: Relayed) -> Answer {
-    match begin(&mut req, None).await {
-        Ok(begun) => {
-            let mut answer = Response::new(AnswerBody::Whole(None));
-            let status = StatusCode::from_u16(begun.head.status);
-            *answer.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
-            *answer.headers_mut() = req.node.dialects.upstreams.answer(&begun.head);
-            answer.headers_mut().remove(CONTENT_LENGTH);
-            let flow = Flow::new(req, begun);
-            *answer.body_mut() = AnswerBody::Pieces(Box::pin(unfold(flow, Flow::step)));
-            answer
+const HUNG_AFTER_DEFAULT: Duration = Duration::from_millis(1_000);
+
+pub(super) async fn serve(mut req: RelayedRequest) -> Answer {
+    match start(&mut req, None).await {
+        Ok(started) => {
+            let mut response = Response::new(AnswerBody::Whole(None));
+            let status = StatusCode::from_u16(started.head.status);
+            *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
+            *response.headers_mut() = req.node.dialects.upstreams.answer(&started.head);
+            response.headers_mut().remove(CONTENT_LENGTH);
+            let stream = ResponseStream::new(req, started);
+            *response.body_mut() =
+                AnswerBody::Pieces(Box::pin(unfold(stream, ResponseStream::next_piece)));
+            response
         }
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
 /// Makes attempts until a response begins; a stream resumes after the event `last`.
-async fn begin(req: &mut Relayed, last: Option<u64>) -> Result<Begun, Answer> {
+async fn start(req: &mut RelayedRequest, last: Option<u64>) -> Result<StartedResponse, Answer> {
     let mut failure = None;
     loop {
-        let choice = match req.choose().await {
+        let choice = match req.choose_engine().await {
             Ok(choice) => choice,
-            Err(why) => return Err(ended(req, failure, why)),
+            Err(no_engine) => return Err(final_response(req, failure, no_engine)),
         };
-        match req.send(&choice.engine, last).await {
-            Tried::Begun(begun) => {
-                let failed = begun.head.status >= 500;
-                let goes_on = last.is_some();
-                if !failed && (!goes_on || begun.head.status == 200) {
-                    return Ok(*begun);
+        match req.attempt(&choice.engine, last).await {
+            AttemptResult::Started(started) => {
+                let is_failure = started.head.status >= 500;
+                let is_resumed = last.is_some();
+                if !is_failure && (!is_resumed || started.head.status == 200) {
+                    return Ok(*started);
                 }
-                begun.at_engine.saw(Verdict::Failed);
-                if !req.route.kind.may_repeat() || !req.may_go_on() {
-                    return Ok(*begun);
+                started.guard.record_outcome(Verdict::Failed);
+                if !req.route.kind.may_repeat() || !req.take_retry() {
+                    return Ok(*started);
                 }
                 failure = Some("the engine failed");
             }
-            Tried::NotSent => {
-                if !req.may_reach_on() {
-                    return Err(ended(req, failure, NoEngine::None));
+            AttemptResult::NotSent => {
+                if !req.may_skip_unreachable() {
+                    return Err(final_response(req, failure, NoEngine::None));
                 }
             }
-            Tried::NotRun => {
-                if !req.may_go_on() {
-                    return Err(ended(req, failure, NoEngine::Full(REJECTED)));
+            AttemptResult::NotRun => {
+                if !req.take_retry() {
+                    return Err(final_response(req, failure, NoEngine::Full(REJECTED_RETRY_AFTER)));
                 }
             }
-            Tried::Denied(why) => return Err(req.deny(why)),
-            Tried::Stalled => failure = Some("the engine went silent"),
-            Tried::Lost => {
+            AttemptResult::Unauthorized(error) => return Err(req.refuse_unauthorized(error)),
+            AttemptResult::Stalled => failure = Some("the engine went silent"),
+            AttemptResult::NoResponse => {
                 failure = Some("the engine failed");
-                if !req.route.kind.may_repeat() || !req.may_go_on() {
-                    return Err(ended(req, failure, NoEngine::None));
+                if !req.route.kind.may_repeat() || !req.take_retry() {
+                    return Err(final_response(req, failure, NoEngine::None));
                 }
             }
-            Tried::TimeOver => {
+            AttemptResult::TimedOut => {
                 return Err(req.fail(StatusCode::GATEWAY_TIMEOUT, "no answer in time"));
             }
         }
@@ -88,152 +89,156 @@
 }
 
 /// The response when no other engine is tried.
-fn ended(req: &Relayed, failure: Option<&'static str>, why: NoEngine) -> Answer {
+fn final_response(
+    req: &RelayedRequest,
+    failure: Option<&'static str>,
+    no_engine: NoEngine,
+) -> Answer {
     match failure {
-        Some(failure) => req.fail(StatusCode::BAD_GATEWAY, failure),
+        Some(reason) => req.fail(StatusCode::BAD_GATEWAY, reason),
         None if req.runs > 0 => req.fail(StatusCode::BAD_GATEWAY, "no engine is left"),
-        None => req.refuse_for(why),
+        None => req.refuse_no_engine(no_engine),
     }
 }
 
 /// A response that is being streamed.
-struct Flow {
-    req: Relayed,
+struct ResponseStream {
+    req: RelayedRequest,
     engine: EngineId,
     /// `None` once the response is complete, and between two engines.
     conn: Option<Conn>,
     body: Body,
-    events: Events,
+    events: EventBuffer,
     /// Whether the body consists of events; an error body is passed on unchanged.
     is_events: bool,
-    at_engine: AtEngine,
-    over: bool,
-    pace: Pace,
+    guard: AtEngine,
+    is_finished: bool,
+    timing: EventTiming,
 }
 
-impl Flow {
-    fn new(req: Relayed, begun: Begun) -> Flow {
-        let Begun { engine, conn, head, at_engine } = begun;
+impl ResponseStream {
+    fn new(req: RelayedRequest, started: StartedResponse) -> ResponseStream {
+        let StartedResponse { engine, conn, head, guard } = started;
         let is_events = is_events(&head);
         let body = Body::new(head.framing);
-        let events = Events::default();
-        Flow {
+        let events = EventBuffer::default();
+        ResponseStream {
             req,
             engine,
             conn: Some(conn),
             body,
             events,
             is_events,
-            at_engine,
-            over: false,
-            pace: Pace::begin(),
+            guard,
+            is_finished: false,
+            timing: EventTiming::start(),
         }
     }
 
     /// Reads the next piece for the caller.
-    async fn step(mut self) -> Option<(Result<Bytes, BrokenOff>, Flow)> {
-        if self.over {
+    async fn next_piece(mut self) -> Option<(Result<Bytes, BrokenOff>, ResponseStream)> {
+        if self.is_finished {
             return None;
         }
         loop {
-            let read = self.read().await;
+            let read = self.read_chunk().await;
             match read {
-                Waited::Done(Ok(Some(bytes))) => {
+                WaitResult::Done(Ok(Some(bytes))) => {
                     self.req.node.heard(&self.engine);
                     let ready = if self.is_events { self.events.push(bytes) } else { Some(bytes) };
                     if let Some(bytes) = ready {
-                        self.pace.piece();
-                        if self.pace.pieces == 1 {
-                            meter::first_piece(&self.req.route, self.req.arrived.elapsed());
+                        self.timing.record_piece();
+                        if self.timing.pieces == 1 {
+                            meter::first_piece(&self.req.route, self.req.received_at.elapsed());
                         }
                         return Some((Ok(bytes), self));
                     }
                 }
-                Waited::Done(Ok(None)) if !self.events.has_half() => {
+                WaitResult::Done(Ok(None)) if !self.events.has_partial() => {
                     self.finish();
                     return None;
                 }
-                Waited::TimeOver => return Some(self.break_off()),
-                Waited::Stalled => {
-                    self.req.lost(&self.engine);
-                    if !self.move_on().await {
-                        return Some(self.break_off());
+                WaitResult::TimedOut => return Some(self.abort()),
+                WaitResult::Stalled => {
+                    self.req.report_unreachable(&self.engine);
+                    if !self.resume().await {
+                        return Some(self.abort());
                     }
                 }
-                Waited::StartedAnew | Waited::Done(Ok(None) | Err(_)) => {
-                    self.at_engine.saw(Verdict::Failed);
+                WaitResult::EngineRestarted | WaitResult::Done(Ok(None) | Err(_)) => {
+                    self.guard.record_outcome(Verdict::Failed);
                     self.req.node.broke(&self.engine);
-                    if !self.go_on().await {
-                        return Some(self.break_off());
+                    if !self.retry_and_resume().await {
+                        return Some(self.abort());
                     }
                 }
             }
         }
     }
 
-    async fn read(&mut self) -> Waited<hgw_http1::Result<Option<Bytes>>> {
+    async fn read_chunk(&mut self) -> WaitResult<hgw_http1::Result<Option<Bytes>>> {
         let req = &self.req;
-        let Some(conn) = &mut self.conn else { return Waited::Done(Ok(None)) };
+        let Some(conn) = &mut self.conn else { return WaitResult::Done(Ok(None)) };
         let chunk = conn.chunk(&mut self.body);
-        let may_move = req.route.kind.may_repeat() && req.runs < req.route.attempts;
-        if !may_move || !self.is_events {
-            return req.at(&self.at_engine, chunk).await;
+        let may_resume = req.route.kind.may_repeat() && req.runs < req.route.attempts;
+        if !may_resume || !self.is_events {
+            return req.unless_engine_restarts(&self.guard, chunk).await;
         }
-        let hung = req.route.gap.map_or(HUNG, |gap| gap * HUNG_PAUSES);
+        let hung = req.route.gap.map_or(HUNG_AFTER_DEFAULT, |gap| gap * HUNG_AFTER_GAPS);
         let chunk = std::pin::pin!(chunk);
-        req.unless_silent(&self.at_engine, hung, chunk).await
+        req.unless_unresponsive(&self.guard, hung, chunk).await
     }
 
     /// Resumes on another engine after the last complete event, if the retry budget allows it.
-    async fn go_on(&mut self) -> bool {
+    async fn retry_and_resume(&mut self) -> bool {
         let req = &mut self.req;
-        if !self.is_events || !req.route.kind.may_repeat() || !req.may_go_on() {
+        if !self.is_events || !req.route.kind.may_repeat() || !req.take_retry() {
             return false;
         }
-        self.move_on().await
+        self.resume().await
     }
 
     /// Resumes on another engine; the retry has been taken from the retry budget.
-    async fn move_on(&mut self) -> bool {
+    async fn resume(&mut self) -> bool {
         // Closes the connection, which ends the request at the previous engine.
         self.conn = None;
-        self.events.drop_half();
+        self.events.discard_partial();
         let req = &mut self.req;
-        let last = self.events.last().or(req.call.last_event).unwrap_or(0);
-        let begun = match begin(req, Some(last)).await {
-            Ok(begun) if begun.head.status == 200 && is_events(&begun.head) => begun,
+        let last = self.events.last_id().or(req.info.last_event).unwrap_or(0);
+        let started = match start(req, Some(last)).await {
+            Ok(started) if started.head.status == 200 && is_events(&started.head) => started,
             Ok(_) | Err(_) => return false,
         };
-        req.resumed(&self.engine, &begun.engine, last);
-        self.body = Body::new(begun.head.framing);
-        self.engine = begun.engine;
-        self.conn = Some(begun.conn);
-        self.at_engine = begun.at_engine;
+        req.log_resumed(&self.engine, &started.engine, last);
+        self.body = Body::new(started.head.framing);
+        self.engine = started.engine;
+        self.conn = Some(started.conn);
+        self.guard = started.guard;
         true
     }
 
     fn finish(&mut self) {
-        self.over = true;
-        self.at_engine.saw(if self.is_events { Verdict::Good } else { Verdict::Failed });
-        if let Some(mean) = self.pace.mean() {
-            self.at_engine.saw_events(mean);
+        self.is_finished = true;
+        self.guard.record_outcome(if self.is_events { Verdict::Good } else { Verdict::Failed });
+        if let Some(mean_gap) = self.timing.mean_gap() {
+            self.guard.record_event_interval(mean_gap);
         }
         if let Some(conn) = self.conn.take() {
-            self.at_engine.keep(conn);
+            self.guard.return_connection(conn);
         }
-        self.req.served(&self.engine, 200, &self.pace);
+        self.req.log_served(&self.engine, 200, &self.timing);
     }
 
-    fn break_off(mut self) -> (Result<Bytes, BrokenOff>, Flow) {
-        self.over = true;
-        self.req.failed(200, "broken off");
+    fn abort(mut self) -> (Result<Bytes, BrokenOff>, ResponseStream) {
+        self.is_finished = true;
+        self.req.log_failed(200, "broken off");
         (Err(BrokenOff), self)
     }
 }
 
 fn is_events(head: &Head) -> bool {
-    let kind = head.headers.get(http::header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
+    let content_type = head.headers.get(http::header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
     head.status == 200
         && head.framing != Framing::Length(0)
-        && kind.is_some_and(|k| k.starts_with("text/event-stream"))
+        && content_type.is_some_and(|t| t.starts_with("text/event-stream"))
 }
