--- a/crates/direct/src/budget.rs
+++ b/crates/direct/src/budget.rs
@@ -1,28 +1,27 @@
+//! Limits how many retries a node sends, as its share of a budget that all nodes have in common.
+
 use std::collections::VecDeque;
 
 use crate::Millis;
 
-/// What all nodes together may send beyond the first of each request.
+/// Retry budget of all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
-    /// Share of the requests.
+    /// Retries per request.
     pub ratio: f64,
-    /// Arrivals beyond that share, over all nodes.
+    /// Retries allowed beyond that ratio, over all nodes.
     pub slack: f64,
-    /// The time over which both are counted.
     pub window: Millis,
-    /// Nodes that share them.
+    /// Nodes that share the budget.
     pub nodes: u32,
 }
 
-/// Part of its share that a node uses: requests are counted where they were sent by their callers, a
-/// moment before they arrive, and a window may begin at any time.
+/// Part of its share that a node uses. It covers the delay between a retry and its arrival, which
+/// may fall into another window.
 const USED_SHARE: f64 = 0.8;
 
-/// The share of one node in a service's budget of second tries.
-///
-/// Load: a failing engine or a burst of refusals makes every node try again at once. Without a limit the
-/// second tries double the load on what is left.
+/// One node's share of a service's retry budget; keeps retries from multiplying the load on the
+/// remaining engines when one fails.
 #[derive(Debug, Clone, Default)]
 pub struct Budget {
     firsts: VecDeque<Millis>,
@@ -30,13 +29,12 @@
 }
 
 impl Budget {
-    /// A request was taken.
     pub fn first(&mut self, now: Millis, limits: &BudgetLimits) {
         self.firsts.push_back(now);
         self.expire(now, limits);
     }
 
-    /// Second tries that may still be made now.
+    /// Number of retries that may still be sent now.
     pub fn left(&mut self, now: Millis, limits: &BudgetLimits) -> f64 {
         self.expire(now, limits);
         let slack = limits.slack / f64::from(limits.nodes.max(1));
@@ -44,8 +42,8 @@
         allowed - self.again.len() as f64
     }
 
-    /// Takes one second try, or says that there is none. What is `urgent` may use all; the rest leaves
-    /// a quarter of the share to it.
+    /// Consumes one retry; returns false if none is left. A quarter of the slack is reserved for
+    /// `urgent` requests.
     pub fn take(&mut self, now: Millis, limits: &BudgetLimits, urgent: bool) -> bool {
         let slack = limits.slack / f64::from(limits.nodes.max(1));
         let kept = if urgent { 0.0 } else { 0.25 * USED_SHARE * slack };
--- a/crates/direct/src/choose.rs
+++ b/crates/direct/src/choose.rs
@@ -1,3 +1,5 @@
+//! Chooses the engine for a request.
+
 use std::cell::LazyCell;
 use std::time::Duration;
 
@@ -5,79 +7,76 @@
 
 use crate::{Engine, EngineId, Engines, Millis, Prompt, ServiceId};
 
-/// What a choice is made for.
+/// What an engine is chosen for.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// The service.
     pub service: &'a ServiceId,
-    /// The prompt, where the service has models.
+    /// Set if the service has models.
     pub prompt: Option<&'a Prompt>,
     /// Failure domain of this node.
     pub domain: &'a str,
-    /// Engines that were tried already.
+    /// Engines that this request was already sent to.
     pub tried: &'a [EngineId],
-    /// Nodes that send to the same engines.
+    /// Number of nodes that send to the same engines.
     pub nodes: u32,
-    /// Most connections that this node may have with one engine.
+    /// Maximum number of connections from this node to one engine.
     pub conns: u32,
-    /// Whether less urgent requests go to the same service: engines admit this one before those that wait.
+    /// Whether less urgent requests go to the same service. Engines admit this request before those
+    /// that wait.
     pub goes_first: bool,
-    /// Longest pause between two events that is on time.
+    /// Target for the longest gap between two events of a stream.
     pub gap: Option<Duration>,
-    /// Whether the request can wait until an engine has read what it has to read.
+    /// Whether the request can wait for engines to finish prefill.
     pub waits: bool,
-    /// A draw in `0..1` that parts nodes which see the same.
+    /// Uniform random number in `0..1`; makes nodes with the same data choose different engines.
     pub draw: f64,
-    /// What counts against an engine.
     pub policy: Policy,
 }
 
-/// The engine to send to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// The engine.
     pub engine: EngineId,
-    /// Expected time until it begins, in milliseconds, with what counts against it.
+    /// Expected time to the first byte, with penalties, in milliseconds.
     pub cost_ms: f64,
-    /// Requests that are probably there.
+    /// Estimated number of requests at the engine.
     pub estimate: f64,
 }
 
-/// Why there is none.
+/// Why no engine was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoEngine {
-    /// The service has no engine that takes work.
+    /// The service has no engine that accepts requests.
     None,
-    /// None of them holds the model, or the adapter; come back after this time.
+    /// No engine has loaded the model or adapter; retry after this time.
     NotPlaced(Duration),
-    /// All that hold it have so many prompts to read that one more makes their streams pause for too long.
+    /// One more prompt would delay the streams of every suitable engine for too long.
     Reading,
-    /// All that hold it are full, tried, or cannot be reached; come back after this time.
+    /// All suitable engines are full, already tried or unreachable; retry after this time.
     Full(Duration),
 }
 
-/// What speaks against an engine, in milliseconds.
+/// Costs that are added up to compare engines, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Time to a first token that a full batch adds to that of an idle engine, each step of which takes longer.
+    /// Additional time to the first token in a full batch, compared with an idle engine.
     pub full_batch_ms: f64,
-    /// Time that one request waits for each request before it in a queue, times the slots.
+    /// Queueing time per queued request, times the number of slots.
     pub queued_ms: f64,
-    /// By how much prompts that wait to be read count more than the time that they take: a new prompt waits for
-    /// them, and each stream that runs there pauses for as long.
+    /// Weight of the prefill backlog. It is above 1 because prefill also delays the streams that
+    /// run there.
     pub reading_weight: f64,
-    /// Part of the longest pause that is on time up to which prompts are sent to an engine that runs streams: what
-    /// other nodes send at the same moment is not known yet.
+    /// Part of the event gap target that expected pauses may use up. The rest covers requests that
+    /// other nodes send at the same moment.
     pub gap_share: f64,
-    /// What sending to another failure domain costs: the way there and back, and the price of its bytes.
+    /// Cost of sending to another failure domain: latency and traffic.
     pub other_domain_ms: f64,
-    /// What reading a whole prompt anew costs against going where its parts are kept.
+    /// Cost of prefill at an engine that does not have the prompt's prefix cached.
     pub prefix_ms: f64,
-    /// What a request that fails costs: it is sent again, or lost.
+    /// Cost of a request that fails.
     pub failure_ms: f64,
-    /// What a newly started engine that still reads its weights from slow memory costs.
+    /// Cost of an engine that is still warming up after its start.
     pub cold_ms: f64,
-    /// Spread of the draw, so that nodes that see the same do not all choose the same.
+    /// Range of the random cost that spreads nodes with the same data over several engines.
     pub draw_ms: f64,
 }
 
@@ -97,35 +96,31 @@
     }
 }
 
-/// When a caller comes back whose model is nowhere, as long as nobody knows better.
+/// Retry time for a model that is not loaded anywhere, if nothing better is known.
 const PLACED_WITHIN: Duration = Duration::from_millis(1_000);
 
-/// Nodes that may all look at all engines.
+/// Up to this number of nodes, each request considers all engines.
 const FEW_NODES: u32 = 12;
 
-/// Part of the engines that each request is chosen among where there are more nodes: two or three of the
-/// usual number of copies, which balances nearly as well as looking at all and needs no fresh knowledge.
+/// With more nodes, each request considers this part of the engines, chosen at random, so that
+/// nodes with the same slightly outdated data do not all choose the same engine.
 const LOOKED_AT: f64 = 0.4;
 
-/// Copies that each request looks at where there are so many: with fewer, the idle one of two would be passed over by
-/// every third request.
+/// Minimum number of engines that each request considers, so that an idle copy is rarely skipped.
 const LEAST_LOOKED_AT: usize = 3;
 
-/// Requests that may wait at an engine beyond its slots before others are asked to come back.
+/// Requests that may queue at an engine before it counts as full, as a part of its slots.
 const QUEUE_SHARE: f64 = 1.0;
 
-/// The same before requests that engines admit first are asked to come back.
-///
-/// Load: a third of the engines is lost, and the others are full of the least urgent requests, which are the longest.
-/// Refused by the same measure, the urgent ones, of which there are most, were refused most: 16 in 100, where of the
-/// least urgent 8 in 100 were. They wait for the next slot only; those beyond the measure go before those below it.
+/// The same for requests that engines admit before others. Prevents urgent requests from being
+/// refused because less urgent ones fill the queues.
 const QUEUE_SHARE_FIRST: f64 = 1.75;
 
-/// What nodes say of loads against what engines say, beyond which the engines are believed: they tell up to two seconds
-/// earlier, in which a burst doubles what is there.
+/// If the loads reported by nodes exceed those reported by engines by more than this factor, the
+/// engines are trusted. Smaller differences come from the age of the engines' reports.
 const MOST_OVERSTATED: f64 = 2.5;
 
-/// Chooses the engine with the least expected time to the first byte.
+/// Chooses the engine with the lowest expected time to the first byte.
 pub fn choose(engines: &Engines, ask: &Ask<'_>, now: Millis) -> Result<Choice, NoEngine> {
     let mut found = NoEngine::None;
     let mut best: Option<((bool, bool), Choice)> = None;
@@ -138,12 +133,12 @@
         if found == NoEngine::None {
             found = NoEngine::NotPlaced(PLACED_WITHIN);
         }
+        // Another node probes an engine that is reported unreachable; it is not tried here.
         let wanted = ask.prompt.and_then(|p| p.wanted.as_ref());
-        // One that another node looks at again and again need not be tried: what it holds is nowhere meanwhile.
         if wanted.is_some_and(|w| !engine.holds(w)) || engine.judge.is_dark(now) {
             continue;
         }
-        // One that has told nothing is not idle: nobody here has sent there of late.
+        // An engine without a known load is assumed to have the mean load, not to be idle.
         let estimate = engine.known_load(now).unwrap_or_else(|| mean.max(f64::from(engine.own)));
         let queue = if ask.goes_first { QUEUE_SHARE_FIRST } else { QUEUE_SHARE };
         let room = f64::from(engine.listed.slots) * (1.0 + queue);
@@ -155,11 +150,12 @@
         }
         let cost = cost(engine, estimate, ask, home, now);
         let choice = Choice { engine: engine.listed.id.clone(), cost_ms: cost, estimate };
-        // Many nodes that know the same a little late would all choose the same: each looks at some only.
+        // Each request considers some engines only, so that many nodes do not all choose the same
+        // one.
         let passed_over = draw_of(ask.draw, &engine.listed.id) > looked_at;
-        // An engine that could not be reached is the last resort.
+        // Ejected engines are the last resort.
         let alone = engine.judge.is_left_alone(now) || passed_over;
-        // One that would pause its streams for too long comes after those that would not.
+        // Engines whose streams would pause for too long rank after the others.
         let pauses = ask.gap.is_some_and(|gap| {
             tokens > 0
                 && engine.longest_pause(tokens, now)
@@ -180,7 +176,7 @@
     }
 }
 
-/// The highest draw of the copies that this request looks at.
+/// The highest random number of the engines that this request considers.
 fn looked_at(engines: &Engines, ask: &Ask<'_>, now: Millis) -> f64 {
     if ask.nodes <= FEW_NODES {
         return 1.0;
@@ -210,18 +206,15 @@
     batch + queue + reading + domain + prefix + failing + cold + chance
 }
 
-/// Mean load of the engines whose load is known.
+/// Mean of the loads that are known.
 fn mean_load(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
     let known = engines.of(service).filter_map(|e| e.known_load(now));
     let (count, sum) = known.fold((0_u32, 0.0), |(count, sum), load| (count + 1, sum + load));
     if count == 0 { 0.0 } else { sum / f64::from(count) }
 }
 
-/// By how much the loads that nodes tell each other exceed those that the same engines told; 1 where they agree.
-///
-/// Load: two nodes count the same requests twice over, and the engines tell all the while that they have places. What
-/// nodes say of an engine is no ground to refuse requests where the engines say otherwise; what rejections tell is soon
-/// among what they say.
+/// Factor by which the loads reported by nodes exceed those reported by the same engines; 1 if they
+/// roughly agree. Prevents refusals while nodes count the same requests more than once.
 fn overstated(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
     let both = engines.of(service).filter(|e| e.elsewhere.is_some() && e.takes_work());
     let both = both.filter_map(|e| Some((e.known_load(now)?, e.told_load(now)?)));
@@ -230,18 +223,18 @@
     if by > MOST_OVERSTATED { by } else { 1.0 }
 }
 
-/// A draw for one engine in `0..1`, from the draw for the request.
+/// Random number in `0..1` for one engine, derived from that of the request.
 fn draw_of(draw: f64, engine: &EngineId) -> f64 {
     rank(draw.to_bits(), engine)
 }
 
-/// Names what a prompt shares with others of its session.
+/// Identifies the prompts of one session, which share a prefix.
 fn home_key(prompt: &Prompt) -> u64 {
     prompt.parts.last().map_or(0, |part| part.id)
 }
 
-/// Rendezvous: the engine with the least rank is the home of the key, and stays so while others come
-/// and go.
+/// Rendezvous hash: the engine with the lowest rank is preferred for the key, and stays so while
+/// other engines come and go.
 fn rank(key: u64, engine: &EngineId) -> f64 {
     let mut bytes = key.to_le_bytes().to_vec();
     bytes.extend_from_slice(engine.0.as_bytes());
--- a/crates/direct/src/judge.rs
+++ b/crates/direct/src/judge.rs
@@ -1,57 +1,55 @@
+//! Tracks the health of an engine by the outcomes of requests.
+
 use derive_more::Display;
 
 use crate::Millis;
 
-/// How an engine's answer to a request counts.
+/// Outcome of a request to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// A whole answer.
+    /// A complete response.
     Good,
-    /// It said that it is full.
+    /// The engine rejected the request because it is full.
     Full,
-    /// It failed, broke off, or sent what is no answer.
+    /// An error, an incomplete response or an invalid one.
     Failed,
-    /// It could not be reached, or went silent.
+    /// The engine could not be reached or stopped responding.
     Silent,
 }
 
-/// What is thought of an engine.
+/// Health state, as shown in logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display)]
 pub enum Opinion {
-    /// It answers.
     #[default]
     #[display("well")]
     Well,
-    /// It fails much of what it is sent.
     #[display("failing")]
     Failing,
-    /// It could not be reached, and is left alone for a while.
+    /// It could not be reached and gets no requests until its ejection ends.
     #[display("left alone")]
     LeftAlone,
 }
 
-/// Part of the requests from which an engine counts as failing, for those who read of it.
+/// Failure rate from which an engine is reported as failing.
 const FAILING: f64 = 0.25;
 
-/// Time after which half of what was seen is forgotten.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// First time for which an engine that cannot be reached is left alone.
+/// Initial ejection time, which doubles with each further failure to reach the engine.
 const FIRST_PAUSE: Millis = 250;
 
-/// Longest such time: an engine that is back must be found within it.
+/// Maximum ejection time; limits how long it takes to notice that an engine is back.
 const LONGEST_PAUSE: Millis = 2_000;
 
-/// Time after it was left alone for which an engine that nothing was sent to still counts as silent.
+/// Time after its ejection for which an engine without requests still counts as unreachable.
 const SILENT_FOR: Millis = 2_000;
 
-/// Answers that are assumed good before the first one has come, so that one failure does not condemn.
+/// Successes that are assumed in advance, so that a single failure does not make an engine failing.
 const PRIOR: f64 = 2.0;
 
-/// What an engine's answers say of it; its own word on its health is only a hint.
+/// Health of an engine, from exponentially decaying counts of outcomes.
 ///
-/// Load: an engine that fails part of its requests is the quickest to answer and draws the more of them
-/// the more it fails.
+/// Prevents an engine that fails quickly from attracting more requests because it looks idle.
 #[derive(Debug, Clone, Default)]
 pub struct Judge {
     good: f64,
@@ -59,13 +57,13 @@
     at: Millis,
     silent_in_a_row: u32,
     left_alone_until: Millis,
-    /// Up to when it is left alone on the word of another node.
+    /// End of the ejection that another node has reported.
     dark_until: Millis,
     opinion: Opinion,
 }
 
 impl Judge {
-    /// Takes in what became of a request; tells what is thought of the engine where that has changed.
+    /// Records an outcome; returns the health state if it changed.
     pub fn saw(&mut self, now: Millis, verdict: Verdict) -> Option<Opinion> {
         self.decay(now);
         match verdict {
@@ -89,7 +87,6 @@
         (opinion != before).then_some(opinion)
     }
 
-    /// What is thought of it now.
     pub fn opinion(&self, now: Millis) -> Opinion {
         if self.is_left_alone(now) {
             Opinion::LeftAlone
@@ -100,35 +97,36 @@
         }
     }
 
-    /// Another node could not reach it.
+    /// Another node could not reach the engine and probes it.
     pub fn told_dark(&mut self, until: Millis) {
         self.dark_until = until;
     }
 
-    /// Another node has reached it.
+    /// Another node has reached the engine again.
     pub fn told_back(&mut self) {
         self.silent_in_a_row = 0;
         self.left_alone_until = 0;
         self.dark_until = 0;
     }
 
-    /// Whether another node could not reach it and looks whether it is back, so that nobody else need try.
+    /// Whether another node reports the engine as unreachable and probes it, so that this node need
+    /// not.
     pub fn is_dark(&self, now: Millis) -> bool {
         now < self.dark_until
     }
 
-    /// Part of the requests that it is expected to fail.
+    /// Expected failure rate.
     pub fn failing(&self, now: Millis) -> f64 {
         let keep = decay(now.saturating_sub(self.at));
         self.bad * keep / (PRIOR + (self.good + self.bad) * keep)
     }
 
-    /// Whether it is to be left alone now, because it could not be reached.
+    /// Whether the engine gets no requests now, as it could not be reached.
     pub fn is_left_alone(&self, now: Millis) -> bool {
         now < self.left_alone_until || self.is_dark(now)
     }
 
-    /// Whether it could not be reached when that was last tried.
+    /// Whether the latest attempt to reach the engine failed.
     pub fn is_silent(&self, now: Millis) -> bool {
         let silent = self.silent_in_a_row > 0 && now < self.left_alone_until + SILENT_FOR;
         silent || self.is_dark(now)
--- a/crates/direct/src/reach.rs
+++ b/crates/direct/src/reach.rs
@@ -1,18 +1,20 @@
+//! Detects that a node is isolated from the other failure domains.
+
 use crate::{Engines, Millis};
 
-/// Part of the engines of other failure domains that is out of reach of a node that is cut off.
+/// Part of the engines of other failure domains that an isolated node cannot reach.
 const OUT_OF_REACH: f64 = 0.8;
 
-/// Fewest engines by which that is judged.
+/// Minimum number of engines to decide by.
 const FEWEST: usize = 3;
 
-/// Silence of the store that goes with it: of the reads that wait there one ends twice a second.
+/// Time without an answer from the store; reads of the store's logs end twice per second.
 const STORE_SILENT: Millis = 1_200;
 
-/// Whether a node is cut off: it reaches neither the store nor the engines of other failure domains. Its
-/// callers still reach it, and nodes elsewhere would serve them; it has only to say that it is not ready.
+/// Whether the node reaches neither the store nor the engines of other failure domains. It then
+/// reports that it is not ready, so that callers go to other nodes.
 ///
-/// The store alone does not tell: while it is down every node would say so, and nobody would be served.
+/// The store alone is not enough: during a store outage all nodes would report not ready.
 pub fn is_cut_off(store_silent_for: Millis, engines: &Engines, domain: &str, now: Millis) -> bool {
     let others = engines.iter().filter(|e| e.takes_work() && e.listed.domain != domain);
     let (mut all, mut silent) = (0, 0);
--- a/crates/direct/src/refuse.rs
+++ b/crates/direct/src/refuse.rs
@@ -1,46 +1,46 @@
+//! Reasons for which requests are refused.
+
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// Why a request was not run.
+/// Why a request was not run. The texts are labels of metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Refusal {
-    /// No configuration or no list of engines yet.
+    /// There is no configuration or no list of engines yet.
     #[display("not ready")]
     NotReady,
-    /// This node is about to end.
+    /// This node is shutting down.
     #[display("stopping")]
     Stopping,
     /// No engine of the service can be reached.
     #[display("no engine")]
     NoEngine,
-    /// No engine holds the model, and none will in time.
+    /// No engine has loaded the model, and none will in time.
     #[display("model not placed")]
     NotPlaced,
-    /// It could not start before its deadline.
+    /// The request cannot start before its deadline.
     #[display("full")]
     Full,
-    /// It cannot be shown that the key which it shows is still anybody's.
+    /// The configuration may be outdated, and the key revoked.
     #[display("no proof of the newest keys")]
     NoProof,
-    /// Its customer has used what it may.
+    /// The customer has used up its quota.
     #[display("over the limit")]
     OverLimit,
-    /// Nobody tells what its customer may still use.
+    /// The customer's remaining quota is unknown.
     #[display("no word on the limit")]
     NoAllowance,
-    /// No second try is left.
+    /// The retry budget is used up.
     #[display("no retry left")]
     NoRetry,
 }
 
-/// Shortest time after which a refused caller is asked to come back.
+/// Minimum retry time for a refused caller.
 pub const RETRY_LEAST: Duration = Duration::from_millis(200);
 
-/// When a refused caller should come back.
-///
-/// Load: callers that are refused in one moment and come back in one moment are refused again. `draw` in
-/// `0..1` spreads them over as long again as the wait itself.
+/// Retry time for a refused caller. `draw`, in `0..1`, adds up to as much again, so that callers
+/// that are refused together do not return together.
 pub fn come_back(wait: Duration, draw: f64) -> Duration {
     let least = wait.max(RETRY_LEAST);
     least + least.mul_f64(draw)
