--- a/crates/direct/src/cursor.rs
+++ b/crates/direct/src/cursor.rs
@@ -1,4 +1,4 @@
-//! Places in the store's logs.
+//! Positions in the store's logs, and the store's eras.
 
 use std::num::ParseIntError;
 use std::str::FromStr;
@@ -7,14 +7,14 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Bits of a fencing number that tell the place in its era: a claim a second fills them in 136 years.
+/// Bits of a fencing token that hold the offset; one claim per second fills them in 136 years.
 const OFFSET_BITS: u32 = 32;
 
-/// Highest era: a fencing number stays a whole number that any JSON reader keeps exact (2^53).
+/// Keeps fencing tokens below 2^53, which any JSON parser reads exactly.
 const MOST_ERA: u32 = (1 << (53 - OFFSET_BITS)) - 1;
 
-/// A life of the store: it may come back from a copy some seconds old, and then begins the next one. Offsets of its
-/// logs go back and are given out again.
+/// Restore generation of the store. A restore from a backup begins a new era, in which offsets of
+/// the logs are assigned again.
 #[derive(
     Debug,
     Clone,
@@ -31,20 +31,19 @@
 )]
 pub struct Era(u32);
 
-/// A text that names no era.
+/// A text that is not a valid era.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("`{text}`: a whole number up to {MOST_ERA}")]
 pub struct BadEra {
-    /// The text.
     #[error(not(source))]
     pub text: String,
 }
 
 impl Era {
-    /// The era of a store that tells none.
+    /// The era of a store that does not report one.
     pub const FIRST: Era = Era(0);
 
-    /// The number, for metrics.
+    /// The number as a metric value.
     pub fn number(self) -> f64 {
         f64::from(self.0)
     }
@@ -60,7 +59,8 @@
     }
 }
 
-/// A place in a log of the store. One of a later era comes after all of earlier ones, whatever their offsets.
+/// A position in a log of the store. Positions of a later era are greater than all positions of
+/// earlier ones.
 #[derive(
     Debug,
     Clone,
@@ -78,26 +78,26 @@
 #[serde(from = "(Era, u64)", into = "(Era, u64)")]
 #[display("{era}:{offset}")]
 pub struct Cursor {
-    /// The era in which the offset holds.
+    /// Era in which the offset is valid.
     pub era: Era,
-    /// Records of the log before it.
+    /// Number of records before this position.
     pub offset: u64,
 }
 
 impl Cursor {
-    /// The place at this offset.
     pub fn new(era: Era, offset: u64) -> Cursor {
         Cursor { era, offset }
     }
 
-    /// The place so many records later.
+    /// The position after this number of further records.
     pub fn plus(self, records: u64) -> Cursor {
         Cursor { offset: self.offset.saturating_add(records), ..self }
     }
 
-    /// The fencing number of who claimed at this place; none where the log is longer than numbers allow.
+    /// The fencing token of a claim at this position; `None` if the offset does not fit.
     ///
-    /// The era stands above the offset, so that numbers rise although offsets go back, and no two places share one.
+    /// The era is in the high bits, so that tokens increase although offsets go back, and no two
+    /// positions share a token.
     pub fn fence(self) -> Option<u64> {
         let fits = self.offset < 1 << OFFSET_BITS;
         fits.then(|| (u64::from(self.era.0) << OFFSET_BITS) | self.offset)
@@ -116,9 +116,9 @@
     }
 }
 
-/// The newest era that a node knows of, and for how long it is known to last.
+/// The latest known era and a lower bound on its age.
 ///
-/// Times are by the clock that counts what the machine was suspended for.
+/// Times are of the clock that includes suspension.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KnownEra {
     era: Era,
@@ -126,12 +126,11 @@
 }
 
 impl KnownEra {
-    /// The newest era.
     pub fn era(&self) -> Era {
         self.era
     }
 
-    /// Hears at a time that an era has lasted for so long at least; tells whether it is a new one.
+    /// Records that an era has lasted at least this long; returns whether it is new.
     pub fn hear(&mut self, era: Era, lasted: Duration, now: Duration) -> bool {
         let since = now.saturating_sub(lasted);
         let is_new = era > self.era;
@@ -143,12 +142,13 @@
         is_new
     }
 
-    /// When this era had begun at the latest. The first one has no beginning: nothing was lost before it.
+    /// Latest possible begin of the era. The first era counts as having no begin, as no restore has
+    /// happened.
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// For how long it has lasted at least.
+    /// Lower bound on the age of the era.
     pub fn lasted(&self, now: Duration) -> Duration {
         now.saturating_sub(self.since)
     }
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -1,3 +1,5 @@
+//! An engine and what this node knows about it.
+
 use std::net::SocketAddr;
 
 use derive_more::{Display, From};
@@ -6,146 +8,126 @@
 use crate::flights::{EngineKey, Flight};
 use crate::{Cursor, Judge, Millis, ReadingPace, ServiceId, Unread, Wanted};
 
-/// Identity of one start of an engine.
+/// Identity of an engine, which may restart under the same one.
 #[derive(
     Debug, Clone, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[from(String, &str)]
 pub struct EngineId(pub String);
 
-/// When an engine was started, in Unix milliseconds, where it says so: it may start again under its identity, and
-/// then holds and knows nothing.
+/// Start time of an engine in Unix milliseconds, if known. It tells the incarnations of an engine
+/// apart: one that has restarted has lost its models and its load.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Start(pub Option<u64>);
 
 impl Start {
-    /// Whether what is said of this start is older than what is known of another.
+    /// Whether this start is known to be earlier than `known`.
     pub fn is_before(self, known: Start) -> bool {
         matches!((self.0, known.0), (Some(this), Some(known)) if this < known)
     }
 }
 
-/// Whether an engine takes new work.
+/// Whether an engine accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Standing {
-    /// It does.
     #[display("ready")]
     Ready,
-    /// It is leaving, at this time where that was told.
+    /// It is shutting down.
     #[display("leaving")]
     Leaving {
-        /// When whatever still runs there is gone.
+        /// When it terminates, if it has said so.
         gone_at: Option<Millis>,
     },
-    /// Its newest entry cannot be read: another writer may have made it. It is not used until one can be.
+    /// Its latest list entry cannot be parsed, so it is not used until one can.
     #[display("unreadable")]
     Unreadable,
 }
 
-/// A model that an engine holds.
+/// A model that an engine has loaded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// Its name.
     pub model: String,
-    /// Its adapters there.
+    /// The model's adapters that are loaded with it.
     pub adapters: Vec<String>,
 }
 
-/// Weights that an engine keeps beside what it holds.
+/// Weights that an engine can load without the weight store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AtHand {
-    /// In its machine's memory.
+    /// Models in the memory of its VM.
     pub in_memory: Vec<String>,
-    /// On its own disk.
+    /// Models on its disk.
     pub on_disk: Vec<String>,
 }
 
-/// An engine as the list of engines has it.
+/// An engine's entry in the list of engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listed {
-    /// Its identity.
     pub id: EngineId,
-    /// Where in the store's log this stands.
+    /// Position of the entry in the store's log.
     pub at: Cursor,
-    /// When it was started.
     pub start: Start,
-    /// The service that it belongs to.
     pub service: ServiceId,
-    /// Where it is reached.
     pub addr: SocketAddr,
-    /// Its failure domain.
     pub domain: String,
-    /// Requests that it runs at a time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
     pub standing: Standing,
-    /// What it holds.
     pub held: Vec<Held>,
-    /// What it need not fetch to load.
     pub at_hand: AtHand,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// Remaining warm-up time after its start.
     pub cold_ms: u64,
 }
 
-/// What an engine said of its load.
+/// Load reported by an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
     pub running: u32,
-    /// Requests that wait.
     pub waiting: u32,
-    /// Requests that can run at a time.
     pub slots: u32,
 }
 
-/// An engine and what this node knows of it.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// What the list says.
     pub listed: Listed,
-    /// Whether this start of it has said that it leaves.
+    /// Whether this incarnation has said that it is leaving.
     leaves: bool,
-    /// Names this start of it in few bytes.
     key: EngineKey,
-    /// What its answers say.
     pub judge: Judge,
-    /// Requests that this node has there.
+    /// Requests of this node in flight there.
     pub own: u32,
-    /// What all other nodes have there, where they tell.
+    /// Requests of all other nodes in flight there, if they are reported.
     pub elsewhere: Option<Flight>,
-    /// The load that it told last, the time, and the requests that this node had there then.
+    /// The last reported load, when it was reported, and the value of `own` at that time.
     pub told: Option<(Load, Millis, u32)>,
-    /// Prompts that it has not read yet.
+    /// Prompts whose prefill is not complete.
     pub unread: Unread,
-    /// How fast it reads them.
     pub reading: ReadingPace,
-    /// Usual time between two events of a stream there, in milliseconds, once one has been seen whole.
+    /// Average time between two events of a stream there; 0 until a stream has completed.
     pub event_ms: f64,
-    /// When the last byte came from it on any connection.
+    /// When the last byte arrived from it on any connection.
     pub heard: Millis,
-    /// Orders that it is known to have accepted.
+    /// Number of orders that it is known to have accepted.
     pub orders: u64,
-    /// Adapters that it was ordered to hold and is not known to hold yet: they take room.
+    /// Adapters that it was ordered to load and that are not known to be loaded; they occupy slots.
     pub coming: Vec<Wanted>,
-    /// When the one that gives orders told what it holds.
+    /// When the leader last reported its loaded models.
     pub told_at: Option<Millis>,
 }
 
-/// Weight of the newest stream in the usual time between events: some ten streams tell what runs beside them now.
+/// Weight of the latest stream in the average time between events.
 const EVENTS_WEIGHT: f64 = 0.1;
 
-/// Time for which a told load is believed.
+/// Time after which a reported load is outdated.
 const TOLD_FOR: Millis = 2_000;
 
-/// Whether an entry says that its engine leaves.
 pub(crate) fn is_leaving(listed: &Listed) -> bool {
     matches!(listed.standing, Standing::Leaving { .. })
 }
 
 impl Engine {
-    /// A newly listed engine.
     pub fn new(listed: Listed) -> Engine {
         Engine {
             key: EngineKey::of(&listed.id, listed.start),
@@ -165,7 +147,7 @@
         }
     }
 
-    /// Takes its newest entry in.
+    /// Replaces its list entry.
     pub(crate) fn relist(&mut self, listed: Listed) {
         if listed.start != self.listed.start {
             self.key = EngineKey::of(&listed.id, listed.start);
@@ -177,8 +159,8 @@
         }
     }
 
-    /// This start of it has said that it leaves. That is its last word: a heartbeat from before that is written late, or a
-    /// copy of the store in which it had not said so yet, does not take it back.
+    /// Marks this incarnation as leaving. That is final: a heartbeat that is written late, or a
+    /// store restored from a backup, does not undo it.
     pub(crate) fn leave(&mut self) {
         self.leaves = true;
         if self.listed.standing == Standing::Ready {
@@ -186,19 +168,17 @@
         }
     }
 
-    /// Whether this start of it has said that it leaves.
     pub(crate) fn leaves(&self) -> bool {
         self.leaves
     }
 
-    /// What this node has there.
     pub fn own_flight(&self) -> Flight {
         let (prompts, tokens) = self.unread.own();
         Flight { requests: self.own, prompts, tokens }
     }
 
-    /// Requests that are probably there now, where that is known: what all nodes have sent there, or those that it told
-    /// of, with the change in this node's own.
+    /// Estimated number of requests there, if known: from the reports of all nodes, else from its
+    /// own report.
     pub fn known_load(&self, now: Millis) -> Option<f64> {
         if let Some(elsewhere) = self.elsewhere {
             return Some(f64::from(elsewhere.requests) + f64::from(self.own));
@@ -206,7 +186,7 @@
         self.told_load(now)
     }
 
-    /// The load that it told of late itself, with the change in this node's own requests since.
+    /// Its recently reported load, adjusted by the change in this node's own requests since.
     pub fn told_load(&self, now: Millis) -> Option<f64> {
         let (load, at, own) = self.told.filter(|(_, at, _)| now.saturating_sub(*at) < TOLD_FOR)?;
         debug_assert!(at <= now);
@@ -214,12 +194,12 @@
         Some((told + f64::from(self.own) - f64::from(own)).max(f64::from(self.own)))
     }
 
-    /// Requests that are probably there now: this node's own where it told nothing of late.
+    /// Estimated number of requests there; this node's own if nothing else is known.
     pub fn estimate(&self, now: Millis) -> f64 {
         self.known_load(now).unwrap_or(f64::from(self.own))
     }
 
-    /// Milliseconds until it has read all prompts that are known to be there.
+    /// Estimated time to complete all known prefill, in milliseconds.
     pub fn reading_ms(&self, now: Millis) -> f64 {
         self.reading.time(self.unread_tokens(now))
     }
@@ -229,8 +209,9 @@
         self.unread.tokens(now).saturating_add(elsewhere)
     }
 
-    /// The longest pause of the streams that run there, in milliseconds, if it is sent a prompt of so many tokens now;
-    /// none where no stream runs, or where it has nothing else to read, as waiting would change nothing.
+    /// Longest expected pause of the streams that run there, in milliseconds, if it is sent a
+    /// prompt of this many tokens now. 0 if no stream runs there, or if it has no other prefill, as
+    /// waiting would not help then.
     pub fn longest_pause(&self, tokens: u32, now: Millis) -> f64 {
         let elsewhere = self.elsewhere.map_or(0, |flight| flight.prompts);
         let reads = self.unread.count(now) + elsewhere as usize;
@@ -241,20 +222,20 @@
         self.reading.time(unread.saturating_add(tokens)) + self.event_ms
     }
 
-    /// A stream was whole, with this mean time between its events.
+    /// Records the mean time between the events of a complete stream.
     pub fn saw_events(&mut self, mean_ms: f64) {
         let before = if self.event_ms == 0.0 { mean_ms } else { self.event_ms };
         self.event_ms = before + EVENTS_WEIGHT * (mean_ms - before);
     }
 
-    /// Another node heard of its load some time ago: taken in where this node has heard nothing since.
+    /// Records a load that another node received, unless a newer one is known.
     pub fn hear(&mut self, load: Load, at: Millis) {
         if self.told.is_none_or(|(_, known, _)| known < at) {
             self.told = Some((load, at, self.own));
         }
     }
 
-    /// Whether it holds the model, and the adapter where one is wanted.
+    /// Whether it has loaded the model, and the adapter if one is given.
     pub fn holds(&self, wanted: &Wanted) -> bool {
         let held = self.listed.held.iter().find(|h| h.model == wanted.model);
         held.is_some_and(|h| match &wanted.adapter {
@@ -263,12 +244,11 @@
         })
     }
 
-    /// Whether it holds the model.
     pub fn holds_model(&self, model: &str) -> bool {
         self.listed.held.iter().any(|h| h.model == model)
     }
 
-    /// Forgets that it holds something: it said itself that it does not.
+    /// Removes a model or adapter that the engine reported as not loaded.
     pub fn drop_held(&mut self, wanted: &Wanted) {
         match &wanted.adapter {
             None => self.listed.held.retain(|h| h.model != wanted.model),
@@ -280,20 +260,19 @@
         }
     }
 
-    /// Notes that it was ordered to hold an adapter, or may have been.
+    /// Records that it was, or may have been, ordered to load an adapter.
     pub fn expect(&mut self, wanted: &Wanted) {
         if !self.coming.contains(wanted) {
             self.coming.push(wanted.clone());
         }
     }
 
-    /// Places for adapters that are taken, or may be.
+    /// Adapter slots that are, or may be, in use.
     pub fn places_taken(&self) -> usize {
         let held: usize = self.listed.held.iter().map(|h| h.adapters.len()).sum();
         held + self.coming.iter().filter(|w| !self.holds(w)).count()
     }
 
-    /// Notes that it holds something.
     pub fn add_held(&mut self, wanted: &Wanted) {
         self.coming.retain(|w| w != wanted);
         let at = self.listed.held.iter().position(|h| h.model == wanted.model);
@@ -309,12 +288,11 @@
         }
     }
 
-    /// Names this start of it in few bytes.
+    /// Hash that identifies this incarnation.
     pub fn key(&self) -> EngineKey {
         self.key
     }
 
-    /// Whether new work may be sent there.
     pub fn takes_work(&self) -> bool {
         self.listed.standing == Standing::Ready
     }
--- a/crates/direct/src/engines.rs
+++ b/crates/direct/src/engines.rs
@@ -1,3 +1,5 @@
+//! All known engines.
+
 use std::net::SocketAddr;
 
 use indexmap::{IndexMap, IndexSet};
@@ -6,58 +8,54 @@
 use crate::flights::EngineKey;
 use crate::{Cursor, Engine, EngineId, Era, Listed, ServiceId, Standing, Start};
 
-/// Engines that are gone and still known to be: the oldest make way for new ones.
+/// Maximum number of removed engines that are remembered.
 const MOST_GONE: usize = 1_000;
 
-/// All engines that are known.
+/// All known engines.
 ///
-/// What is told of an engine stands at a place in the store's log, by whichever way it comes: an answer that was long on
-/// its way, or the word of a node that lags behind, changes nothing of what is known from a later place.
+/// Each update carries its position in the store's log, whichever way it arrives, so that delayed
+/// or repeated updates change nothing.
 #[derive(Debug, Clone, Default)]
 pub struct Engines {
     by_id: IndexMap<EngineId, Engine>,
     by_key: IndexMap<EngineKey, EngineId>,
-    /// Engines that are gone.
+    /// Removed engines.
     gone: IndexMap<EngineId, Gone>,
-    /// Where the copy ends from which the store has come back.
+    /// Position at which the backup ends that the store was restored from.
     copy_end: Cursor,
-    /// Addresses of engines that have started anew.
+    /// Addresses of engines that have restarted.
     anew: Vec<SocketAddr>,
 }
 
-/// An engine that is gone.
+/// A removed engine.
 #[derive(Debug, Clone, Copy, Default)]
 struct Gone {
-    /// Where in the store's log that stands, or by where it was missing.
+    /// Position of the removal, or of the snapshot that it was missing from.
     at: Cursor,
     start: Start,
-    /// Whether that start had said that it leaves.
+    /// Whether that incarnation had said that it was leaving.
     left: bool,
 }
 
 impl Engines {
-    /// The engine with this identity.
     pub fn get(&self, id: &EngineId) -> Option<&Engine> {
         self.by_id.get(id)
     }
 
-    /// The engine with this identity.
     pub fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
         self.by_id.get_mut(id)
     }
 
-    /// The engine of which one start has this name.
+    /// The engine whose current incarnation has this key.
     pub fn by_key(&mut self, key: EngineKey) -> Option<&mut Engine> {
         let id = self.by_key.get(&key)?;
         self.by_id.get_mut(id).filter(|engine| engine.key() == key)
     }
 
-    /// All engines.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Engine> {
         self.by_id.values_mut()
     }
 
-    /// All engines.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.by_id.values()
     }
@@ -67,8 +65,8 @@
         self.by_id.values().filter(move |e| &e.listed.service == service)
     }
 
-    /// Takes in an engine's entry. One of an earlier start than is known, or from an earlier place, changes nothing; one of
-    /// a later start ends everything that was believed of the earlier.
+    /// Applies an engine's list entry. An entry of an earlier incarnation or an earlier position is
+    /// ignored; one of a later incarnation replaces everything known about the engine.
     pub fn list(&mut self, mut listed: Listed) {
         let Some(engine) = self.by_id.get_mut(&listed.id) else {
             self.list_unknown(listed);
@@ -81,7 +79,7 @@
         if known.is_before(listed.start) {
             self.begin_anew(listed);
         } else if listed.at >= engine.listed.at {
-            // One that says nothing of its start is taken for the start that is known.
+            // An entry without a start time is taken to be of the known incarnation.
             listed.start = listed.start.max(known);
             if listed.start != known {
                 self.by_key.swap_remove(&engine.key());
@@ -108,8 +106,9 @@
         self.insert(engine);
     }
 
-    /// Whether an entry is that of an engine which is known to be gone, and says nothing newer. Of a later era only what was
-    /// written in it counts: the copy from which the store has come back still has engines that left since.
+    /// Whether the entry belongs to a removed engine and is not newer than the removal. In a later
+    /// era only entries written in that era are newer: the backup may contain engines that have
+    /// left since.
     fn is_gone(&self, listed: &Listed) -> bool {
         let Some(gone) = self.gone.get(&listed.id) else { return false };
         if gone.start.is_before(listed.start) {
@@ -118,18 +117,18 @@
         listed.at <= gone.at || (listed.at.era > gone.at.era && self.is_copied(listed.at))
     }
 
-    /// Whether an entry at this place may be of the copy from which the store has come back, and not written since.
+    /// Whether an entry at this position may come from the backup that the store was restored from.
     pub fn is_copied(&self, at: Cursor) -> bool {
         at.era > Era::FIRST && at.era == self.copy_end.era && at < self.copy_end
     }
 
-    /// Where the copy ends from which the store has come back, as far as is known.
+    /// Position at which that backup ends, as far as known.
     pub fn copy_end(&self) -> Cursor {
         self.copy_end
     }
 
-    /// A log was found to go so far: what stands before may be of the copy. The earliest word of an era counts, as what comes
-    /// after it was written in that era.
+    /// Records that a log ended here after a restore. The earliest end counts, as later entries
+    /// were written after the restore.
     pub fn copy_ends(&mut self, end: Cursor) {
         if end.era > self.copy_end.era {
             self.copy_end = end;
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Where an engine's end stands that is known to be gone.
+    /// Position at which a removed engine was removed.
     pub fn gone_at(&self, id: &EngineId) -> Option<Cursor> {
         self.gone.get(id).map(|gone| gone.at)
     }
@@ -149,7 +148,6 @@
         self.by_id.insert(id, engine);
     }
 
-    /// An engine that is known has started anew.
     fn begin_anew(&mut self, listed: Listed) {
         if let Some(before) = self.by_id.get(&listed.id) {
             self.anew.push(before.listed.addr);
@@ -158,8 +156,8 @@
         self.insert(Engine::new(listed));
     }
 
-    /// Somebody tells of a start of an engine: whether what they tell holds for the start that is known. A later
-    /// start ends everything that was believed of the earlier; it holds nothing until it is said what.
+    /// Returns the engine if a report about this start time applies to its current incarnation. A
+    /// later start time discards everything known about the earlier incarnation.
     pub fn meet(&mut self, id: &EngineId, start: Start) -> Option<&mut Engine> {
         let engine = self.by_id.get(id)?;
         let known = engine.listed.start;
@@ -173,12 +171,12 @@
         self.by_id.get_mut(id)
     }
 
-    /// Addresses of engines that have started anew since this was last asked.
+    /// Addresses of engines that have restarted since the last call.
     pub fn take_anew(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.anew)
     }
 
-    /// An engine's entry cannot be read.
+    /// Marks an engine whose entry cannot be parsed.
     pub fn spoil(&mut self, id: &EngineId, at: Cursor) {
         if let Some(engine) = self.by_id.get_mut(id).filter(|engine| at >= engine.listed.at) {
             engine.listed.standing = Standing::Unreadable;
@@ -186,7 +184,7 @@
         }
     }
 
-    /// An engine's entry is gone, as stands at this place.
+    /// Removes an engine whose entry was removed at this position.
     pub fn unlist(&mut self, id: &EngineId, at: Cursor) {
         if self.by_id.get(id).is_some_and(|engine| engine.listed.at > at) {
             return;
@@ -203,8 +201,9 @@
         }
     }
 
-    /// Takes in a whole list that goes so far: engines that it does not name go. While `keep`, those are kept: their
-    /// entries lapsed while the store was away and come back with their next heartbeat.
+    /// Applies a complete list that extends to `end`. Engines that it does not contain are removed,
+    /// unless `keep` is set: entries that expired during a store outage return with the next
+    /// heartbeat.
     pub fn replace(&mut self, listed: Vec<Listed>, end: Cursor, keep: bool) {
         if !keep {
             let named: IndexSet<&EngineId> = listed.iter().map(|l| &l.id).collect();
--- a/crates/direct/src/flights.rs
+++ b/crates/direct/src/flights.rs
@@ -1,9 +1,7 @@
-//! Requests that run and wait at engines, as nodes tell each other in sums.
+//! In-flight requests at engines, as reported between nodes.
 //!
-//! Load: 195 nodes send to 93 engines. Each meets an engine every other second, so that what answers tell it of loads
-//! is a second old, and four in ten sends are rejected by engines that look idle. Told by each to all, what is sent
-//! would grow with the square of the nodes. Summed up by domain, and the domains' sums by one node of each domain, it
-//! takes each node a datagram of some hundred bytes in a tick, whatever their number.
+//! Reports are summed per failure domain, so that their volume does not grow with the square of the
+//! number of nodes.
 
 use std::net::SocketAddr;
 
@@ -13,15 +11,14 @@
 
 use crate::{EngineId, Millis, Start};
 
-/// Names one start of an engine in few bytes. Two of some thousand engines share one in one deployment of five hundred,
-/// and count for each other then.
+/// 32-bit hash that identifies one incarnation of an engine. Engines whose hashes collide are
+/// counted together.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct EngineKey(u32);
 
 impl EngineKey {
-    /// The name of an engine's start.
     pub fn of(engine: &EngineId, start: Start) -> EngineKey {
         let mut bytes = start.0.unwrap_or_default().to_le_bytes().to_vec();
         bytes.extend_from_slice(engine.0.as_bytes());
@@ -29,19 +26,18 @@
     }
 }
 
-/// What is at an engine.
+/// Load in flight at an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flight {
     /// Requests that run or wait there.
     pub requests: u32,
-    /// Those of them whose prompts are not read yet.
+    /// Those whose prefill is not complete.
     pub prompts: u32,
     /// Tokens of these prompts.
     pub tokens: u32,
 }
 
 impl Flight {
-    /// Both together.
     pub fn plus(self, other: Flight) -> Flight {
         Flight {
             requests: self.requests.saturating_add(other.requests),
@@ -50,7 +46,6 @@
         }
     }
 
-    /// This without the other.
     pub fn minus(self, other: Flight) -> Flight {
         Flight {
             requests: self.requests.saturating_sub(other.requests),
@@ -64,7 +59,7 @@
     }
 }
 
-/// A flight of an engine, as it is told: requests, prompts and tokens.
+/// Wire form of one engine's load: requests, prompts and tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row(pub EngineKey, pub u32, pub u32, pub u32);
 
@@ -78,12 +73,12 @@
     }
 }
 
-/// A share of all engines: those that are told of in one datagram.
+/// Part of all engines, by hash of their key, that one datagram covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// Which one.
+    /// Index of the part.
     pub part: u32,
-    /// Of how many.
+    /// Number of parts.
     pub parts: u32,
 }
 
@@ -93,22 +88,22 @@
     }
 }
 
-/// What one datagram tells.
+/// Content of one datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// The engines of which it tells all there is; where it is none, what has changed.
+    /// If set, `rows` contains all loads of this part of the engines; otherwise only changes.
     pub all_of: Option<Share>,
-    /// What is at engines.
     pub rows: Vec<Row>,
 }
 
-/// Time for which the word of a node holds that says no more: it has ended, and so have its requests.
+/// Time after which the reports of a silent node are dropped; its requests have ended with it.
 const HOLDS_FOR: Millis = 2_500;
 
-/// Engines of which one node's word is kept: several times as many as any deployment is known to have.
+/// Maximum number of engines that are kept per node; several times as many as any known deployment
+/// has.
 const MOST_ROWS: usize = 16_384;
 
-/// What several nodes told, each in its place.
+/// Latest reports of several nodes, and their sums.
 #[derive(Debug, Clone, Default)]
 pub struct Tellers {
     by: IndexMap<SocketAddr, Teller>,
@@ -122,7 +117,7 @@
 }
 
 impl Tellers {
-    /// A node tells; gives the engines that this concerns.
+    /// Applies a report; returns the engines that it affects.
     pub fn take(&mut self, from: SocketAddr, now: Millis, told: &Told) -> Vec<EngineKey> {
         let teller = self.by.entry(from).or_default();
         teller.at = now;
@@ -142,7 +137,7 @@
         concerned
     }
 
-    /// Ends what nodes said that say no more, or that are not wanted any more.
+    /// Drops the reports of nodes that are silent or that `is_wanted` rejects.
     pub fn keep(&mut self, now: Millis, is_wanted: impl Fn(&SocketAddr) -> bool) {
         let ended = |addr: &SocketAddr, teller: &Teller| {
             now.saturating_sub(teller.at) >= HOLDS_FOR || !is_wanted(addr)
@@ -155,17 +150,16 @@
         self.by.retain(|addr, teller| !ended(addr, teller));
     }
 
-    /// How many nodes have told something within so many milliseconds.
+    /// Number of nodes that sent a report within `age`.
     pub fn heard_within(&self, age: Millis, now: Millis) -> usize {
         self.by.values().filter(|teller| now.saturating_sub(teller.at) < age).count()
     }
 
-    /// What all of them together have at an engine.
+    /// Total load that all these nodes have in flight at an engine.
     pub fn sum(&self, key: EngineKey) -> Flight {
         self.sums.get(&key).copied().unwrap_or_default()
     }
 
-    /// The same for all engines where there is anything.
     pub fn sums(&self) -> impl Iterator<Item = (EngineKey, Flight)> + '_ {
         self.sums.iter().map(|(key, flight)| (*key, *flight))
     }
@@ -194,10 +188,10 @@
     }
 }
 
-/// Engines that one datagram tells of: a row takes some ten bytes, and networks carry 1,400 whole.
+/// Maximum number of rows per datagram; keeps datagrams below the usual MTU.
 const MOST_TOLD: usize = 100;
 
-/// Time after which everything is told again: a datagram may have been lost.
+/// Interval of complete reports, which make up for lost datagrams.
 const WHOLE_EVERY: Millis = 1_000;
 
 fn all(flights: &IndexMap<EngineKey, Flight>) -> Vec<Told> {
@@ -211,7 +205,7 @@
     (0..parts).map(part).collect()
 }
 
-/// What was told last, so that only what changes is told.
+/// Sends reports that contain only what changed since the previous one.
 #[derive(Debug, Clone, Default)]
 pub struct Telling {
     sent: IndexMap<EngineKey, Flight>,
@@ -219,7 +213,7 @@
 }
 
 impl Telling {
-    /// What there is to tell of this, in datagrams; nothing where nothing has changed.
+    /// The datagrams to send now; empty if nothing changed.
     pub fn next(&mut self, now: Millis, flights: &IndexMap<EngineKey, Flight>) -> Vec<Told> {
         let whole = self.whole_at.is_none_or(|at| now.saturating_sub(at) >= WHOLE_EVERY);
         let told = if whole {
@@ -241,7 +235,7 @@
         rows.chunks(MOST_TOLD).map(|rows| Told { all_of: None, rows: rows.to_vec() }).collect()
     }
 
-    /// What was told of an engine last.
+    /// The load at an engine that was reported last.
     pub fn sent(&self, key: EngineKey) -> Flight {
         self.sent.get(&key).copied().unwrap_or_default()
     }
--- a/crates/direct/src/heads.rs
+++ b/crates/direct/src/heads.rs
@@ -1,8 +1,7 @@
-//! Which node passes on to a failure domain what the holder of the orders tells.
+//! Selects the nodes that fetch updates from the leader and pass them on within their failure
+//! domain.
 //!
-//! Load: a holder that answers each node itself sends what changes as often as there are nodes, most of it to other
-//! failure domains: with three hundred nodes before three thousand engines 8.6 MB a second from one machine. Through
-//! one node of each domain it crosses to a domain once.
+//! The leader then sends each update once per domain, not once per node.
 
 use std::net::SocketAddr;
 
@@ -12,56 +11,48 @@
 
 use crate::Millis;
 
-/// Nodes of a failure domain from which one of them passes on to the others: for fewer the way by a third node costs
-/// more time than it saves messages.
+/// Minimum number of nodes in a domain that uses a hub; for fewer the additional hop costs more
+/// than it saves.
 const FEWEST: usize = 5;
 
-/// Nodes of a domain that may pass on. The second takes over from a first that is silent; with a third that holds
-/// while both are. Beyond, each node asks the holder itself.
+/// Maximum number of hub candidates per domain. If none of them answers, each node asks the leader.
 const CANDIDATES: usize = 3;
 
-/// Part of the processor of the largest machine of a domain that one must have to pass on.
-///
-/// Load: a domain has two larger machines, one of which gives the orders, and the other is away. A third with a quarter of
-/// their processor and a twentieth of their link passed on to its domain: that filled its link for seconds, and requests and
-/// their ends waited behind it until after their callers had left.
+/// Minimum CPU share of a candidate, as a part of the largest in its domain. Small VMs would
+/// saturate their links and delay requests.
 const AS_LARGE: f64 = 0.5;
 
-/// Nodes that may ask the same one as often as they like.
+/// Number of nodes that may poll the same node at the full rate.
 const FEW_CHILDREN: u32 = 10;
 
-/// Longest that nodes hold back, as a multiple of what few nodes do: beyond, the word would be too old by the time of
-/// the next.
+/// Maximum poll interval factor; with longer intervals updates would be outdated on arrival.
 const MOST_CROWD: u32 = 12;
 
-/// The same where few ask one node, and there are many in all: what an engine holds changes several times in a tenth of
-/// a second while demand moves, and is told whole each time. Asked every 40 ms by the heads of 33 nodes the keeper sent
-/// 1.6 MB a second, where 0.3 carry the same.
+/// Maximum poll interval factor due to the total number of nodes. With many nodes engines change
+/// often, and each change is sent to each hub.
 const CROWD_OF_MANY: u32 = 4;
 
-/// Time for which a node that did not answer is not asked again.
+/// Time for which an unresponsive node is skipped.
 const SILENT_FOR: Millis = 3_000;
 
-/// Time for which one is not asked that answers and knows nothing new itself.
+/// Time for which a node that answers with outdated data is skipped.
 const STALE_FOR: Millis = 2_000;
 
-/// A node, as the others know it.
+/// A node as known to the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub addr: SocketAddr,
-    /// Its failure domain.
     pub domain: String,
-    /// Share of a processor that its machine has.
+    /// CPUs of its VM that it may use; can be a fraction.
     pub processor: f64,
 }
 
-/// The nodes of a domain that may pass on, the first first; none where the domain has few nodes.
+/// The hub candidates of a domain in order of preference; empty if the domain has too few nodes.
 ///
-/// Every node comes to the same order from the same list, without a word. Larger machines come first: the one that
-/// passes on does more than others.
+/// The order depends on the list of members only, so that all nodes agree without communication.
 pub fn candidates(members: &[Member], domain: &str) -> Vec<Member> {
     let mut own: Vec<&Member> = members.iter().filter(|m| m.domain == domain).collect();
     if own.len() < FEWEST {
@@ -74,25 +65,22 @@
     own.into_iter().take(CANDIDATES).cloned().collect()
 }
 
-/// Whom a node asks for what is new.
+/// The node that is asked for updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Parent {
-    /// The node that gives orders.
     Holder,
-    /// A node of this one's domain that passes on.
     Head(SocketAddr),
 }
 
-/// Why a node is not asked for a while.
+/// Why a node is skipped for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PassedOver {
-    /// It does not answer.
     Silent,
-    /// It answers, and has heard nothing new itself.
+    /// It answers, but has not received anything new itself.
     Stale,
 }
 
-/// What a node knows of those of its domain that pass on.
+/// The hub candidates of this node's domain, and the nodes that are skipped.
 #[derive(Debug, Clone, Default)]
 pub struct Heads {
     candidates: Vec<Member>,
@@ -100,17 +88,15 @@
 }
 
 impl Heads {
-    /// These may pass on.
     pub fn know(&mut self, candidates: Vec<Member>) {
         self.candidates = candidates;
     }
 
-    /// The nodes that may pass on, the first first.
     pub fn candidates(&self) -> &[Member] {
         &self.candidates
     }
 
-    /// A node is not asked for a while, be it one that passes on or the holder.
+    /// Skips a candidate or the leader for a while.
     pub fn pass_over(&mut self, addr: SocketAddr, why: PassedOver, now: Millis) {
         self.passed_over.retain(|_, (_, until)| now < *until);
         let time = match why {
@@ -120,11 +106,11 @@
         self.passed_over.insert(addr, (why, now + time));
     }
 
-    /// Whom the node at `me` asks, where the orders are given by the node at `holder`.
+    /// The node that the node at `me` asks, with the leader at `holder`.
     ///
-    /// A first that knows nothing new leaves it to the next, which may reach what the first does not, and the last of them
-    /// to the holder: the store may turn away all that pass on in one domain. Where the holder knows no more, as the store
-    /// is away for all, the first that answers is asked again.
+    /// If all candidates are outdated the leader is asked, as the store may refuse a whole domain.
+    /// If the leader is outdated too, the store is down for all nodes, and the first candidate that
+    /// answers is asked.
     pub fn parent(&self, me: SocketAddr, holder: Option<SocketAddr>, now: Millis) -> Parent {
         let others = || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != holder);
         let state = |addr: &SocketAddr| {
@@ -142,13 +128,14 @@
     }
 }
 
-/// By how much a node holds back that asks another which so many ask, of so many nodes in all.
+/// Factor by which a node extends its poll interval if its parent has this many children, with this
+/// many nodes in total.
 pub fn crowd(children: u32, nodes: u32) -> u32 {
     let of_all = nodes.div_ceil(FEW_CHILDREN).min(CROWD_OF_MANY);
     children.div_ceil(FEW_CHILDREN).max(of_all).clamp(1, MOST_CROWD)
 }
 
-/// Digest of candidates, by which two nodes find out whether they know the same.
+/// Hash by which two nodes detect that they know the same candidates.
 pub fn digest(candidates: &[Member]) -> u64 {
     let names = candidates.iter().map(|c| format!("{} {}", c.node, c.addr));
     xxh3_64(names.collect::<Vec<_>>().join(",").as_bytes())
--- a/crates/direct/src/listing.rs
+++ b/crates/direct/src/listing.rs
@@ -1,4 +1,4 @@
-//! The list of engines, as one node that reads it from the store passes it on to the others.
+//! Distributes the list of engines from the node that reads it from the store to the others.
 
 use std::net::SocketAddr;
 
@@ -8,13 +8,15 @@
 
 use crate::{Cursor, Engine, EngineId, Engines, Held, Standing, Start};
 
-/// How far a list of engines goes: a place in the store's log of it, and how much was found out there without reading on.
-/// Whoever reads on goes beyond, however much another node had found out before.
+/// Version of a list of engines: the position in the store's log up to which it was read, and the
+/// number of changes that were learned at that position without reading on.
+///
+/// A list that was read further is newer, whatever was learned at earlier positions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListPlace(Cursor, u32);
 
 impl ListPlace {
-    /// The place of a list that was read so far.
+    /// The version of a list that was read up to here.
     pub fn read(cursor: Cursor) -> ListPlace {
         ListPlace(cursor, 0)
     }
@@ -24,106 +26,96 @@
         self.0
     }
 
-    /// The next place after something was found out without reading on.
+    /// The next version, for a change that was learned without reading on.
     fn found(self) -> ListPlace {
         ListPlace(self.0, self.1.saturating_add(1))
     }
 }
 
-/// Engines that are gone and still told of: what lags behind more reads the whole list.
+/// Maximum number of removed engines that are remembered; a node that is further behind gets the
+/// complete list.
 const MOST_GONE: usize = 1_000;
 
-/// Engines up to which the whole list is passed on to a node that lags behind. Three thousand are a megabyte, which
-/// one machine cannot send to hundreds of nodes at once: there each reads it from the store.
+/// Maximum length of a list that is sent in full to a node that is behind. Longer lists take too
+/// much bandwidth, so that node reads it from the store.
 const MOST_WHOLE: usize = 400;
 
-/// Whether a node reads the list when nobody reads it for all; `draw` parts the nodes, `crowd` is by how much many
-/// nodes hold back.
+/// Whether a node polls the store while there is no leader. `draw` is a random number of the node,
+/// `crowd` the poll interval factor.
 ///
-/// Load: engines write their entries every second, and each reader reads them all. Three hundred nodes that read for
-/// themselves what three thousand engines write take more than the store gives; then none of them is answered, nor
-/// the one that reads for all, and so it stays. Where the list is long most of them leave the store to that one, and
-/// some read on to take its place.
+/// Prevents many nodes from overloading the store with reads of a long list, which would also delay
+/// the next leader.
 pub fn reads_on(engines: &Engines, crowd: u32, draw: u32) -> bool {
     !is_long(engines) || draw.is_multiple_of(crowd.max(1))
 }
 
-/// Whether the list is too long to be told whole to each node.
+/// Whether the list is too long to be sent to each node in full.
 pub fn is_long(engines: &Engines) -> bool {
     engines.iter().count() > MOST_WHOLE
 }
 
-/// An engine of the list.
+/// Wire form of an engine's list entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Passed {
-    /// Its identity.
     pub engine: EngineId,
-    /// Where in the store's log its entry stands.
+    /// Position of the entry in the store's log.
     pub at: Cursor,
-    /// When it was started.
     pub start: Start,
-    /// Its service.
     pub service: String,
-    /// Where it is reached.
     pub addr: SocketAddr,
-    /// Its failure domain.
     pub domain: String,
-    /// Requests that it runs at a time.
     pub slots: u32,
-    /// Whether it takes no new work.
     pub leaving: bool,
-    /// Whether its newest entry cannot be read.
     pub unreadable: bool,
-    /// Whether it is still slow after its start.
+    /// Whether it is still warming up after its start.
     pub cold: bool,
-    /// What it holds.
     pub held: Vec<Held>,
 }
 
-/// What changed in the list.
+/// An update of the list of engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListNews {
-    /// How far it goes.
+    /// Version of the list with this update.
     pub place: ListPlace,
-    /// Where the copy ends from which the store has come back, as far as the node that tells knows.
+    /// Position at which the backup ends that the store was restored from, as far as the sender
+    /// knows.
     pub copy_end: Cursor,
-    /// What `engines` are.
     pub part: Part,
-    /// Engines of that part.
     pub engines: Vec<Passed>,
-    /// Engines that are gone, and where that stands.
+    /// Removed engines, with the position of the removal.
     pub gone: Vec<(EngineId, Cursor)>,
 }
 
-/// What part of a list is told.
+/// What an update contains.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Part {
-    /// What has changed.
     #[default]
     Changes,
-    /// All there are.
     Whole,
-    /// Nothing: what has changed is not known any more, and the whole list is long.
+    /// Nothing: the receiver is too far behind and has to read the list from the store.
     ReadAnew,
-    /// Nothing: the node that was asked has no list itself yet.
+    /// Nothing: the sender has no list yet.
     Unknown,
 }
 
-/// What has changed in the list, and at which point of the store's log. All nodes read the same log, so that one
-/// which has read the list itself is told only what came after.
+/// History of changes to the list of engines.
+///
+/// Versions are positions in the store's log, so that a node can get changes from any other node
+/// that has read further.
 #[derive(Debug, Default)]
 pub struct Listing {
-    /// From where on changes are known.
+    /// Version from which on all changes are known.
     begun: Option<ListPlace>,
-    /// How far the list goes.
+    /// Version of the list.
     at: ListPlace,
-    /// Where it changed last.
+    /// Version of the latest change.
     changed_at: ListPlace,
+    /// Version of the latest change by engine.
     known: IndexMap<EngineId, (ListPlace, Signature)>,
     gone: Vec<(ListPlace, EngineId)>,
 }
 
-/// What makes an entry worth telling again.
+/// The parts of an entry whose changes are distributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Signature {
     start: Start,
@@ -132,7 +124,7 @@
     cold: bool,
     slots: u32,
     addr: SocketAddr,
-    /// Whether its entry may be of the copy from which the store has come back.
+    /// Whether the entry may come from a backup that the store was restored from.
     copied: bool,
 }
 
@@ -155,19 +147,18 @@
     }
 }
 
-/// Whether an engine takes new work, as it has become known.
+/// A change of an engine's state, for logs.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{}", standing.map_or("gone".to_owned(), |standing| standing.to_string()))]
 pub struct StandingChange {
-    /// The engine.
     pub engine: EngineId,
-    /// How it stands now; none where it is gone.
+    /// `None` if the engine was removed.
     pub standing: Option<Standing>,
 }
 
 impl Listing {
-    /// Looks at the list, which goes as far as `cursor`. Tells what has become of engines since the last look; nothing at
-    /// the first.
+    /// Compares the list, read up to `cursor`, with the known one. Returns the changes of state;
+    /// none for the first list.
     pub fn look(&mut self, engines: &Engines, cursor: Cursor) -> Vec<StandingChange> {
         let is_first = self.begun.is_none();
         let mut changed = Vec::new();
@@ -190,7 +181,7 @@
         if read > self.at || self.begun.is_none() {
             self.at = read;
         } else if news {
-            // A change that was found without reading on, or behind it, is told as a later one.
+            // A change that was learned without reading on gets a later version.
             self.at = self.at.found();
         }
         self.begun.get_or_insert(self.at);
@@ -213,19 +204,18 @@
         changes
     }
 
-    /// Where the list changed last.
     pub fn changed_at(&self) -> ListPlace {
         self.changed_at
     }
 
-    /// Whether there is nothing to tell a node whose list ends there.
+    /// Whether a node with this version needs no update.
     pub fn has_nothing_since(&self, since: Option<ListPlace>) -> bool {
         let is_known = |since| self.begun.is_some_and(|begun| since >= begun);
         self.begun.is_none()
             || since.is_none_or(|since| is_known(since) && self.changed_at <= since)
     }
 
-    /// What changed since a node's list ended; a node without one is told nothing.
+    /// The update for a node with this version; empty for a node without a list.
     pub fn since(&self, engines: &Engines, since: Option<ListPlace>) -> ListNews {
         if self.begun.is_none() {
             return ListNews { part: Part::Unknown, ..ListNews::default() };
--- a/crates/direct/src/sums.rs
+++ b/crates/direct/src/sums.rs
@@ -1,14 +1,8 @@
-//! What one node tells of requests at engines, and what it believes of those of others.
+//! Aggregates the in-flight loads that nodes report to each other.
 //!
-//! Load: the keeper stops as planned, and for two seconds nodes do not agree on who passes on to whom. As long as a word
-//! that adds up others could be added up again, two nodes that took each other for one below them told each other the
-//! sum of both, again and again: the belief of what is at engines rose from 5 requests to 350 within two seconds, while
-//! engines rejected nothing, and 2,100 requests were refused as if all engines were full.
-//!
-//! A word therefore says what it adds up, and there are two levels and no more: a node's own, then the sum of a domain,
-//! then what there is in all. Each is made only from the ones before it, so that no word comes back into itself,
-//! whatever nodes believe of each other. What is lost: the nodes that ask one which itself has a head tell nobody, and
-//! hear nothing, until they ask that head.
+//! There are three levels: a node's own load, the sum of a domain and the sum of all domains. Each
+//! is made from the one below only, so that no sum can be added to itself, even if nodes disagree
+//! on which of them are hubs.
 
 use std::net::SocketAddr;
 
@@ -18,100 +12,95 @@
 use crate::Millis;
 use crate::flights::{EngineKey, Flight, Share, Tellers, Telling, Told};
 
-/// Time after the last word after which loads are not known by them any more: two words in a row that tell all there is
-/// were lost.
+/// Time without a report after which loads are unknown; longer than two lost complete reports.
 const FRESH_FOR: Millis = 2_200;
 
-/// Part of the other heads that must be heard: with fewer much of what is at engines is not known, and they look idle.
+/// Minimum part of the other hubs that must be heard; with fewer, engines look less loaded than
+/// they are.
 const HEARD_SHARE: f64 = 0.66;
 
-/// What a word adds up.
+/// What a reported load covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// What one node has.
+    /// One node.
     Own,
-    /// What the nodes of a domain have: the words of single nodes, added up.
+    /// The nodes of one domain.
     Part,
-    /// What there is in all: the sums of domains, added up.
+    /// All nodes.
     All,
 }
 
-/// What a node is to another that hears it.
+/// What a node is to the one that receives its report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relation {
-    /// The head of its domain.
+    /// The hub of the receiver's domain.
     Head,
-    /// The head of another domain.
+    /// The hub of another domain.
     OtherHead,
-    /// A node that asks it.
+    /// A node that asks the receiver.
     Child,
-    /// None of these.
     Stranger,
 }
 
-/// Where a word counts.
+/// The sum that a report is added to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
-    /// With what nodes of this domain have.
+    /// Load of the nodes of this domain.
     Near,
-    /// With what is elsewhere.
+    /// Load of all other nodes.
     Far,
 }
 
-/// Where a word counts, if it does. Only a node's own counts with a domain's, so that no sum is added up again.
+/// The sum that a report is added to, if any. Only single nodes are added to a domain's sum, so
+/// that no sum is counted again.
 pub fn place_of(scope: Scope, from: Relation) -> Option<Place> {
     match (scope, from) {
         (Scope::Own, Relation::Child) => Some(Place::Near),
-        // One that has just become a head, or still has one, has no domain to add up.
+        // A node that has just become a hub, or still asks one, reports only its own load.
         (Scope::Own | Scope::Part, Relation::OtherHead) => Some(Place::Far),
         (Scope::All, Relation::Head) => Some(Place::Far),
         _ => None,
     }
 }
 
-/// The nodes that one listens to, and that it tells.
+/// The nodes that a node exchanges reports with.
 #[derive(Debug, Clone, Default)]
 pub struct Circle {
-    /// The head of its domain, where that is another node.
+    /// The hub of its domain, if that is another node.
     pub head: Option<SocketAddr>,
-    /// Heads of other domains, where it is one.
+    /// The hubs of other domains, if it is a hub.
     pub heads: Vec<SocketAddr>,
     /// Nodes that ask it.
     pub children: Vec<SocketAddr>,
 }
 
-/// What nodes are told.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Saying {
-    /// These.
     pub to: Vec<SocketAddr>,
-    /// What it adds up.
     pub scope: Scope,
-    /// What is at engines.
     pub told: Told,
 }
 
-/// What a node was told, and told others.
 #[derive(Debug, Default)]
 pub struct Sums {
-    /// By nodes that ask this one.
+    /// Reports of nodes that ask this one.
     near: Tellers,
-    /// By the head of this node's domain, or by the heads of others.
+    /// Reports of the hub of this node's domain, or of other hubs.
     far: Tellers,
     up: Telling,
     down: Telling,
     fresh: bool,
-    /// The head that this node told last.
+    /// The hub that this node reported to last.
     head: Option<SocketAddr>,
 }
 
 impl Sums {
-    /// Whether loads are known by what nodes tell each other.
+    /// Whether the loads of other nodes are known.
     pub fn are_fresh(&self) -> bool {
         self.fresh
     }
 
-    /// A node tells; gives the engines that this concerns.
+    /// Applies a report; returns the engines that it affects.
     pub fn take(
         &mut self,
         from: SocketAddr,
@@ -127,7 +116,7 @@
         }
     }
 
-    /// What there is to tell now, where this node has so much at engines.
+    /// The reports to send now, given the loads that this node has in flight.
     pub fn next(
         &mut self,
         now: Millis,
@@ -155,7 +144,7 @@
         sayings
     }
 
-    /// Another head counts what this node has from now on: the one before is to count none of it.
+    /// On a change of hub: clears the load that the previous hub counts for this node.
     fn leave(&mut self, head: Option<SocketAddr>) -> Option<Saying> {
         let before = std::mem::replace(&mut self.head, head);
         if before == head {
@@ -173,9 +162,10 @@
         all > 0 && heard >= HEARD_SHARE * all as f64
     }
 
-    /// What all other nodes have at an engine. What a head tells contains what this node told it.
+    /// Load that all other nodes have in flight at an engine.
     pub fn elsewhere(&self, key: EngineKey) -> Flight {
         let far = self.far.sum(key);
+        // The hub's sum includes what this node reported to it.
         let far = if self.head.is_some() { far.minus(self.up.sent(key)) } else { far };
         far.plus(self.near.sum(key))
     }
