--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -1,3 +1,5 @@
+//! The routing configuration: routes, services, models and limits for callers.
+
 use std::time::Duration;
 
 use derive_more::{Display, From};
@@ -6,141 +8,127 @@
 
 use crate::Customers;
 
-/// Name of a service.
 #[derive(
     Debug, Clone, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[from(String, &str)]
 pub struct ServiceId(pub String);
 
-/// The configuration in force.
+/// The active routing configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
-    /// Rises with each change, in uneven steps.
+    /// Increases with each change, not always by one.
     pub version: u64,
-    /// Which requests go where.
     pub routes: Vec<Route>,
-    /// What they go to.
     pub services: IndexMap<ServiceId, Service>,
-    /// Who may send, where only customers may.
+    /// If set, only these customers may send requests.
     pub customers: Option<Customers>,
-    /// What callers may send.
     pub limits: CallerLimits,
 }
 
-/// Requests of one host below one path.
+/// Where the requests for a host and path prefix go, and with which limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and counters.
     pub name: String,
-    /// The host that requests name.
     pub host: String,
-    /// What their path begins with; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
     pub kind: Kind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time that a caller waits for the response.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is on time.
+    /// Target time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is on time.
+    /// Target for the longest gap between two events of a stream.
     pub gap: Option<Duration>,
-    /// 0 is served first.
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// Whether it is open to callers without a key.
+    /// Whether callers need no key.
     pub is_open: bool,
-    /// Most engines that one request may be sent to.
+    /// Maximum number of engines that one request is sent to.
     pub attempts: u32,
-    /// Services and their shares of the requests.
     pub targets: Vec<Target>,
 }
 
-/// A service's share of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// The service.
     pub service: ServiceId,
-    /// Its share, against the sum of all.
+    /// Share, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// What may be repeated.
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
     Safe,
-    /// Runs once at most.
+    /// Runs at most once.
     Unsafe,
-    /// Events in order; goes on at another engine where it may be resumed, else runs once at most.
+    /// A stream of events. It continues at another engine if it is resumable; otherwise it runs at
+    /// most once.
     Stream {
-        /// Whether another engine can go on after the last event.
+        /// Whether another engine can continue after the last event.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may already have run may be sent again.
     pub fn may_repeat(self) -> bool {
         matches!(self, Kind::Safe | Kind::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Stream { .. })
     }
 }
 
-/// What routes lead to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Connections that one of its engines takes from all nodes together.
+    /// Maximum number of connections to one engine, over all nodes.
     pub max_conns: u32,
-    /// Its models, where its engines serve models.
+    /// Set if the engines of this service serve models.
     pub pool: Option<Pool>,
 }
 
-/// The models of a service and the room that one engine has for them.
+/// The models of a service and the capacity of one of its engines.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Pool {
-    /// Requests that an engine runs at a time.
+    /// Requests that an engine runs concurrently.
     pub slots: u32,
-    /// Megabytes for weights and adapters.
+    /// Memory for weights and adapters.
     pub weights_mb: f64,
-    /// Places for adapters.
+    /// Adapters that an engine holds at the same time.
     pub adapter_slots: u32,
-    /// Loads from the weight store a second, over all engines.
+    /// Limit on loads from the weight store, over all engines.
     pub loads_per_s: f64,
-    /// By name.
     pub models: IndexMap<String, Model>,
 }
 
-/// A model as configured.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Model {
-    /// Megabytes of its weights.
     pub weights_mb: f64,
-    /// Time of a load from the weight store.
+    /// Time to load it from the weight store.
     pub load: Duration,
-    /// Time of a load from the engine's own disk.
+    /// Time to load it from the engine's disk.
     pub from_disk: Duration,
-    /// Time of a load from the memory of the engine's machine.
+    /// Time to load it from the memory of the engine's VM.
     pub from_memory: Duration,
     /// Number of its adapters.
     pub adapters: u32,
-    /// Megabytes of one adapter.
+    /// Size of one adapter.
     pub adapter_mb: f64,
 }
 
-/// What callers may send.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Longest time for a head.
+    /// Time within which a request head must arrive.
     pub head_timeout: Duration,
-    /// Longest time without a request on a connection.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
@@ -155,18 +143,15 @@
     }
 }
 
-/// Which route takes a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteMatch<'a> {
-    /// The route.
     pub route: &'a Route,
-    /// The service that this request goes to.
     pub service: &'a ServiceId,
 }
 
 impl Catalog {
-    /// The route with the longest prefix among those of the host. `draw` in `0..1` chooses among the
-    /// services of a route that is split.
+    /// Finds the route with the longest matching prefix for a host. `draw`, in `0..1`, selects the
+    /// service by weight.
     pub fn find(&self, host: &str, path: &str, draw: f64) -> Option<RouteMatch<'_>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let of_host = self.routes.iter().filter(|r| r.host.eq_ignore_ascii_case(host));
@@ -178,7 +163,8 @@
 }
 
 impl Catalog {
-    /// Whether requests that are less urgent than these go to a service. A customer's priority goes before the route's.
+    /// Whether less urgent requests than these may go to the service. A customer's priority
+    /// overrides the priority of a route.
     pub fn has_less_urgent(&self, service: &ServiceId, priority: u8) -> bool {
         let leads_there =
             |r: &&Route| r.targets.iter().any(|t| t.service == *service && t.weight > 0);
--- a/crates/direct/src/customer.rs
+++ b/crates/direct/src/customer.rs
@@ -1,3 +1,5 @@
+//! Customers, their keys and their quotas.
+
 use std::fmt;
 use std::time::Duration;
 
@@ -5,19 +7,17 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Name of a customer.
 #[derive(
     Debug, Clone, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[from(String, &str)]
 pub struct CustomerId(pub String);
 
-/// What a caller shows to be known as a customer. Who reads it can act for the customer, so that nothing prints it.
+/// The API key of a customer. It is secret and never printed.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Key(String);
 
 impl Key {
-    /// The key with this text.
     pub fn new(text: impl Into<String>) -> Key {
         Key(text.into())
     }
@@ -29,29 +29,26 @@
     }
 }
 
-/// A customer as configured.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Customer {
-    /// Which of its requests are served first, where it says so; goes before the route's.
+    /// Overrides the priority of a route.
     pub priority: Option<u8>,
-    /// What it may use, where that is limited.
     pub quota: Option<Quota>,
 }
 
-/// In what a quota is counted.
+/// Unit in which a quota is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
-    /// Each request counts once.
     Requests,
-    /// A request counts as the tokens of its prompt and the most of its answer; one that tells none as so many.
+    /// A request counts the tokens of its prompt and its maximum number of output tokens.
     Tokens {
-        /// Tokens of a request that tells none.
+        /// Tokens of a request that does not state them.
         plain: u64,
     },
 }
 
 impl Unit {
-    /// What a request counts, with the tokens that it tells.
+    /// Cost of a request that states these tokens.
     pub fn of(self, tokens: Option<u64>) -> f64 {
         match self {
             Unit::Requests => 1.0,
@@ -60,56 +57,52 @@
     }
 }
 
-/// What a customer may use, over all nodes.
+/// Usage that a customer is allowed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// In what it is counted.
     pub unit: Unit,
-    /// So much a second.
+    /// Units per second.
     pub rate: f64,
-    /// So much beyond that at once.
+    /// Units allowed at once beyond the rate.
     pub burst: f64,
 }
 
-/// All customers, and the keys that they show.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Customers {
     all: IndexMap<CustomerId, Customer>,
     keys: IndexMap<Key, CustomerId>,
 }
 
-/// What a request shows of who sends it.
+/// Credentials of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Shown {
-    /// No key.
     #[default]
     Nothing,
-    /// One key.
     Key(Key),
-    /// Something else, or several keys.
+    /// Several keys, or credentials that are not a key.
     Unusable,
 }
 
 /// Who sends a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sender<'a> {
-    /// A customer.
     Customer(&'a CustomerId, &'a Customer),
-    /// Anybody, on a route that is open to all.
+    /// A caller without a key on an open route.
     Anybody,
-    /// Nobody that may send it.
+    /// A caller that is not allowed to send the request.
     Stranger,
 }
 
 impl Customers {
-    /// Takes a customer in, with its keys. A key that several customers have belongs to the last of them.
+    /// Adds a customer with its keys. A key that several customers have belongs to the last of
+    /// them.
     pub fn add(&mut self, name: CustomerId, customer: Customer, keys: Vec<Key>) {
         self.keys.extend(keys.into_iter().map(|key| (key, name.clone())));
         self.all.insert(name, customer);
     }
 
-    /// Who sends a request, by what it shows. A key counts on open routes too: one that was taken away is no longer
-    /// anybody's.
+    /// Identifies the sender of a request. An unknown key is rejected on open routes too, as it may
+    /// have been revoked.
     pub fn sender(&self, shown: &Shown, is_open: bool) -> Sender<'_> {
         match shown {
             Shown::Key(key) => {
@@ -122,25 +115,23 @@
         }
     }
 
-    /// A customer by its name.
     pub fn get(&self, name: &CustomerId) -> Option<&Customer> {
         self.all.get(name)
     }
 
-    /// All of them.
     pub fn all(&self) -> impl Iterator<Item = (&CustomerId, &Customer)> {
         self.all.iter()
     }
 }
 
-/// Bounds that the use of all customers is held to.
+/// How far the usage in any window may exceed a quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
-    /// The time over which use is counted.
+    /// Window over which usage is counted.
     pub window: Duration,
-    /// Share by which it may exceed the limit.
+    /// Allowed excess, as a part of the quota.
     pub over: f64,
-    /// Use beyond that.
+    /// Allowed excess beyond that, in units.
     pub slack: f64,
 }
 
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -1,31 +1,31 @@
+//! Counts how often each model and adapter is requested.
+
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
 use crate::{Millis, Wanted};
 
-/// Time after which half of the counted requests are forgotten, for a rate that follows at once and for
-/// one that shows what it was.
+/// Half-lives of the two moving averages.
 const FAST_MS: f64 = 1_000.0;
 const SLOW_MS: f64 = 2_500.0;
 
-/// How far the difference of the two is carried on. Demand for a model moves within some five seconds and a
-/// load takes three to six: placed by what is asked for now, a model comes when demand has moved on.
+/// How far the difference of the two averages is extrapolated, so that a model is loaded for the
+/// demand expected once its load is complete.
 const TREND: f64 = 0.7;
 
-/// Requests a second below which a model or an adapter counts as silent.
+/// Rate below which a model or an adapter counts as not requested, in requests per second.
 const SILENT: f64 = 0.05;
 
-/// Models and adapters that are kept: several times as many as any deployment is known to have.
+/// Maximum number of models and adapters that are tracked; several times as many as any known
+/// deployment has.
 const MOST_NAMES: usize = 8_192;
 
-/// Models of which one node tells what it has counted: those that it is asked for most, which are nearly all
-/// of its requests.
+/// Maximum number of models in a snapshot; covers nearly all requests of a node.
 const MOST_PAST: usize = 64;
 
-/// Time after which a name that nobody uses makes way for new ones.
+/// Time after which an unused name can be dropped in favor of new ones.
 const FORGOTTEN_AFTER: Millis = 30_000;
 
-/// How often each model and adapter is asked for.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     models: IndexMap<String, Rate>,
@@ -33,23 +33,22 @@
     since: Option<Millis>,
 }
 
-/// What one node has counted of a model, for another that goes on counting.
+/// A node's counts for one model, from which another node continues.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Past {
-    /// The model.
     pub model: String,
     fast: f64,
     slow: f64,
 }
 
-/// Requests a second.
+/// Requests per second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Rates {
-    /// By model, with its adapters: what is to be expected within the time of a load.
+    /// By model, including its adapters: the rate expected by the time that a load is complete.
     pub models: IndexMap<String, f64>,
-    /// By model: what has been asked for of late. Where demand has just gone, its requests still run.
+    /// By model: the recent rate. Requests may still run there although demand has moved on.
     pub recent: IndexMap<String, f64>,
-    /// By adapter: what has been asked for. Single adapters are asked for too seldom to show a trend.
+    /// By adapter: the recent rate. Single adapters are requested too rarely to show a trend.
     pub adapters: IndexMap<Wanted, f64>,
 }
 
@@ -57,14 +56,14 @@
 struct Rate {
     fast: f64,
     slow: f64,
-    /// When requests were last counted.
+    /// Time up to which the averages have decayed.
     at: Millis,
-    /// When it was last asked for.
+    /// Time of the last request.
     asked: Millis,
 }
 
 impl Demand {
-    /// So many requests for it came.
+    /// Counts requests.
     pub fn saw(&mut self, now: Millis, wanted: &Wanted, count: f64) {
         self.since.get_or_insert(now);
         self.forget(now);
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Load: callers name models and adapters as they like, and each new name would be kept for good.
+    /// Prevents unbounded growth, as callers can send arbitrary names.
     fn forget(&mut self, now: Millis) {
         if self.wanted.len() >= MOST_NAMES {
             self.wanted.retain(|_, rate| now.saturating_sub(rate.asked) < FORGOTTEN_AFTER);
@@ -92,7 +91,7 @@
         }
     }
 
-    /// How many models and adapters are kept.
+    /// Number of tracked models and adapters.
     pub fn names(&self) -> usize {
         self.wanted.len()
     }
@@ -102,7 +101,7 @@
         self.since
     }
 
-    /// What has been counted of the models that are asked for most.
+    /// The counts of the most requested models.
     pub fn past(&self, now: Millis) -> Vec<Past> {
         let models = self.models.iter().filter(|(_, rate)| rate.slow(now) >= SILENT);
         let mut past: Vec<Past> = models
@@ -118,7 +117,7 @@
         past
     }
 
-    /// Goes on from what a node has counted, since a time if it has counted anything.
+    /// Adds the counts of another node, which has counted since `since`.
     pub fn go_on_from(&mut self, now: Millis, since: Option<Millis>, past: &[Past]) {
         self.since = self.since.into_iter().chain(since).min();
         for Past { model, fast, slow } in past {
@@ -129,22 +128,22 @@
         }
     }
 
-    /// Something waits for it now; its request is counted by [`Demand::saw`].
+    /// Records that a request waits for it now; the request itself is counted by [`Demand::saw`].
     pub fn touch(&mut self, now: Millis, wanted: &Wanted) {
         self.wanted.entry(wanted.clone()).or_default().asked = now;
     }
 
-    /// Requests a second for just this model or adapter.
+    /// Recent requests per second for exactly this model or adapter.
     pub fn rate(&self, now: Millis, wanted: &Wanted) -> f64 {
         self.wanted.get(wanted).map_or(0.0, |rate| rate.slow(now))
     }
 
-    /// When just this model or adapter was last asked for.
+    /// When exactly this model or adapter was last requested.
     pub fn last(&self, wanted: &Wanted) -> Option<Millis> {
         self.wanted.get(wanted).map(|rate| rate.asked)
     }
 
-    /// All that is not silent.
+    /// The rates of everything that is being requested.
     pub fn rates(&self, now: Millis) -> Rates {
         let models = self.models.iter().map(|(model, rate)| (model.clone(), rate.expected(now)));
         let recent = self.models.iter().map(|(model, rate)| (model.clone(), rate.slow(now)));
@@ -159,7 +158,7 @@
 }
 
 impl Rates {
-    /// Requests a second for a model, with its adapters.
+    /// Expected requests per second for a model, including its adapters.
     pub fn of_model(&self, model: &str) -> f64 {
         self.models.get(model).copied().unwrap_or(0.0)
     }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of a node that sends to engines itself.
+//! Routing, placement and quota decisions.
 //!
-//! Nothing here opens a socket or reads a clock: the time is passed in, as a [`Millis`] since the start of
-//! the process, so that each decision runs in a test of its load.
+//! Nothing here does I/O or reads a clock: the time is passed in, so that every decision can be
+//! tested.
 
 mod budget;
 mod catalog;
--- a/crates/direct/src/prompt.rs
+++ b/crates/direct/src/prompt.rs
@@ -1,35 +1,32 @@
+//! What a request says about its prompt, and the model that it asks for.
+
 use std::fmt;
 
 use derive_more::Display;
 
-/// What a caller says of its prompt.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model, with the adapter after a slash; empty where the service has no models.
+    /// `None` if the service has no models.
     pub wanted: Option<Wanted>,
-    /// Tokens of the prompt.
     pub tokens_in: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub tokens_out: u32,
-    /// The parts of the prompt, in order; the last one is the caller's own or its session's.
+    /// The parts of the prompt, in order. The last one belongs to the caller or its session.
     pub parts: Vec<Part>,
 }
 
-/// A part of a prompt, which requests may share.
+/// A part of a prompt, which several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Names its text.
+    /// Identifies its text.
     pub id: u64,
-    /// Its length.
     pub tokens: u32,
 }
 
 /// A model, or an adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Wanted {
-    /// The model.
     pub model: String,
-    /// The adapter.
     pub adapter: Option<String>,
 }
 
@@ -58,7 +55,6 @@
     }
 }
 
-/// A model or an adapter without a name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("a model or adapter without a name")]
 pub struct EmptyModel;
