--- a/crates/direct/src/place/adapters.rs
+++ b/crates/direct/src/place/adapters.rs
@@ -1,34 +1,34 @@
+//! Chooses where adapters are loaded.
+
 use crate::place::free_places;
 use crate::{Demand, Engine, EngineId, Millis, Pool, Wanted};
 
-/// What to do so that an adapter is held somewhere.
+/// How a requested adapter gets loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdapterStep {
-    /// Load it there, after dropping another where one is named.
+    /// Load it at this engine, after evicting another adapter if one is given.
     Load {
-        /// The engine.
         engine: EngineId,
-        /// What makes way.
         instead_of: Option<Wanted>,
     },
-    /// No engine with the model takes an order now.
+    /// No engine with the model can take an order now.
     Nowhere,
 }
 
-/// What an engine in another failure domain than the caller's costs, against a load as a share of slots.
+/// Cost of an engine outside the caller's failure domain, relative to a fully loaded engine.
 const OTHER_DOMAIN: f64 = 0.3;
 
 /// Time after a request for an adapter for which it is probably in use.
 const IN_USE: Millis = 800;
 
-/// What waiting for an adapter's requests to end costs, in requests a second.
+/// Cost of waiting for the requests of an adapter to end, in requests per second.
 const WAITS: f64 = 2.0;
 
-/// What dropping one of two places of an adapter costs, against dropping its only one.
+/// Cost of evicting an adapter that another engine has too, relative to evicting the only copy.
 const ELSEWHERE_SHARE: f64 = 0.2;
 
-/// Where an adapter that is wanted now should be loaded: at an engine that holds its model, with a free
-/// place if there is one, else in place of the adapter that was longest not asked for.
+/// Chooses an engine for a requested adapter: one that has its model, preferably with a free slot.
+/// Otherwise the adapter whose eviction costs least is evicted.
 pub fn place_adapter(
     engines: &[&Engine],
     pool: &Pool,
@@ -54,7 +54,7 @@
     best.map_or(AdapterStep::Nowhere, |(_, step)| step)
 }
 
-/// A place at an engine, the adapter that makes way for it, and the demand that this costs.
+/// The adapter to evict at this engine, if no slot is free, and the cost.
 fn place(
     engine: &Engine,
     engines: &[&Engine],
@@ -79,8 +79,7 @@
     Some((Some(victim.1), 0.5 + victim.0))
 }
 
-/// The next adapter that is asked for, is nowhere, and for which a place is free, or taken by one that
-/// nobody asks for.
+/// The most requested adapter that no engine has loaded and whose model is loaded.
 pub fn spread_adapters(engines: &[&Engine], demand: &Demand, now: Millis) -> Option<Wanted> {
     let rates = demand.rates(now);
     let missing = rates.adapters.iter().filter(|(w, _)| {
--- a/crates/direct/src/place/even.rs
+++ b/crates/direct/src/place/even.rs
@@ -1,21 +1,21 @@
+//! Moves model copies so that the load of the engines is balanced.
+
 use super::models::{Bounds, Candidates, LEAST_NEED, ModelStep};
 use super::room::free_mb;
 use super::targets::{IN_DEMAND, copy_rate};
 use crate::{Engine, Held};
 
-/// How much more than an engine without a model its least loaded copy must have to do before that engine gets
-/// one too, against the mean of all engines: below, the time of a load costs more than the difference.
+/// Minimum load difference, as a part of the mean load, that justifies the time of another load.
 const UNEVEN: f64 = 0.4;
 
-/// What an engine must have to do, against the mean, to take a model over that is hardly asked for.
+/// Minimum load, as a part of the mean, of an engine that takes over a rarely requested model.
 const BUSY: f64 = 0.7;
 
 impl Candidates<'_> {
-    /// Another copy of a model whose copies all have much to do, at an engine that has little; or room for it
-    /// there.
+    /// Plans another copy of a model whose copies are all busy, at an engine with little load; or
+    /// makes room for it there.
     ///
-    /// Load: demand moves to other models every few seconds. Engines that are left with models which nobody
-    /// asks for stand idle, while the others are so full that streams pause for longer than is on time.
+    /// Prevents engines from being idle because they hold models that are no longer requested.
     pub(super) fn evening_out(&self) -> Option<ModelStep> {
         let uneven = UNEVEN * self.spread.mean();
         let levels = self.levels();
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Models in demand and what their least loaded copies have to do, the most first.
+    /// Models in demand with the load of their least loaded copy, highest first.
     fn levels(&self) -> Vec<(&str, f64)> {
         let least = copy_rate(self.pool);
         let in_demand = self.rates.models.iter().filter(|(_, rate)| **rate >= IN_DEMAND);
@@ -39,14 +39,14 @@
         levels
     }
 
-    /// Whether a model that is hardly asked for is on its way to a second place.
+    /// Whether a rarely requested model is being loaded at a second engine.
     fn is_moving(&self) -> bool {
         let held = |model: &String| self.held.contains_key(model.as_str());
         self.pending.values().any(|m| held(m) && self.rate(m) < IN_DEMAND)
     }
 
-    /// Loads a last copy elsewhere that stands in the way of `model` at an engine with at most this much to do:
-    /// once there are two, the one here makes way.
+    /// Loads a last copy elsewhere if it is in the way of `model` at an engine with at most this
+    /// load. Once there are two copies, the one here can be evicted.
     fn move_away(&self, model: &str, most: f64) -> Option<ModelStep> {
         let needs = self.pool.models.get(model)?.weights_mb;
         let idle = self.engines.iter().enumerate().filter(|(at, engine)| {
--- a/crates/direct/src/place/mod.rs
+++ b/crates/direct/src/place/mod.rs
@@ -1,7 +1,4 @@
-//! Which engine is to hold which model and adapter, decided by the one node that gives orders.
-//!
-//! Load: demand moves to other models within seconds while a load takes as long; the weight store takes
-//! few loads at a time; an engine that is given more than it holds crashes.
+//! Decides which engine loads which model and adapter. Only the leader does this.
 
 mod adapters;
 mod ceiling;
--- a/crates/direct/src/place/models.rs
+++ b/crates/direct/src/place/models.rs
@@ -1,3 +1,5 @@
+//! Plans which engine loads which model next.
+
 use std::time::Duration;
 
 use derive_more::Display;
@@ -8,25 +10,22 @@
 use super::targets::{IN_DEMAND, need, targets};
 use crate::{Engine, EngineId, Engines, Millis, Model, Pool, Rates, Wanted};
 
-/// Models that are on their way to engines.
+/// Models that engines are being ordered to load.
 pub type Pending = IndexMap<EngineId, String>;
 
-/// A model that should be held at one more engine.
+/// A model to load at one more engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelStep {
-    /// Where.
     pub engine: EngineId,
-    /// What makes way, in this order.
+    /// Models to evict first, in this order.
     pub drop: Vec<String>,
-    /// What is loaded then.
     pub load: String,
-    /// Where its weights come from.
     pub source: Source,
 }
 
 impl ModelStep {
-    /// Takes what makes way out of the books, before the next step is planned: two steps of one look would each drop
-    /// one of two copies, and the model would be nowhere.
+    /// Removes the evicted models from the engine's entry, so that the next plan does not evict the
+    /// last copy.
     pub fn make_way(&self, engines: &mut Engines) {
         let Some(engine) = engines.get_mut(&self.engine) else { return };
         for model in &self.drop {
@@ -35,22 +34,22 @@
     }
 }
 
-/// Where weights come from.
+/// Where weights are loaded from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Source {
-    /// The memory of the engine's machine.
+    /// Memory of the engine's VM.
     #[display("memory")]
     Memory,
-    /// The engine's own disk.
+    /// Disk of the engine.
     #[display("disk")]
     Disk,
-    /// The weight store, whose loads are counted.
+    /// The weight store, whose loads are limited.
     #[display("store")]
     Store,
 }
 
 impl Source {
-    /// Where an engine would load a model from.
+    /// Fastest source for an engine to load a model from.
     pub fn of(engine: &Engine, model: &str) -> Source {
         let has = |all: &[String]| all.iter().any(|m| m == model);
         if has(&engine.listed.at_hand.in_memory) {
@@ -62,7 +61,6 @@
         }
     }
 
-    /// How long a load takes from there.
     pub fn time(self, model: &Model) -> Duration {
         match self {
             Source::Memory => model.from_memory,
@@ -72,47 +70,42 @@
     }
 }
 
-/// What may be done now.
+/// What a plan may do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Allowed {
-    /// Loads from the weight store.
+    /// Whether to load from the weight store.
     pub store: bool,
-    /// Dropping a copy: not before demand has been seen for a while, for until then each copy that an
-    /// engine holds is the best word on demand.
+    /// Whether to evict models. A new leader has to observe demand first.
     pub drop: bool,
 }
 
-/// Demand by which a copy must be spare before it makes way, against that which asks for one: without
-/// the difference one engine drops and loads the same two models in turn.
+/// Factor on demand by which a copy must be spare to be evicted; prevents an engine from loading
+/// and evicting the same two models in turn.
 const SPARE: f64 = 1.3;
 
-/// Requests a second that every copy which is asked for is worth waiting less for.
+/// Minimum need of any requested copy, in requests per second.
 pub(super) const LEAST_NEED: f64 = 2.0;
 
-/// Requests a second from which requests for a model probably run at each of its copies.
+/// Recent requests per second from which a model is probably in use at each of its copies.
 const IN_USE: f64 = 0.5;
 
-/// Time until the last of them has ended: an engine drops a model only then, and takes no other order before.
-/// Streams run for two seconds in the mean and for ten at the most; measured, three to four.
+/// Time until the requests of an evicted model have ended; the engine takes no other order before.
 const RUNS_OUT: Duration = Duration::from_millis(3_500);
 
-/// Part of the need of the most urgent copy from which another counts as urgent as that: of these the one goes first
-/// that is there first.
-///
-/// Load: engines come back empty after a crash, each with what it held on its disk, a second away; the weight store takes
-/// six. Planned model by model, half of the places went to loads from the store.
+/// Models with at least this part of the highest need count as equally urgent; the fastest load
+/// among them goes first.
 const AS_URGENT: f64 = 0.5;
 
-/// Copies that are weighed against each other by their time: a plan for thousands of engines takes so many times as long.
+/// Maximum number of equally urgent models to compare; bounds the time of a plan.
 const MOST_URGENT: usize = 6;
 
-/// Engines that make room for a model and do not load it yet. One that has vanished while it loaded is in
-/// neither book for long, and must not be counted against those that are there.
+/// Number of engines that evict models for a load that has not started. Counted by engine, as one
+/// that has disappeared may be in only one of the two lists.
 pub fn making_room(pending: &Pending, loading: &IndexMap<EngineId, Millis>) -> usize {
     pending.keys().filter(|engine| !loading.contains_key(*engine)).count()
 }
 
-/// The order that helps most, or none. `busy` engines take no order now.
+/// The most useful load, if any. Engines in `pending` take no order now.
 pub fn next_model_step(
     engines: &[&Engine],
     pool: &Pool,
@@ -165,8 +158,7 @@
         .or_else(|| wants.evening_out())
 }
 
-/// Engines that hold each model, counted once for a whole plan: counted for each model and engine anew, a plan
-/// for 1,500 models before 600 engines took 19 ms.
+/// Number of engines that have each model, counted once per plan to keep plans fast.
 fn held<'a>(engines: &[&'a Engine]) -> IndexMap<&'a str, usize> {
     let mut held = IndexMap::new();
     for model in engines.iter().flat_map(|e| &e.listed.held) {
@@ -175,8 +167,8 @@
     held
 }
 
-/// What an engine that gets a copy has to do at the least and at the most, and what it may lose by it, in
-/// requests a second.
+/// Bounds on the load of an engine that gets a copy, and on the loss by eviction, in requests per
+/// second.
 pub(super) struct Bounds {
     pub(super) least: f64,
     pub(super) most: f64,
@@ -187,26 +179,25 @@
     const NONE: Bounds = Bounds { least: 0.0, most: f64::INFINITY, loss: f64::INFINITY };
 }
 
-/// What a plan looks at.
+/// Input of a plan.
 pub(super) struct Candidates<'a> {
     pub(super) engines: &'a [&'a Engine],
     pub(super) pool: &'a Pool,
     pub(super) rates: &'a Rates,
     pub(super) pending: &'a Pending,
-    /// Where the demand goes now.
     pub(super) spread: &'a Spread<'a>,
-    /// Copies that each model keeps.
+    /// Number of copies that each model keeps.
     pub(super) kept: &'a IndexMap<String, usize>,
-    /// Engines that hold each model.
+    /// Number of engines that have each model.
     pub(super) held: &'a IndexMap<&'a str, usize>,
-    /// Megabytes of an engine that adapters may take.
+    /// Memory per engine that is reserved for adapters, in megabytes.
     pub(super) reserved: f64,
     pub(super) allowed: Allowed,
     pub(super) now: Millis,
 }
 
 impl Candidates<'_> {
-    /// The best engine for one more copy of a model, and what makes way there.
+    /// The best engine for one more copy of a model, with the models to evict there.
     pub(super) fn step(&self, model: &str, need: f64, bounds: &Bounds) -> Option<ModelStep> {
         let configured = self.pool.models.get(model)?;
         let needs = configured.weights_mb;
@@ -231,7 +222,7 @@
             if loss > bounds.loss || (!victims.is_empty() && !self.allowed.drop) {
                 continue;
             }
-            // What comes meanwhile is not served.
+            // Requests that arrive until the load is complete are not served.
             let time = self.runs_out(&victims) + source.time(configured);
             let waits = need.max(LEAST_NEED) * time.as_secs_f64();
             let cost = loss + self.burden(model, load) + waits;
@@ -244,19 +235,19 @@
         Some(ModelStep { engine, drop: victims, load, source })
     }
 
-    /// How long a step takes.
+    /// Time until the load is complete.
     fn time(&self, step: &ModelStep) -> Duration {
         let load = self.pool.models.get(&step.load).map(|model| step.source.time(model));
         self.runs_out(&step.drop) + load.unwrap_or_default()
     }
 
-    /// What speaks against an engine that has this much to do. A model that is hardly asked for goes where there
-    /// is much: a place where there is little is one for a model in demand.
+    /// Cost of an engine with this load. A rarely requested model goes to a busy engine, to leave
+    /// engines with little load to models in demand.
     fn burden(&self, model: &str, load: f64) -> f64 {
         if self.rate(model) < IN_DEMAND { self.spread.most() - load } else { load }
     }
 
-    /// Models to drop so that `needs` fits, and the demand that loses a copy by it.
+    /// The models to evict so that `needs` megabytes are free, and the resulting loss of demand.
     fn victims(&self, engine: &Engine, needs: f64) -> Option<(Vec<String>, f64)> {
         let mut free_mb = free_mb(engine, self.pool, self.reserved);
         let mut droppable: Vec<(&str, f64)> = engine
@@ -282,7 +273,7 @@
         (free_mb >= needs).then_some((victims, loss))
     }
 
-    /// Time until models can be dropped.
+    /// Time until the models can be evicted.
     fn runs_out(&self, victims: &[String]) -> Duration {
         let in_use = victims.iter().any(|m| self.recent(m) >= IN_USE);
         if in_use { RUNS_OUT } else { Duration::ZERO }
@@ -292,7 +283,7 @@
         self.rates.recent.get(model).copied().unwrap_or(0.0)
     }
 
-    /// Whether one copy of a model may make way.
+    /// Whether one copy of a model may be evicted.
     pub(super) fn is_spare(&self, model: &str) -> bool {
         let kept = self.kept.get(model).copied().unwrap_or(0);
         self.copies(model) > kept as f64
--- a/crates/direct/src/place/spread.rs
+++ b/crates/direct/src/place/spread.rs
@@ -1,29 +1,29 @@
+//! Estimates how demand distributes over the copies of models.
+
 use indexmap::IndexMap;
 
 use super::models::Pending;
 use crate::{Engine, Rates};
 
-/// Parts in which the demand for a model is dealt out over its copies.
+/// Number of parts in which the demand for a model is distributed over its copies.
 const PARTS: u32 = 16;
 
-/// Rounds of dealing: in the second each model knows where all others went.
+/// Rounds of distribution; in the second, each model takes all others into account.
 const ROUNDS: u32 = 2;
 
-/// How the demand for all models spreads over the copies that there are, when each request goes to the least
-/// loaded copy.
+/// Distribution of the demand for all models, if each request goes to the least loaded copy.
 ///
-/// Load: as many copies as a model's share of the engines may all stand beside copies of other models in
-/// demand, while engines that hold only rare models have nothing to do.
+/// The number of copies alone does not show that copies of busy models share an engine while others
+/// are idle.
 #[derive(Debug)]
 pub(super) struct Spread<'a> {
-    /// Requests a second at each engine, in the order of the engines.
+    /// Requests per second at each engine, in the order of the engines.
     loads: Vec<f64>,
-    /// Engines that hold each model, or soon will, by their places in that order.
+    /// Indices of the engines that have, or are loading, each model.
     holders: IndexMap<&'a str, Vec<usize>>,
 }
 
 impl<'a> Spread<'a> {
-    /// Spreads the demand over what the engines hold and what is on its way to them.
     pub(super) fn of(engines: &[&'a Engine], pending: &'a Pending, rates: &Rates) -> Spread<'a> {
         let mut holders: IndexMap<&str, Vec<usize>> = IndexMap::new();
         for (at, engine) in engines.iter().enumerate() {
@@ -41,7 +41,7 @@
     }
 
     fn deal(&mut self, rates: &Rates) {
-        // What has least choice goes first.
+        // Models with the fewest copies have the least choice and go first.
         self.holders.sort_by(|_, a, _, b| a.len().cmp(&b.len()));
         let mut dealt: Vec<Vec<f64>> = self.holders.values().map(|h| vec![0.0; h.len()]).collect();
         for _ in 0..ROUNDS {
@@ -65,23 +65,22 @@
         }
     }
 
-    /// Requests a second at the engine with this place.
+    /// Requests per second at the engine with this index.
     pub(super) fn load(&self, at: usize) -> f64 {
         self.loads[at]
     }
 
-    /// Requests a second at the least loaded copy of a model.
+    /// Requests per second at the least loaded copy of a model.
     pub(super) fn level(&self, model: &str) -> Option<f64> {
         let holders = self.holders.get(model)?;
         holders.iter().map(|at| self.loads[*at]).min_by(f64::total_cmp)
     }
 
-    /// Requests a second at the most loaded engine.
+    /// Requests per second at the most loaded engine.
     pub(super) fn most(&self) -> f64 {
         self.loads.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Mean of all engines.
     pub(super) fn mean(&self) -> f64 {
         self.loads.iter().sum::<f64>() / self.loads.len().max(1) as f64
     }
