--- a/crates/direct/src/quota/alone.rs
+++ b/crates/direct/src/quota/alone.rs
@@ -1,3 +1,5 @@
+//! Grants a domain its share of the quotas while it does not reach the issuer.
+
 use std::collections::VecDeque;
 
 use indexmap::{IndexMap, IndexSet};
@@ -7,37 +9,31 @@
 use super::bucket::Bucket;
 use super::{ALONE_SHARE, Answer, LEAST_DEPTH_S, SILENT_AFTER, Terms, Want};
 
-/// What a domain used without the issuer.
+/// Usage that was granted without the issuer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Used {
-    /// Whose limit.
     pub customer: CustomerId,
-    /// How much.
     pub amount: f64,
-    /// When.
     pub at: Millis,
 }
 
-/// What a domain uses that hears nothing from the issuer: its share of the limits.
+/// Grants a domain's share of the quotas without the issuer.
 #[derive(Debug, Clone, Default)]
 pub struct Alone {
     buckets: IndexMap<CustomerId, Bucket>,
-    /// Those of which nothing was given since the issuer was heard.
+    /// Customers without a grant since the issuer responded.
     ended: IndexSet<CustomerId>,
-    /// What was used of late, and when.
     used: VecDeque<Used>,
 }
 
 impl Alone {
-    /// The issuer is heard: nothing is used without it. What was drawn ahead stays drawn.
-    ///
-    /// Load: an issuer that is about to end answers now and then. A domain that began anew each time would draw its share
-    /// ahead each time.
+    /// The issuer has responded. The advance that was used stays used, so that an issuer that
+    /// responds only now and then does not renew it each time.
     pub fn end(&mut self) {
         self.ended.extend(self.buckets.keys().cloned());
     }
 
-    /// Gives so much at the most of the part of the limit that `share` of all nodes have.
+    /// Grants from the quota's part for `share` of all nodes.
     pub fn give(
         &mut self,
         customer: &CustomerId,
@@ -63,13 +59,13 @@
         }
     }
 
-    /// What was used of late, for the issuer: what was used before that it has taken off by itself.
+    /// Recent usage, to report to the issuer, which has deducted earlier usage already.
     pub fn take_used(&mut self, now: Millis) -> Vec<Used> {
         self.forget(now);
         self.used.drain(..).collect()
     }
 
-    /// Takes it back, where the issuer did not answer.
+    /// Restores usage that could not be reported.
     pub fn give_back(&mut self, used: Vec<Used>) {
         used.into_iter().rev().for_each(|used| self.used.push_front(used));
     }
--- a/crates/direct/src/quota/bucket.rs
+++ b/crates/direct/src/quota/bucket.rs
@@ -1,6 +1,7 @@
+//! A token bucket.
+
 use crate::Millis;
 
-/// A bucket that fills at a rate and holds so much.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Bucket {
     pub(super) level: f64,
@@ -8,7 +9,7 @@
 }
 
 impl Bucket {
-    /// Brings it up to now.
+    /// Adds the tokens since the last call.
     pub(super) fn fill(&mut self, now: Millis, rate: f64, depth: f64) {
         let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
         self.level = (self.level + rate * passed).min(depth);
--- a/crates/direct/src/quota/issuer.rs
+++ b/crates/direct/src/quota/issuer.rs
@@ -1,3 +1,5 @@
+//! Grants allowances from the customers' quotas.
+
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
@@ -7,42 +9,41 @@
 use super::bucket::Bucket;
 use super::{ALONE_SHARE, SILENT_AFTER, Terms, Want};
 
-/// Part of what there is that one asker gets at the most, times its part of the nodes; and the same whatever that is.
-///
-/// Load: all ask for several times what there is. The first to ask in each moment would get all of it, more than its
-/// callers use before it lapses, and the others nothing.
+/// Maximum part of the available amount for one request, as a multiple of the part of the nodes
+/// that it is for, and a minimum of that. Prevents the first node from getting more than it uses
+/// before it expires.
 const OF_ITS_PART: f64 = 2.0;
 const LEAST_PART: f64 = 0.125;
 
-/// The one node that gives allowances from the limits.
+/// The issuer of allowances, on one node.
 #[derive(Debug, Clone, Default)]
 pub struct Issuer {
-    /// Since when it does.
+    /// When it started.
     since: Millis,
     buckets: IndexMap<CustomerId, Bucket>,
-    /// Who asked, when, and for how many nodes.
+    /// By address: time of the latest request, and the number of nodes it was for.
     heard: IndexMap<SocketAddr, (Millis, u32)>,
-    /// What they wanted and did not get.
+    /// Amounts that nodes requested and did not get.
     unmet: IndexMap<CustomerId, IndexMap<SocketAddr, (f64, Millis)>>,
 }
 
-/// Time for which what a node did not get counts as wanted.
+/// Time after which an unmet request is dropped.
 const UNMET_FOR: Millis = 200;
 
 impl Issuer {
-    /// Begins with nearly empty buckets.
+    /// Starts with nearly empty buckets.
     pub fn begin(now: Millis) -> Issuer {
         Issuer { since: now, ..Issuer::default() }
     }
 
-    /// A node asks, for itself and those that ask it.
+    /// Records a request by a node for itself and those that ask it.
     pub fn hear(&mut self, from: SocketAddr, nodes: u32, now: Millis) {
         self.heard.insert(from, (now, nodes));
         self.heard.retain(|_, (at, _)| now.saturating_sub(*at) < SILENT_AFTER);
     }
 
-    /// Part of all nodes that it has not heard of lately; itself it hears. One that has just begun has yet to hear from
-    /// the others: after all processes were killed nobody has found its head, and nobody uses a share alone.
+    /// Part of the nodes without recent contact. 0 just after the start, as nodes have to find the
+    /// new issuer first.
     pub fn silent_share(&self, nodes: u32, now: Millis) -> f64 {
         if now.saturating_sub(self.since) < SILENT_AFTER {
             return 0.0;
@@ -52,14 +53,15 @@
         f64::from(nodes.saturating_sub(heard)) / f64::from(nodes.max(1))
     }
 
-    /// The part of what there is that a node may get which asks for so many nodes of all.
+    /// Maximum part of the available amount for a request for this many of all nodes.
     pub fn part_of(asks_for: u32, nodes: u32) -> f64 {
         let part = f64::from(asks_for.max(1)) / f64::from(nodes.max(1));
         (OF_ITS_PART * part).clamp(LEAST_PART, 1.0)
     }
 
-    /// Gives of what a customer may use; `alone` was used without the issuer, and `silent` is the part of the nodes that
-    /// may be doing so. Of what there is only this `part` is given, but for what one request lacks.
+    /// Grants from a customer's quota. `alone` is usage without the issuer, `silent` the part of
+    /// the nodes that may use their share without it, and `part` the maximum part to grant, unless
+    /// a single request needs more.
     pub fn give(
         &mut self,
         from: SocketAddr,
@@ -72,7 +74,7 @@
         let empty = Bucket { level: terms.start, at: self.since };
         let bucket = self.buckets.entry(customer.clone()).or_insert(empty);
         bucket.fill(now, terms.rate * (1.0 - ALONE_SHARE * silent), terms.depth);
-        // What was used before it began is not of its bucket.
+        // Usage from before the start is not part of this bucket.
         if now.saturating_sub(self.since) >= SILENT_AFTER {
             bucket.level -= alone;
         }
@@ -93,11 +95,10 @@
     }
 }
 
-/// What an issuer gives.
+/// A response of an issuer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Answer {
-    /// So much.
     pub amount: f64,
-    /// Where there is no more at the moment: when there will be, in milliseconds.
+    /// Set if the quota is used up: milliseconds until it is available again.
     pub room_in: Option<Millis>,
 }
--- a/crates/direct/src/quota/mod.rs
+++ b/crates/direct/src/quota/mod.rs
@@ -1,14 +1,14 @@
-//! What a customer may use over all nodes, handed out as allowances that lapse.
+//! Enforces customers' quotas over all nodes by allowances that expire.
 //!
-//! Load: a customer sends six times its usual through 62 nodes, some of which are cut off, frozen or killed meanwhile, and
-//! its limit holds for all of them together at any moment. One node, the issuer, has the limit as a bucket, and gives
-//! allowances from it; what a node has not used within half a second is void, so that nothing that was given long ago is
-//! used on top of what others were given since. A domain that hears nothing from the issuer goes on with its share of the
-//! limit, and the issuer takes that share off what it gives as soon as it hears nothing from the domain. A new issuer
-//! begins with little in its buckets: what its predecessor gave counts in the same window.
+//! One node, the issuer, keeps each quota as a token bucket and grants allowances from it. An
+//! allowance expires after at most half a second, so that an old one cannot be used on top of newer
+//! ones. A domain that does not reach the issuer uses its share of the quota, and the issuer
+//! deducts that share as soon as it does not hear from the domain. A new issuer starts with nearly
+//! empty buckets, as grants of the previous one count in the same window.
 //!
-//! Sum of any window: what the bucket gave in it and within the life of an allowance before it, and what domains used
-//! that the issuer did not know of yet. [`Terms`] takes both off the bucket where the bounds leave no room for them.
+//! The usage in a window is at most what the bucket granted within it and one allowance lifetime
+//! before, plus what isolated domains used before the issuer noticed. [`Terms`] sizes the bucket so
+//! that both stay within [`QuotaBounds`](crate::QuotaBounds).
 
 mod account;
 mod alone;
@@ -27,11 +27,12 @@
 pub use terms::Terms;
 pub use want::Want;
 
-/// Part of the limit that domains use which hear nothing from the issuer.
+/// Part of their share that domains use while they do not reach the issuer.
 const ALONE_SHARE: f64 = 0.8;
 
-/// Time without a word after which a domain counts as on its own.
+/// Time without contact after which a domain counts as isolated.
 const SILENT_AFTER: Millis = 1_000;
 
-/// Least that the bucket holds, in seconds of the limit: a request needs much at once.
+/// Minimum depth of a bucket, in seconds at the quota's rate; a single request may need that much
+/// at once.
 const LEAST_DEPTH_S: f64 = 0.4;
--- a/crates/direct/src/quota/purse.rs
+++ b/crates/direct/src/quota/purse.rs
@@ -1,47 +1,45 @@
+//! Allowances that a node holds.
+
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// An amount that may be used up to a time.
+/// An amount that may be used until it expires.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Lot {
-    /// How much is left.
     pub amount: f64,
-    /// When it is void.
     pub until: Millis,
 }
 
-/// An amount on its way to another node, which has a clock of its own.
+/// An allowance sent to another node, whose clock differs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// How much.
     pub amount: f64,
-    /// How long it may still be used when it is given.
+    /// Remaining lifetime when it is granted.
     pub for_ms: Millis,
 }
 
-/// What a node may still use of one customer's limit.
+/// Allowances of one customer that a node holds.
 #[derive(Debug, Clone, Default)]
 pub struct Purse {
     lots: VecDeque<Lot>,
 }
 
 impl Purse {
-    /// What there is now.
     pub fn balance(&mut self, now: Millis) -> f64 {
         self.lots.retain(|lot| lot.until > now && lot.amount > 0.0);
         self.lots.iter().map(|lot| lot.amount).sum()
     }
 
-    /// Takes an allowance in, or back where it was not used.
+    /// Adds an allowance, or returns an unused one.
     pub fn add(&mut self, lot: Lot) {
         let at = self.lots.partition_point(|known| known.until <= lot.until);
         self.lots.insert(at, lot);
     }
 
-    /// Takes so much at the most, what lapses first first.
+    /// Takes up to this amount, the earliest to expire first.
     pub fn take(&mut self, now: Millis, most: f64) -> Vec<Lot> {
         self.balance(now);
         let (mut left, mut taken) = (most, Vec::new());
@@ -58,7 +56,7 @@
         taken
     }
 
-    /// Takes all that a request needs, or nothing.
+    /// Takes the cost of a request, or nothing if it is not available.
     pub fn spend(&mut self, now: Millis, cost: f64) -> Option<Vec<Lot>> {
         (self.balance(now) >= cost).then(|| self.take(now, cost))
     }
--- a/crates/direct/src/quota/want.rs
+++ b/crates/direct/src/quota/want.rs
@@ -1,25 +1,25 @@
+//! A node's request for an allowance.
+
 use serde::{Deserialize, Serialize};
 
-/// What a node asks for.
+/// A request for an allowance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Want {
-    /// So much at the most.
+    /// Maximum amount.
     pub most: f64,
-    /// What requests wait for; the rest is asked ahead.
+    /// Amount that requests wait for; the rest is requested in advance.
     pub needed: f64,
-    /// The least that is of use: what one request lacks.
+    /// Minimum useful amount: what one request lacks.
     pub least: f64,
-    /// What one more request needs.
+    /// Cost of one further request.
     pub step: f64,
-    /// What requests have needed since the last question, whether they got it or not.
+    /// New demand since the last request, whether it was met or not.
     pub new: f64,
 }
 
 impl Want {
-    /// What to give of so much. Less than a request needs would lapse unused.
-    ///
-    /// Load: a customer asks for four times its limit through 62 nodes. Shared out to the last token, one in sixteen of
-    /// what it may use was left over in pieces that no request fitted into.
+    /// The amount to grant if this much is available, in multiples of whole requests, as smaller
+    /// amounts would expire unused.
     pub fn of(&self, there: f64) -> f64 {
         if there >= self.most {
             return self.most;
