--- a/crates/direct/benches/plan.rs
+++ b/crates/direct/benches/plan.rs
@@ -1,4 +1,5 @@
-//! What one look at placement and one choice cost, at the size of the grown deployments.
+//! Measures the time of a plan, an adapter placement and a choice at the sizes of large
+//! deployments.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -9,7 +10,7 @@
     Pool, Prompt, ServiceId, Standing, Start, Wanted, choose,
 };
 
-/// Looks that are timed; the middle one counts.
+/// Number of measurements, of which the median is printed.
 const ROUNDS: usize = 201;
 
 #[expect(clippy::print_stdout, reason = "the figures are what the program is for")]
--- a/crates/direct/tests/budget.rs
+++ b/crates/direct/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of second tries.
+//! The retry budget.
 
 use hgw_direct::{Budget, BudgetLimits};
 
@@ -10,8 +10,7 @@
     (0..10_000).take_while(|_| budget.take(now, limits, urgent)).count()
 }
 
-/// Engines fail every request, and every node sends each again: all nodes together stay below the share
-/// and the slack that they have in common.
+/// Guards against retries that multiply the load when all engines fail.
 #[test]
 fn nodes_together_stay_below_the_common_budget() {
     let limits = limits(5);
--- a/crates/direct/tests/catalog.rs
+++ b/crates/direct/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request.
+//! Matching of requests to routes.
 
 use std::time::Duration;
 
--- a/crates/direct/tests/choose.rs
+++ b/crates/direct/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to.
+//! The choice of an engine for a request.
 
 mod support;
 
@@ -99,8 +99,7 @@
     assert_eq!(engine.estimate(10_000), 0.0);
 }
 
-/// An engine that fails part of its requests answers them sooner than the others and looks idle; chosen
-/// by load alone it would draw most of the work. Its failures count against it until they are old.
+/// Guards against sending most requests to an engine that fails quickly and so looks idle.
 #[test]
 fn failing_engine_is_avoided_though_it_is_idle() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -129,8 +128,8 @@
     assert_matches!(chosen(&engines, "m", &[]), Err(NoEngine::Full(wait)) if !wait.is_zero());
 }
 
-/// A failure domain is cut off from the others, and callers still reach its nodes. These say that they are not
-/// ready, so that callers go where they are served. While just the store is down, nobody does.
+/// Guards against callers that stay at an isolated node, and against nodes that all report not
+/// ready during a store outage.
 #[test]
 fn node_that_reaches_neither_store_nor_other_domains_is_cut_off() {
     let mut engines =
@@ -145,8 +144,7 @@
     assert!(!is_cut_off(2_000, &engines, "a", 5_300));
 }
 
-/// Many nodes see the same idle engines and each sends a plain request. With one draw for all engines of a choice
-/// every node chose the first, and an engine that had failed once was not tried again while another was idle.
+/// Guards against nodes that all choose the same engine among idle ones.
 #[test]
 fn idle_engines_that_cost_the_same_share_the_requests() {
     let engines = engines(&[("e1", "a", &[]), ("e2", "a", &[]), ("e3", "a", &[])]);
@@ -171,9 +169,7 @@
     assert!(counts.len() == 3 && counts.values().all(|n| (70..130).contains(n)), "{counts:?}");
 }
 
-/// Four callers with long prompts come within a tenth of a second, and one engine gets them all: it runs few requests.
-/// It reads the prompts between the steps of the streams that run there, each of which pauses for as long, and the
-/// callers of all of them are late. The next prompt goes to an engine that runs more requests and has nothing to read.
+/// Guards against sending all long prompts to one engine because it runs few requests.
 #[test]
 fn prompts_that_wait_to_be_read_count_more_than_requests() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -191,7 +187,7 @@
     assert_eq!(name(chosen(&engines, "m", &[])), "e1");
 }
 
-/// Two engines have the same prompts to read, and answers show that one reads at a third of the pace.
+/// Two engines have the same prefill backlog; one needs three times as long for it.
 #[test]
 fn engine_that_reads_slowly_is_passed_over_for_one_that_reads_fast() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -205,7 +201,7 @@
     assert_eq!(name(chosen(&engines, "m", &[])), "e2");
 }
 
-/// An engine that runs streams, of which one prompt more would make each pause for longer than is on time.
+/// Gives an engine streams that one more prompt would delay beyond the gap target.
 fn crowded(engines: &mut Engines, id: &str) {
     let engine = engines.get_mut(&id.into()).unwrap();
     engine.own = 12;
@@ -233,8 +229,8 @@
     choose(engines, &ask, 1_000)
 }
 
-/// A burst: every copy has so many prompts to read that one more makes all its streams late. A request whose own first
-/// event can still be on time waits; one that cannot wait goes where it costs least.
+/// Guards against a burst of prompts that delays the streams of all engines. A request that cannot
+/// wait is sent.
 #[test]
 fn prompt_waits_where_it_would_pause_streams_for_too_long() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -250,7 +246,7 @@
     assert_eq!(name(on_time(&engines, true)), "e2");
 }
 
-/// A long prompt takes longer to read than streams may pause: waiting until nothing else is read is all that helps.
+/// Guards against an endless wait of a prompt whose own prefill exceeds the gap target.
 #[test]
 fn prompt_that_is_too_long_by_itself_does_not_wait_for_ever() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
@@ -259,7 +255,7 @@
     assert_eq!(name(on_time(&engines, true)), "e1");
 }
 
-/// No stream runs there: what is read makes nobody late.
+/// An engine without streams has none to delay.
 #[test]
 fn engine_that_runs_nothing_takes_prompts() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
@@ -268,8 +264,7 @@
     assert_eq!(name(on_time(&engines, true)), "e1");
 }
 
-/// An engine that cannot be reached has nothing to read that is known. It is no reason to wait less: it is the last
-/// resort still.
+/// Guards against sending to an ejected engine because it has no known prefill backlog.
 #[test]
 fn engine_that_cannot_be_reached_is_no_way_round_a_wait() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -279,8 +274,7 @@
     assert_eq!(name(on_time(&engines, false)), "e1");
 }
 
-/// Two hundred nodes know the same of a model's two copies, one of which has nothing to do. A request that looked at
-/// two engines in five would look at the busy one alone in every fourth choice.
+/// Guards against skipping the only idle engine when requests consider some engines only.
 #[test]
 fn idle_one_of_two_copies_is_not_passed_over() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -307,8 +301,7 @@
     }
 }
 
-/// Engines are full, and as much again waits there of what is least urgent. An urgent request is admitted before all of
-/// that and is sent; a least urgent one would wait for longer than its caller, and is asked to come back.
+/// Guards against refusing urgent requests because less urgent ones fill the queue.
 #[test]
 fn urgent_request_goes_where_less_urgent_ones_wait() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
@@ -334,8 +327,7 @@
     }
 }
 
-/// Nodes count the same requests several times over and take all engines for full, while these tell that they have
-/// places. Requests were refused for two seconds.
+/// Guards against refusals while nodes count the same requests more than once.
 #[test]
 fn engines_that_say_they_have_places_are_not_full() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "b", &["m"])]);
@@ -345,7 +337,7 @@
         engine.hear(Load { running: slots / 2, waiting: 0, slots }, 900);
     }
     assert_matches!(chosen(&engines, "m", &[]), Ok(_));
-    // They say themselves that they are full.
+    // The engines themselves report that they are full.
     for engine in engines.iter_mut() {
         let slots = engine.listed.slots;
         engine.hear(Load { running: slots, waiting: 19 * slots, slots }, 950);
--- a/crates/direct/tests/cursor.rs
+++ b/crates/direct/tests/cursor.rs
@@ -1,4 +1,4 @@
-//! Places in the store's logs, over its eras.
+//! Positions in the store's logs, and eras.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 macro_rules! no_era {
     ($($name:ident: $text:literal;)*) => {$(
-        /// Nothing is believed from an answer whose era cannot be read.
+        /// Guards against accepting responses of the store with an invalid era.
         #[test]
         fn $name() {
             let text: Result<Era, _> = $text.parse();
@@ -37,8 +37,8 @@
     number_beyond_all_numbers_is_no_era: "99999999999999999999";
 }
 
-/// The store comes back from a copy and offsets go back: a holder of the new era whose claim has a lower offset must not
-/// be refused by engines that saw the one before, and two claims at one offset must not share a number.
+/// Guards against engines that reject a new leader after a restore of the store, and against two
+/// leaders with the same token.
 #[test]
 fn fencing_numbers_rise_over_eras() {
     assert_eq!(at("0", 17).fence(), Some(17));
@@ -56,7 +56,7 @@
     assert_eq!(serde_json::from_str::<Cursor>(&text).unwrap(), cursor);
 }
 
-/// A node that starts in a long-lived era knows it for young, until another tells how long it has known it.
+/// Guards against taking a long-lived era for a new one after a restart of the node.
 #[test]
 fn era_is_as_old_as_anybody_has_known_it() {
     let mut known = KnownEra::default();
@@ -71,7 +71,7 @@
 }
 
 proptest! {
-    /// Numbers have the order of the places, and no two places share one.
+    /// Tokens have the order of positions and are unique.
     #[test]
     fn fencing_numbers_have_the_order_of_places(
         a in (0_u32..2_097_152, 0_u64..1 << 32),
--- a/crates/direct/tests/customer.rs
+++ b/crates/direct/tests/customer.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, by the key that it shows.
+//! Identification of callers by their keys.
 
 use assert_matches::assert_matches;
 use hgw_direct::{Customer, Customers, Key, Quota, Sender, Shown, Unit};
@@ -30,7 +30,8 @@
     assert_eq!(name(&all, &shows("k3"), true).as_deref(), Some("b"));
 }
 
-/// A customer that lost its last key is still there, and nobody is it; a key that moved names the new one.
+/// Guards against accepting a revoked key, and against a moved key that names its previous
+/// customer.
 #[test]
 fn key_that_is_taken_away_names_nobody() {
     let all = customers(&[("a", &[]), ("b", &["k1"])]);
@@ -45,7 +46,7 @@
     assert_matches!(all.sender(&Shown::Nothing, false), Sender::Stranger);
 }
 
-/// A key that was taken away must not run on an open route either.
+/// Guards against accepting a revoked key on an open route.
 #[test]
 fn unknown_key_and_several_keys_are_strangers_on_any_route() {
     let all = customers(&[("a", &["k1"])]);
--- a/crates/direct/tests/deadline.rs
+++ b/crates/direct/tests/deadline.rs
@@ -16,7 +16,7 @@
     assert_eq!(deadline.left(ms(3_000), ms(16_000)), Duration::ZERO);
 }
 
-/// A clock that runs behind the other gives no time back.
+/// Guards against a clock that is behind and extends the deadline.
 #[test]
 fn later_of_two_clocks_counts() {
     let deadline = Deadline { longest: ms(1_000) };
--- a/crates/direct/tests/demand.rs
+++ b/crates/direct/tests/demand.rs
@@ -1,4 +1,4 @@
-//! How often each model and adapter is asked for.
+//! Counts of requests by model and adapter.
 
 use hgw_direct::{Demand, Wanted};
 
@@ -6,8 +6,7 @@
     text.parse().unwrap()
 }
 
-/// One request waits for its adapter and asks the keeper again and again. Counted each time, ten waiting
-/// requests looked like thousands a second, and hot models were dropped for theirs.
+/// Guards against counting a waiting request each time that it asks for its adapter.
 #[test]
 fn request_that_waits_counts_once() {
     let mut demand = Demand::default();
@@ -49,13 +48,11 @@
         demand.saw(at, &falling, 4.0 - at as f64 / 1_000.0);
     }
     let rates = demand.rates(4_000);
-    // Forty a second are asked for at the end of the rise, and none at the end of the fall.
     assert!(rates.of_model("m") > 30.0, "{rates:?}");
     assert!(rates.of_model("n") < 12.0, "{rates:?}");
 }
 
-/// A caller names another model in each request. What is kept stays bounded, and what others ask for is known
-/// again with their next requests.
+/// Guards against unbounded memory when callers send arbitrary model names.
 #[test]
 fn names_without_end_are_forgotten() {
     let mut demand = Demand::default();
@@ -69,8 +66,7 @@
     assert!(demand.rates(24_000).of_model("m") > 15.0);
 }
 
-/// The node that gives orders is gone and another takes over. With nothing counted it waited until it had seen
-/// demand for itself, and models in demand had too few copies all the while.
+/// Guards against a new leader that plans too few copies because it has counted no demand yet.
 #[test]
 fn successor_goes_on_from_what_the_nodes_have_counted() {
     let mut nodes = [Demand::default(), Demand::default()];
--- a/crates/direct/tests/engines.rs
+++ b/crates/direct/tests/engines.rs
@@ -1,4 +1,4 @@
-//! What is believed of engines that start anew.
+//! The list of known engines, across restarts of engines and restores of the store.
 
 mod support;
 
@@ -53,8 +53,7 @@
     assert!(engine.takes_work() && engine.holds_model("n") && !engine.holds_model("m"));
 }
 
-/// Another node has read of the later start first, and tells of the engine: what it tells holds for that start, and
-/// what others tell of the earlier one does not any more.
+/// Guards against applying a report about an earlier incarnation after a restart.
 #[test]
 fn word_of_a_later_start_goes_before_one_of_the_earlier() {
     let mut engines = used();
@@ -65,7 +64,7 @@
     assert_eq!(engines.meet(&id(), Start(Some(200))).unwrap().orders, 1);
 }
 
-/// Some engines say nothing of their start, or not everywhere.
+/// Some engines do not report their start time, or not everywhere.
 #[test]
 fn word_without_a_start_holds_for_the_start_that_is_known() {
     let mut engines = used();
@@ -85,8 +84,7 @@
     assert!(engine.takes_work() && engine.own == 7);
 }
 
-/// What other nodes have at an engine is told under the short name of one start of it. Told of an earlier start it must
-/// find nothing, whether a new entry, another node's word, or an entry that first says when it started ended that.
+/// Guards against applying loads of an earlier incarnation, however the restart became known.
 #[test]
 fn engine_is_found_by_the_name_of_its_newest_start_alone() {
     let named = |born| EngineKey::of(&"e1".into(), Start(born));
@@ -117,8 +115,7 @@
     engines.get(&id()).map(|engine| engine.listed.standing)
 }
 
-/// A node reads the list by itself, and its answer is long on its way. Meanwhile another node tells that an engine
-/// leaves: the older answer must not bring the engine back.
+/// Guards against a delayed response of the store that makes a leaving engine ready again.
 #[test]
 fn older_answer_does_not_bring_back_an_engine_that_leaves() {
     let mut engines = Engines::default();
@@ -128,7 +125,7 @@
     assert_eq!(standing(&engines), Some(LEAVING));
 }
 
-/// The same for an engine that is gone, and for one that is newer than the answer.
+/// Guards against a delayed response that restores a removed engine or removes a new one.
 #[test]
 fn older_answer_neither_brings_back_nor_takes_away() {
     let mut engines = Engines::default();
@@ -142,8 +139,7 @@
     assert_eq!(standing(&engines), Some(Standing::Ready), "its entry had lapsed");
 }
 
-/// An engine says that it leaves, and the store comes back from a copy in which it had not said so yet. Requests that
-/// were sent there again would be cut with it.
+/// Guards against sending to a leaving engine after a restore from a backup in which it was ready.
 #[test]
 fn engine_that_leaves_does_not_come_back_with_the_store() {
     let mut engines = Engines::default();
@@ -156,7 +152,7 @@
     assert_eq!(standing(&engines), Some(LEAVING), "a heartbeat from before, written again");
 }
 
-/// An engine says that it leaves, and a heartbeat that it sent before is written late, before or after its entry is gone.
+/// Guards against a delayed heartbeat that makes a leaving engine ready again.
 #[test]
 fn late_heartbeat_does_not_take_back_that_an_engine_leaves() {
     let mut engines = Engines::default();
@@ -172,8 +168,7 @@
     assert_eq!(standing(&engines), Some(Standing::Ready), "a later start has said nothing");
 }
 
-/// An engine is gone, and the store comes back from a copy in which its entry still stands. It is used again only once
-/// something is written of it.
+/// Guards against using a removed engine that a restored backup still contains.
 #[test]
 fn engine_that_is_gone_comes_back_by_its_own_word_only() {
     let mut engines = Engines::default();
@@ -186,7 +181,7 @@
     assert_eq!(standing(&engines), Some(Standing::Ready));
 }
 
-/// Two nodes read first in an era at different places: what was written between them is no copy.
+/// Guards against ignoring entries that were written after a restore.
 #[test]
 fn earliest_end_of_a_copy_counts() {
     let mut engines = Engines::default();
@@ -204,7 +199,7 @@
     );
 }
 
-/// One thing that the store's log says of an engine.
+/// Applies one change of the store's log.
 fn takes(engines: &mut Engines, offset: u64, kind: u8) {
     let place = at("0", offset);
     match kind {
@@ -215,8 +210,7 @@
 }
 
 proptest! {
-    /// Whatever of the log comes first, and however often: what is known of an engine is what stands last, and one that has
-    /// said that it leaves is never taken for ready.
+    /// The latest position wins in any order of updates, and a leaving engine never becomes ready.
     #[test]
     fn last_place_counts_in_whatever_order_words_come(
         log in vec(0_u8..3, 1..12),
@@ -239,8 +233,7 @@
         prop_assert_eq!(standing(&engines), expected);
     }
 
-    /// Whatever was known before, and whatever copy the store comes back with: what said that it leaves, or is gone, is not
-    /// used by what the copy holds.
+    /// No restore from a backup makes a leaving or removed engine ready.
     #[test]
     fn copy_brings_nothing_back(log in vec(0_u8..3, 1..12), copied in 0_usize..12) {
         let mut engines = Engines::default();
--- a/crates/direct/tests/flights.rs
+++ b/crates/direct/tests/flights.rs
@@ -1,4 +1,4 @@
-//! Requests at engines, as nodes tell each other in sums.
+//! In-flight loads that nodes report to each other.
 
 use std::net::SocketAddr;
 
@@ -16,12 +16,12 @@
     SocketAddr::from(([10, 0, 0, 1], n))
 }
 
-/// All that a node has.
+/// A complete report.
 fn all(rows: &[Row]) -> Told {
     Told { all_of: Some(Share { part: 0, parts: 1 }), rows: rows.to_vec() }
 }
 
-/// What has changed there.
+/// A report of changes.
 fn changes(rows: &[Row]) -> Told {
     Told { all_of: None, rows: rows.to_vec() }
 }
@@ -48,8 +48,7 @@
     assert_eq!(tellers.sum(key(2)).requests, 1);
 }
 
-/// The datagram is lost that says that a request has ended. The engine looks fuller than it is until the whole is told
-/// again.
+/// Guards against a load that stays after the datagram with its end was lost.
 #[test]
 fn whole_word_makes_up_for_one_that_was_lost() {
     let mut tellers = Tellers::default();
@@ -58,7 +57,7 @@
     assert_eq!(tellers.sum(key(1)), Flight::default());
 }
 
-/// A node is killed. Its requests have ended with it, and nobody will say so.
+/// Guards against counting the load of a node that was killed.
 #[test]
 fn word_of_a_node_that_ended_does_not_stay() {
     let mut tellers = Tellers::default();
@@ -71,7 +70,7 @@
     assert_eq!(tellers.heard_within(2_000, 2_600), 1);
 }
 
-/// A node turns to another head. What both tell is the same, and would count twice.
+/// Guards against counting the same load through two hubs.
 #[test]
 fn word_of_a_node_that_is_not_asked_any_more_does_not_stay() {
     let mut tellers = Tellers::default();
@@ -94,7 +93,8 @@
     assert_eq!(telling.next(1_000, &flights), [all(&[Row(key(2), 3, 1, 300)])]);
 }
 
-/// With three thousand engines all there is takes many datagrams, each of which is the whole word on its share.
+/// Guards against datagrams beyond the MTU, and against dropping engines that another datagram
+/// covers.
 #[test]
 fn many_engines_are_told_of_in_several_datagrams() {
     let flights: IndexMap<EngineKey, Flight> = (0..3_000).map(|n| (key(n), flight(2))).collect();
@@ -110,8 +110,8 @@
 }
 
 proptest! {
-    /// Whatever is told in whatever order, and lost on its way, sums are those of what each told last once each has
-    /// told the whole, and nothing is left when all are gone.
+    /// After lost datagrams, complete reports correct the sums; nothing is left once all nodes are
+    /// gone.
     #[test]
     fn sums_are_those_of_the_last_words(
         steps in vec((0_u16..4, vec((0_u32..6, 0_u32..9), 0..6), any::<bool>()), 1..40),
--- a/crates/direct/tests/heads.rs
+++ b/crates/direct/tests/heads.rs
@@ -1,4 +1,4 @@
-//! Which node passes on to a failure domain.
+//! The selection of hubs.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     SocketAddr::from(([10, 0, 0, 1], 7_000 + n))
 }
 
-/// A domain of small machines with three larger ones.
+/// A domain of small VMs with three larger ones.
 fn domain() -> Vec<Member> {
     let all = (0..12).map(|n| member(n, "a", if n % 4 == 3 { 0.5 } else { 0.12 }));
     all.chain([member(20, "b", 1.0)]).collect()
@@ -33,7 +33,8 @@
     assert_eq!(names, ["node-11", "node-3", "node-7"]);
 }
 
-/// Nodes read the list in any order, and one that joins or leaves elsewhere moves nobody.
+/// Guards against nodes that disagree because of the order of the list or a change in another
+/// domain.
 #[test]
 fn all_nodes_come_to_the_same_order() {
     let mut shuffled = domain();
@@ -43,7 +44,7 @@
     assert_eq!(digest(&candidates(&domain(), "a")), digest(&candidates(&shuffled, "a")));
 }
 
-/// With one or two nodes in a domain, as in the smallest deployments, each asks the holder itself.
+/// Small domains need no hub.
 #[test]
 fn few_nodes_ask_the_holder_themselves() {
     let few: Vec<Member> = (0..4).map(|n| member(n, "a", 0.25)).collect();
@@ -59,8 +60,7 @@
     assert_eq!(heads.parent(first[0], Some(addr(90)), 0), Parent::Holder);
 }
 
-/// The node that passes on is killed. Each node of its domain finds it silent within a second, and all turn to the
-/// same second; that one, which has found the same, asks the holder itself.
+/// Guards against a domain without updates after its hub was killed.
 #[test]
 fn second_takes_over_from_a_first_that_is_silent() {
     let (mut heads, first) = heads();
@@ -70,7 +70,7 @@
     assert_eq!(heads.parent(addr(1), Some(addr(90)), 4_000), Parent::Head(first[0]));
 }
 
-/// All three larger machines of a domain are lost at once: each node is told by the holder, as if there were none.
+/// Guards against a domain without updates after all its hub candidates failed.
 #[test]
 fn nodes_ask_the_holder_where_none_passes_on() {
     let (mut heads, first) = heads();
@@ -80,8 +80,7 @@
     assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Holder);
 }
 
-/// The store is away for everybody. Neither those that pass on nor the holder know anything new; were they all passed over,
-/// every node would stay with the holder.
+/// Guards against overloading the leader during a store outage, when all nodes are outdated.
 #[test]
 fn first_is_asked_again_where_none_knows_more() {
     let (mut heads, first) = heads();
@@ -92,8 +91,7 @@
     assert_eq!(heads.parent(addr(1), None, 1_100), Parent::Head(first[0]));
 }
 
-/// The store turns away all that pass on in a domain, and an engine begins to leave. The holder knows; a node that stayed
-/// with one of them would send there for too long.
+/// Guards against outdated updates when the store refuses all hubs of a domain.
 #[test]
 fn holder_is_asked_where_those_that_pass_on_know_nothing_new() {
     let (mut heads, first) = heads();
@@ -106,8 +104,7 @@
     assert_eq!(heads.parent(addr(1), Some(addr(90)), 3_000), Parent::Head(first[0]));
 }
 
-/// A domain has two large machines that both know nothing new, and the holder is silent: a small one is not asked, whatever
-/// it knows. What it passes on would fill its link for seconds.
+/// Guards against a small VM as hub, whose link would be saturated.
 #[test]
 fn smaller_machine_is_not_asked_where_nobody_else_knows_more() {
     let small = (0..12).map(|n| member(n, "a", 0.12));
@@ -123,7 +120,7 @@
     assert_eq!(asks(&heads, 1_300), Parent::Head(addr(30)));
 }
 
-/// The same where the holder does not answer: its successor is heard of by one that passes on.
+/// The next leader becomes known through a hub that responds.
 #[test]
 fn one_that_answers_is_asked_before_a_silent_holder() {
     let (mut heads, first) = heads();
@@ -134,7 +131,7 @@
     assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Head(first[1]));
 }
 
-/// The one that gives orders serves the heads of all domains; its own domain is served by another.
+/// The leader serves the hubs of all domains; its own domain has another hub.
 #[test]
 fn holder_does_not_pass_on_to_its_domain() {
     let (heads, first) = heads();
@@ -142,8 +139,7 @@
     assert_eq!(heads.parent(first[1], Some(first[0]), 0), Parent::Holder);
 }
 
-/// Ten heads ask the keeper of 33 nodes while demand moves. Asked as often as by ten nodes in all, it told each engine's
-/// models anew every 40 ms.
+/// Guards against polling at the full rate when there are few hubs but many nodes.
 #[test]
 fn heads_of_many_nodes_hold_back_though_they_are_few() {
     let of = [(6, 6), (9, 10), (11, 12), (10, 33), (12, 195), (33, 195), (194, 195)];
@@ -151,8 +147,7 @@
     assert_eq!(crowds, [1, 1, 2, 4, 4, 4, 12]);
 }
 
-/// A domain has two large machines and many small ones. A small one must not pass on to all others, whatever becomes of the
-/// large ones: its link is full for seconds, and requests wait behind what it passes on.
+/// Guards against a small VM as hub, whose link would be saturated.
 #[test]
 fn small_machine_passes_nothing_on_beside_large_ones() {
     let node = |n: u16, processor| Member {
--- a/crates/direct/tests/listing.rs
+++ b/crates/direct/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The list of engines, passed on from the node that reads it to the others.
+//! The list of engines, as nodes distribute it to each other.
 
 mod support;
 
@@ -23,8 +23,7 @@
     engines
 }
 
-/// A node that has read the list itself is told what came after, and by any node that has followed it since: with
-/// numbers of its own a new reader sent everybody the whole list.
+/// Guards against sending the complete list to nodes that need only the latest changes.
 #[test]
 fn changes_are_told_from_where_the_other_list_ends() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"]), ("e3", "a", &["m"])]);
@@ -45,7 +44,7 @@
     );
 }
 
-/// Another node has found out that an engine is another one now; nothing was read of the log since.
+/// Guards against missing a change that was learned without reading on in the log.
 #[test]
 fn change_without_reading_on_is_told_as_a_later_one() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -69,8 +68,7 @@
     assert_eq!(Listing::default().since(&short, None).engines, []);
 }
 
-/// Three hundred nodes and three thousand engines: the store gives eighty megabytes a second, and what the engines
-/// write is more than half a megabyte a second for each reader.
+/// Guards against overloading the store when all nodes read a long list.
 #[test]
 fn few_nodes_read_a_long_list_when_nobody_reads_it_for_all() {
     let readers =
@@ -84,7 +82,7 @@
     assert_eq!(readers(&many(3_000), 1), 300, "so is any by few nodes");
 }
 
-/// What a node believes of an engine's standing is told once for each change, and not for the list that it begins with.
+/// Changes of state are returned once, and not for the first list.
 #[test]
 fn each_change_of_standing_is_told_once() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -103,8 +101,7 @@
     assert_eq!(told(&engines, at(130)), "");
 }
 
-/// An engine's entry lapses and is back before another node asks again. That node must not take it for gone: it would
-/// send nothing there until the engine changes once more.
+/// Guards against removing an engine whose entry expired and returned between two updates.
 #[test]
 fn engine_that_came_back_is_not_told_as_gone() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -119,9 +116,7 @@
     assert_eq!(news.gone, []);
 }
 
-/// One that reads for all has found out something without reading on, and another takes its place, which has not and
-/// reads on: its news are later than all that the first one told, or an engine that says just then that it leaves is missed
-/// for good.
+/// Guards against missing changes of a new leader that has not learned what the previous one had.
 #[test]
 fn who_reads_on_is_ahead_of_who_found_something_out() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
@@ -142,8 +137,7 @@
     assert!(news.engines.iter().any(|e| e.engine == "e1".into() && e.leaving), "{news:?}");
 }
 
-/// The store has come back from a copy whose log is shorter, as long or longer: a node that was told before is told what
-/// changed since, by one that has read on in the new era.
+/// Guards against missing changes after a restore from a shorter, equal or longer log.
 #[test]
 fn changes_are_told_on_over_an_era() {
     for end in [60, 100, 140] {
--- a/crates/direct/tests/place.rs
+++ b/crates/direct/tests/place.rs
@@ -1,4 +1,4 @@
-//! What is to be held where.
+//! Placement of models and adapters.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use hgw_direct::{Demand, Engine, Engines, Model, Pool, Rates};
 use support::{engines, wanted};
 
-/// A service whose engines have room for three models of 70 GB.
+/// A service whose engines have memory for three models.
 fn pool(models: &[&str]) -> Pool {
     let model = Model {
         weights_mb: 70_000.0,
@@ -31,7 +31,6 @@
     }
 }
 
-/// Nothing forbids a step.
 const ALL: Allowed = Allowed { store: true, drop: true };
 
 fn all(engines: &Engines) -> Vec<&Engine> {
@@ -65,14 +64,13 @@
 #[test]
 fn model_in_demand_gets_copies_by_its_rate() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m", "n"]), ("e3", "a", &["n"])]);
-    // 6.4 requests a second are what one copy of 64 slots serves.
+    // One copy with 64 slots serves 6.4 requests per second.
     assert_eq!(step(&engines, &["m", "n"], &[("m", 12.0), ("n", 6.0)]), None);
     let step = step(&engines, &["m", "n"], &[("m", 18.0), ("n", 0.5)]);
     assert_matches!(step, Some(ModelStep { engine, load, .. }) if engine.0 == "e3" && load == "m");
 }
 
-/// Two models in demand have the copies that their share of the engines asks for, both on the same two engines,
-/// while the third engine holds what nobody asks for: each caller waits among twice as many as it needs to.
+/// Guards against idle engines while copies of busy models share others.
 #[test]
 fn engine_with_nothing_to_do_gets_a_copy() {
     let engines =
@@ -83,8 +81,8 @@
     assert_eq!(step(&engines, &models, &[("m", 6.0), ("n", 6.0)]), None, "there is little to do");
 }
 
-/// All engines are full, and one holds only last copies of what hardly anyone asks for. Such a copy moves to an
-/// engine that is busy anyway, in place of one that nobody misses, and then makes way.
+/// Guards against an engine that stays idle because it has the last copies of rarely requested
+/// models.
 #[test]
 fn last_copies_move_away_from_an_engine_with_nothing_to_do() {
     let busy = ["m", "old", "a"];
@@ -106,7 +104,7 @@
         if engine.0 == "e3" && drop == ["x"] && load == "m");
 }
 
-/// A place on an engine with little to do is one for a model in demand.
+/// Guards against using an engine with little load for a rarely requested model.
 #[test]
 fn model_that_is_hardly_asked_for_goes_to_a_busy_engine() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["n"])]);
@@ -114,8 +112,7 @@
     assert_matches!(step, Some(ModelStep { engine, load, .. }) if engine.0 == "e1" && load == "x");
 }
 
-/// Demand has moved from `old` to `m`, which one engine has on its disk. The requests for `old` there still run,
-/// and the engine drops it only when they have ended: the weight store is quicker where nothing has to end.
+/// Guards against evicting a model that is in use, when a load elsewhere is complete sooner.
 #[test]
 fn model_whose_requests_still_run_is_not_dropped_in_a_hurry() {
     let mut engines = engines(&[
@@ -135,8 +132,7 @@
     assert_eq!((step.engine.0.as_str(), step.drop.as_slice()), ("e3", &["gone".to_owned()][..]));
 }
 
-/// Two models in demand need a copy each, and the only spare ones are the two copies of a third. One of them makes
-/// way; with both planned in one look its callers were refused, and a copy in demand made way for it again.
+/// Guards against evicting both copies of a model in one plan.
 #[test]
 fn two_steps_of_one_look_leave_a_last_copy() {
     let mut engines = engines(&[
@@ -176,8 +172,7 @@
     assert_eq!(step(&single, &["a", "b", "c", "d"], &[("d", 20.0)]), None);
 }
 
-/// Demand of 19 a second asks for two copies and demand of 15 for one. A third copy that is dropped at one
-/// and loaded at the other makes an engine load the same two models in turn.
+/// Guards against evicting and loading the same copy in turn.
 #[test]
 fn copy_that_is_spare_by_little_is_kept() {
     let full = ["a", "b", "c"];
@@ -197,8 +192,7 @@
     assert_eq!(step, None);
 }
 
-/// A model needs room, and each engine could make it. While one does, the model counts as coming: asked again
-/// at the next look, the plan would have every engine drop something for the same one copy.
+/// Guards against evicting models at several engines for a single load.
 #[test]
 fn one_need_empties_one_engine() {
     let full = ["a", "b", "c"];
@@ -211,8 +205,7 @@
     assert_eq!(next_model_step(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0), None);
 }
 
-/// One engine has the weights on its disk, another has less to do. A load from the disk takes a quarter of
-/// the time and none of the weight store's.
+/// Guards against loading from the weight store when an engine has the weights on its disk.
 #[test]
 fn model_is_loaded_where_its_weights_are_at_hand() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["n"]), ("e3", "a", &["n"])]);
@@ -227,7 +220,7 @@
     assert_eq!(without_store.source, Source::Disk);
 }
 
-/// A new keeper has seen no demand yet: dropped for want of it, the copies of the hottest models went first.
+/// Guards against a new leader that evicts busy models because it has not observed demand yet.
 #[test]
 fn nothing_is_dropped_before_demand_has_been_seen() {
     let full = ["a", "b", "c"];
@@ -254,8 +247,7 @@
     assert_eq!(step, AdapterStep::Load { engine: "e2".into(), instead_of: None });
 }
 
-/// An adapter in use is dropped only with the last of its requests, and until then its engine refuses all
-/// orders: what is placed instead of it comes too late for the request that asked.
+/// Guards against waiting for an adapter in use while an idle one could be evicted.
 #[test]
 fn idle_adapter_makes_way_before_one_in_use() {
     let engines = engines(&[("e1", "a", &["m/x", "m/y"])]);
@@ -280,8 +272,7 @@
     assert_eq!(step, AdapterStep::Nowhere);
 }
 
-/// An engine's answer that an adapter has come was lost, and the place counted as free: the next order was
-/// for more than the engine had places for, and it crashed.
+/// Guards against exceeding an engine's adapter slots after the response to an order was lost.
 #[test]
 fn adapter_that_may_be_coming_takes_its_place() {
     let mut engines = engines(&[("e1", "a", &["m/x"])]);
@@ -314,8 +305,7 @@
     assert_eq!(begin(&mut successor, 0), 1);
 }
 
-/// Two engines crash while they load, and one makes room. Counted by the difference of the two books, that was
-/// less than nothing, and no model was placed until the orders to the crashed ones were given up.
+/// Guards against blocked placement after engines disappear while they load.
 #[test]
 fn engine_that_vanished_while_loading_makes_no_room() {
     let pending = Pending::from_iter([("e1".into(), "m".to_owned())]);
@@ -323,8 +313,7 @@
     assert_eq!(making_room(&pending, &loading), 1);
 }
 
-/// The holder is killed while demand moves, after one load. Its successor knows of that load, and counts two more that
-/// it may not have heard of; it does not wait until the window is over.
+/// Guards against a new leader that waits for a whole window before it loads models.
 #[test]
 fn successor_goes_on_from_the_loads_that_were_told() {
     let limits = CeilingLimits { loads_per_s: 1.0, window: 5_000 };
@@ -340,13 +329,12 @@
         loads
     };
     assert_eq!((loads(&mut known, 10_000), loads(&mut unknown, 10_000)), (4, 1));
-    // The window holds what was told and what was not, as if it were this holder's own.
+    // The window contains the loads of the previous leader, whether reported or assumed.
     assert_eq!(loads(&mut known, 13_001), 1);
     assert_eq!(known.ages(13_001), [3_001, 3_001, 3_001, 3_001, 3_001, 3_001, 0]);
 }
 
-/// A third of the engines is lost. One model is asked for most and has four copies left; another has one, which has more
-/// to do than any of those. All that the first lacks is more, but one copy more serves no more of it than of the second.
+/// Guards against giving all copies to the most requested model while another has only one.
 #[test]
 fn model_whose_copies_have_most_to_do_gets_the_next_copy() {
     let engines = engines(&[
@@ -361,8 +349,7 @@
     assert_matches!(step, Some(ModelStep { load, .. }) if load == "n");
 }
 
-/// Two engines come back empty, one with a model on its disk that is nearly as urgent as another. The one from the disk
-/// is there in a second; the other takes four wherever it goes, and would have taken that engine's place.
+/// Guards against a slow load that takes the engine on which another urgent model is cached.
 #[test]
 fn of_two_urgent_models_the_quicker_goes_first() {
     let mut engines = engines(&[("e1", "a", &["m", "n"]), ("e2", "a", &[])]);
--- a/crates/direct/tests/proof.rs
+++ b/crates/direct/tests/proof.rs
@@ -1,4 +1,4 @@
-//! That a configuration is the newest.
+//! Tracking of whether a configuration is the newest.
 
 use std::time::Duration;
 
@@ -27,8 +27,7 @@
     assert_eq!(proof.age(8, s(5)), Some(s(2)));
 }
 
-/// A key was taken away by version 8. A node that hears of it and has version 7 still cannot go on by that word; what it
-/// knew before holds for as long as it did.
+/// Guards against accepting a key that a newer version has revoked.
 #[test]
 fn word_of_a_newer_version_proves_nothing_for_an_older_one() {
     let mut proof = Proof::default();
@@ -38,7 +37,7 @@
     assert_eq!(proof.age(8, s(10)), Some(s(1)));
 }
 
-/// Answers that were long on their way come last.
+/// Guards against a delayed response that makes the configuration look older.
 #[test]
 fn older_question_takes_nothing_away() {
     let mut proof = Proof::default();
@@ -48,8 +47,7 @@
 }
 
 proptest! {
-    /// Whatever nodes hear in whatever order: a version counts as the newest of a time only where the store was asked then
-    /// and had none newer.
+    /// A version counts as the newest only at times when the store was asked and had none newer.
     #[test]
     fn proof_is_never_younger_than_a_question_that_gave_it(
         words in vec((1_u64..6, 0_u64..50), 1..30),
--- a/crates/direct/tests/quota.rs
+++ b/crates/direct/tests/quota.rs
@@ -1,5 +1,5 @@
-//! What customers use over all nodes, in virtual time: nodes ask their head, heads the issuer, and every part may be cut
-//! off, frozen, killed or replaced.
+//! Quotas over all nodes, simulated in virtual time with nodes that are isolated, paused, killed or
+//! replaced.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use hgw_direct::{CustomerId, Millis, Quota, QuotaBounds, Unit};
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
 
-/// Time between two questions.
+/// Interval of requests for allowances.
 const TICK: Millis = 40;
 
-/// Time on its way for each question and each answer.
+/// Network delay in one direction.
 const WAY: Millis = 5;
 
 const BOUNDS: QuotaBounds =
@@ -30,33 +30,33 @@
     SocketAddr::from(([10, 0, 0, 1], node as u16 + 1))
 }
 
-/// One node as the world has it.
+/// A simulated node.
 #[derive(Debug, Default)]
 struct Node {
     account: Account,
     alone: Alone,
     answered: Millis,
-    /// Cannot reach nodes of other domains.
+    /// Whether it cannot reach nodes of other domains.
     cut: bool,
-    /// Does nothing until then.
     frozen_until: Millis,
     dead: bool,
-    /// Requests a second.
+    /// Requests per second.
     load: f64,
+    /// Part of the next request.
     due: f64,
-    /// Until when requests wait for an allowance.
+    /// Deadline and cost of waiting requests.
     waiting: VecDeque<(Millis, f64)>,
-    /// Requests that came.
+    /// Number of requests received.
     came: usize,
 }
 
 /// Time for which a request waits for an allowance.
 const PATIENCE: Millis = 250;
 
-/// What a node is given, and when there will be more where there is none.
+/// Granted allowances, and the time until more are available if there are none.
 type Answered = (Vec<Grant>, Option<Millis>);
 
-/// Nodes in domains, the first of each its head; node 0 issues.
+/// Nodes in domains. The first node of each is its hub; node 0 is the issuer.
 struct World {
     nodes: Vec<Node>,
     domain: usize,
@@ -64,7 +64,7 @@
     quota: Quota,
     bounds: QuotaBounds,
     cost: f64,
-    /// What requests need, in turn, as multiples of that.
+    /// Costs of successive requests, as multiples of `cost`.
     sizes: Vec<f64>,
     now: Millis,
     used: VecDeque<(Millis, f64)>,
@@ -93,14 +93,14 @@
         Terms::of(self.quota, &self.bounds)
     }
 
-    /// Spreads requests for so much a second over some of the nodes.
+    /// Distributes a load, in units per second, over some of the nodes.
     fn load(&mut self, per_s: f64, on: &[usize]) {
         for node in &mut self.nodes {
             node.load = 0.0;
         }
         for (n, node) in on.iter().enumerate() {
             self.nodes[*node].load = per_s / self.cost / on.len() as f64;
-            // Requests do not come to all nodes at once.
+            // Spreads the arrivals over time.
             self.nodes[*node].due = n as f64 / on.len() as f64;
         }
     }
@@ -126,7 +126,7 @@
         (0..self.nodes.len()).filter(alive).count() as u32
     }
 
-    /// What the issuer gives a node, or nothing where it cannot be reached.
+    /// The issuer's response to a node, if it can be reached.
     fn ask(&mut self, node: usize, want: &Want, nodes: u32) -> Option<Answered> {
         let (terms, now, all) = (self.terms(), self.now, self.nodes.len() as u32);
         let (at, _) = self.issuer.as_ref()?;
@@ -226,7 +226,7 @@
             node.account.wait(Waiting { most: cost, least: cost });
             node.waiting.push_back((now + PATIENCE, cost));
         }
-        // Whichever fits goes on.
+        // Any request that an allowance suffices for is served.
         for (until, cost) in std::mem::take(&mut node.waiting) {
             let spent = node.account.purse.spend(now, cost).is_some();
             if !spent && now < until {
@@ -247,7 +247,7 @@
         }
     }
 
-    /// The most that may be used in any window.
+    /// Maximum usage in any window.
     fn allowed(&self) -> f64 {
         let window = self.bounds.window.as_secs_f64();
         let limit = self.quota.rate * window + self.quota.burst;
@@ -258,7 +258,7 @@
         self.worst <= self.allowed()
     }
 
-    /// What was used from now on, as a share of what the limit allows in that time.
+    /// Usage during the next `ms`, as a part of the quota for that time.
     fn share_used(&mut self, ms: Millis) -> f64 {
         let before = self.total;
         self.run(ms);
@@ -266,7 +266,7 @@
     }
 }
 
-/// Sizes: one node, the smallest deployment, the shifted one, and that of the next two years.
+/// Numbers of nodes, and of nodes per domain.
 const SIZES: [(usize, usize); 4] = [(1, 1), (6, 1), (62, 15), (400, 67)];
 
 #[test]
@@ -282,8 +282,7 @@
     }
 }
 
-/// Requests need different amounts. Where there is no more than is used at once, what a usual one needs is of no use to
-/// one that waits for more, and would lapse.
+/// Guards against allowances that expire unused because requests differ in cost.
 #[test]
 fn requests_of_all_sizes_use_what_is_allowed() {
     let mut world = World::new(62, 15, quota(40_000.0), 600.0);
@@ -296,7 +295,7 @@
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// All that a customer sends comes to one domain, and then to one node.
+/// Guards against a quota that is only available if requests are spread over all nodes.
 #[test]
 fn one_node_may_use_all_of_a_limit() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -310,7 +309,7 @@
     assert!(world.keeps());
 }
 
-/// Demand below the limit gets all that it asks for, also where a customer is small and its requests are rare.
+/// Guards against refusals below the quota, also for small customers with rare requests.
 #[test]
 fn demand_below_the_limit_is_served() {
     for rate in [250_000.0, 20_000.0] {
@@ -324,7 +323,7 @@
     }
 }
 
-/// A domain is cut off while its customer sends six times what it may everywhere.
+/// Guards against exceeding the quota while a domain is isolated.
 #[test]
 fn cut_domain_uses_its_share_and_no_more() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -342,8 +341,7 @@
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// A domain was cut off for eight seconds and used its share. The issuer had taken that off as it went, and takes off
-/// only the last second of it when the domain is back: nobody waits for what was used long ago.
+/// Guards against deducting the usage of an isolated domain twice.
 #[test]
 fn what_a_cut_domain_used_is_taken_off_once() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -355,14 +353,14 @@
         world.run(if cut { 8_000 } else { 600 });
     }
     let share = world.share_used(3_000);
-    // The last second of its part of 0.8, of the three that are looked at, beside what is always left over.
+    // Usage of the last second before contact, as a part of the three that are counted.
     let last_second = 0.8 * 15.0 / 62.0 / 3.0;
     assert!(share >= 0.97 - last_second, "{share}");
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// The issuer is killed, and for four seconds there is none. Each domain goes on with its share; the next issuer starts
-/// with nothing.
+/// Guards against refusals without an issuer, and against exceeding the quota when the next one
+/// starts.
 #[test]
 fn domains_go_on_while_there_is_no_issuer() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -379,7 +377,7 @@
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// Half of the nodes stand still with allowances in hand, and go on after others were given as much.
+/// Guards against paused nodes that use old allowances on top of new ones.
 #[test]
 fn allowance_lapses_while_a_node_stands_still() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -393,7 +391,7 @@
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// All processes are killed and start again. None begins with a fresh burst.
+/// Guards against a full burst after each restart.
 #[test]
 fn restart_is_no_fresh_burst() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -409,7 +407,7 @@
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// A limit is lowered to a tenth of what is sent. One window later it holds.
+/// Guards against usage beyond a lowered quota after one window.
 #[test]
 fn lowered_limit_holds_one_window_later() {
     let mut world = World::new(62, 15, quota(250_000.0), 1_000.0);
@@ -417,14 +415,14 @@
     world.load(250_000.0, &world.all());
     world.run(8_000);
     world.quota = quota(25_000.0);
-    // Until it is in force everywhere, and what was given before has lapsed.
+    // Until the quota is active everywhere and earlier allowances have expired.
     world.run(8_000 + 1_000);
     world.worst = 0.0;
     world.run(10_000);
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
 
-/// Bounds that leave no room beyond the limit, and a limit without a burst.
+/// Bounds without tolerance, with and without a burst.
 #[test]
 fn stricter_accounting_holds_too() {
     let strict = QuotaBounds { window: Duration::from_secs(8), over: 0.0, slack: 0.0 };
@@ -456,8 +454,7 @@
     assert_eq!(account.purse.balance(500), 0.0);
 }
 
-/// The issuer answers now and then while it ends. A domain that draws its share ahead each time would use it many times
-/// over, of each customer alike.
+/// Guards against a new advance each time that the issuer responds.
 #[test]
 fn share_is_drawn_ahead_once_however_often_the_issuer_is_heard() {
     let mut alone = Alone::default();
@@ -474,14 +471,14 @@
     }
     for (used, rate) in used.into_iter().zip(rates) {
         let room = BOUNDS.over * 9.0 * rate + BOUNDS.slack;
-        // A quarter of the room, and a second of a quarter of the limit.
+        // A quarter of the tolerance, plus one second of a quarter of the quota.
         assert!(used <= 0.25 * 0.25 * room + 0.25 * rate, "{used} of {rate}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
-    /// Whatever is cut, frozen, killed and replaced, and wherever demand goes: no window exceeds what is allowed.
+    /// No window exceeds the quota, whichever nodes are isolated, paused, killed or replaced.
     #[test]
     fn no_window_exceeds_the_limit(
         steps in proptest::collection::vec((0_usize..6, 0_usize..30, 200_u64..4_000), 3..14),
@@ -495,7 +492,7 @@
                 0 => (node..30.min(node + 6)).for_each(|n| world.nodes[n].cut ^= true),
                 1 => world.nodes[node].frozen_until = world.now + 2 * ms,
                 2 => {
-                    // A successor waits the whole lease of the one before.
+                    // A new leader waits until the previous lease has expired.
                     world.issuer = None;
                     world.run(3_000);
                     world.issuer = Some((node, Issuer::begin(world.now)));
--- a/crates/direct/tests/silence.rs
+++ b/crates/direct/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Since when the node that gives orders is silent.
+//! Tracking of the leader's lease.
 
 use hgw_direct::{Cursor, Era, Silence};
 
@@ -12,8 +12,8 @@
     silence
 }
 
-/// The holder is killed. A node that it told all reads the log for the first time, a second and a half later: it ends
-/// where the holder's last renewal stood, and the lease counts from that.
+/// Guards against a failover that takes longer than the lease at a node that has not read the log
+/// before.
 #[test]
 fn silence_of_a_dead_holder_counts_from_its_last_renewal() {
     let mut silence = told();
@@ -21,7 +21,7 @@
     assert_eq!(silence.since(at(40), 10_500), 9_000);
 }
 
-/// The holder has renewed since, and only its word to this node was lost.
+/// Only the leader's response to this node was lost.
 #[test]
 fn holder_that_renewed_since_is_not_silent() {
     let mut silence = told();
@@ -29,7 +29,7 @@
     assert_eq!(silence.since(at(41), 10_500), 10_500);
 }
 
-/// The store was away for longer than the lease and is back. The holder answers the nodes; it goes on.
+/// Guards against a change of leader because of a store outage.
 #[test]
 fn outage_of_the_store_is_no_silence_of_the_holder() {
     assert_eq!(told().since(at(40), 20_000), 20_000);
--- a/crates/direct/tests/sums.rs
+++ b/crates/direct/tests/sums.rs
@@ -1,4 +1,4 @@
-//! What nodes believe of each other's requests, whatever they take each other for.
+//! Aggregation of in-flight loads, also while nodes disagree on which of them are hubs.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use proptest::collection::vec;
 use proptest::prelude::{Strategy, prop_assert, proptest};
 
-/// Time between two words.
+/// Interval of reports.
 const TICK: u64 = 40;
 
-/// Time on its way for each word, in ticks.
+/// Network delay of each report, in ticks.
 const DELAY: usize = 1;
 
 fn engine() -> EngineKey {
@@ -24,18 +24,17 @@
     SocketAddr::from(([10, 0, 0, 1], node as u16 + 1))
 }
 
-/// Whom a node asks, and whom it takes for heads.
+/// What a node believes about hubs.
 #[derive(Debug, Clone, Default)]
 struct View {
-    /// Its head, where it believes to have one.
+    /// Its hub, if it has one.
     head: Option<usize>,
-    /// The keeper that it asks itself, where it has no head.
+    /// The leader, which it asks if it has no hub.
     keeper: Option<usize>,
-    /// The heads that it was told of.
     heads: Vec<usize>,
 }
 
-/// Nodes that tell each other what they have at one engine.
+/// Nodes that report their loads at one engine to each other.
 struct World {
     sums: Vec<Sums>,
     views: Vec<View>,
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Domains of `size` nodes, the first of each its head; the heads know each other.
+    /// Forms domains of `size` nodes; the first of each is its hub, and the hubs know each other.
     fn settle(&mut self, size: usize) {
         let heads: Vec<usize> = (0..self.views.len()).step_by(size).collect();
         for node in 0..self.views.len() {
@@ -124,7 +123,7 @@
         }
     }
 
-    /// The most that any node believes to be at the engine.
+    /// Highest load at the engine that any node believes in.
     fn most(&self) -> u32 {
         let believed = |n: usize| self.sums[n].elsewhere(engine()).requests + self.own[n];
         (0..self.sums.len()).map(believed).max().unwrap_or(0)
@@ -144,8 +143,7 @@
     assert!(world.is_known_to_all(45));
 }
 
-/// The keeper stops as planned. It asks the head of its domain from then on, which still asks it, as do the other
-/// heads: each of both told the other a sum with the other's in it. Every node refused requests as if engines were full.
+/// Guards against two nodes that take each other for hubs and add each other's sums up without end.
 #[test]
 fn keeper_that_stops_makes_no_engine_look_full() {
     let mut world = World::new(15, 3);
@@ -165,7 +163,7 @@
     assert!(world.is_known_to_all(45));
 }
 
-/// Three nodes ask each other in a ring, with nodes behind each of them.
+/// Three hubs ask each other in a ring.
 #[test]
 fn ring_of_heads_adds_nothing_up() {
     let mut world = World::new(12, 3);
@@ -178,13 +176,13 @@
         world.tick();
         assert!(world.most() <= 36 + 12, "{} at {} ms", world.most(), world.now);
     }
-    // Nobody tells of anybody who has ended.
+    // No load remains after all requests have ended.
     world.own = vec![0; 12];
     world.run(3_000);
     assert_eq!(world.most(), 0);
 }
 
-/// A head is frozen, or killed, or hears nobody for seconds. What its nodes told it is counted once, by the next head.
+/// Guards against counting the load of nodes whose hub was replaced twice.
 #[test]
 fn head_that_falls_silent_leaves_nothing_counted_twice() {
     let mut world = World::new(15, 3);
@@ -205,7 +203,7 @@
     assert_eq!(believed, 42);
 }
 
-/// A node's own counts with a domain's, a domain's with all there is, and nothing the other way round.
+/// Guards against cycles between the levels of sums.
 #[test]
 fn no_word_counts_where_it_could_come_back_into_itself() {
     let all = [Relation::Head, Relation::OtherHead, Relation::Child, Relation::Stranger];
@@ -227,9 +225,8 @@
 }
 
 proptest! {
-    /// Whatever nodes take each other for, and however often that changes, a node counts at most once with each domain
-    /// that it told, each domain at most once with each node: a belief is bounded by the nodes and does not grow with
-    /// time. When all agree again it is right.
+    /// Whatever nodes believe about hubs, the loads they believe in stay bounded, and become right
+    /// once all agree.
     #[test]
     fn beliefs_do_not_grow_whatever_nodes_take_each_other_for(
         stages in vec((views(8), 1_u64..80), 1..6),
@@ -245,7 +242,7 @@
             }
             for _ in 0..ticks {
                 world.tick();
-                // The own of each node at each head, and that of each head at each other one.
+                // The load of each node at each hub, and that of each hub at each other one.
                 prop_assert!(world.most() <= OWN * NODES * NODES);
             }
         }
--- a/crates/direct/tests/support/mod.rs
+++ b/crates/direct/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! Engines and pools for tests of decisions.
+//! Engines for tests.
 
 use hgw_direct::{
     AtHand, Cursor, EngineId, Engines, Held, Listed, ServiceId, Standing, Start, Wanted,
 };
 
-/// `MODEL` or `MODEL/ADAPTER`.
+/// Parses `MODEL` or `MODEL/ADAPTER`.
 pub(crate) fn wanted(text: &str) -> Wanted {
     text.parse().unwrap()
 }
 
-/// An engine that holds these models and adapters.
+/// An engine with these models and adapters.
 pub(crate) fn listed(id: &str, domain: &str, holds: &[&str]) -> Listed {
     let mut held: Vec<Held> = Vec::new();
     for one in holds.iter().map(|h| wanted(h)) {
@@ -35,12 +35,10 @@
     }
 }
 
-/// The service of all engines here.
 pub(crate) fn service() -> ServiceId {
     ServiceId::from("service")
 }
 
-/// Engines of one service.
 pub(crate) fn engines(all: &[(&str, &str, &[&str])]) -> Engines {
     let mut engines = Engines::default();
     for (id, domain, holds) in all {
--- a/crates/direct/tests/unread.rs
+++ b/crates/direct/tests/unread.rs
@@ -1,4 +1,4 @@
-//! What is known of prompts that engines have not read yet.
+//! Tracking of the prefill backlog.
 
 use hgw_direct::{ReadingPace, SendId, Unread};
 
@@ -13,8 +13,8 @@
     assert_eq!(unread.tokens(1_060), 0);
 }
 
-/// A node tells of a prompt that it sent, and is killed. Nobody will ever say that the prompt was read, and the engine
-/// would be passed over for good.
+/// Guards against an engine that is avoided for good because the node that reported a prompt was
+/// killed.
 #[test]
 fn prompt_of_a_node_that_ended_is_forgotten() {
     let mut unread = Unread::default();
@@ -24,7 +24,7 @@
     assert_eq!(unread.read(SendId(1), 3_000), None);
 }
 
-/// Whatever other nodes tell, what is kept of an engine is bounded; what this node sent is kept.
+/// Guards against unbounded memory when nodes report many prompts.
 #[test]
 fn word_of_very_many_prompts_is_not_kept() {
     let mut unread = Unread::default();
