--- a/crates/direct/benches/plan.rs
+++ b/crates/direct/benches/plan.rs
@@ -4,10 +4,11 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use hgw_direct::place::{Allowed, Pending, next_model_step, place_adapter};
+use hgw_direct::placement::{AllowedActions, PendingLoads, next_model_load, place_adapter};
 use hgw_direct::{
-    Ask, AtHand, Cursor, Demand, Engine, EngineId, Engines, Held, Listed, Model, Part, Policy,
-    Pool, Prompt, ServiceId, Standing, Start, Wanted, choose,
+    CachedWeights, ChoiceParams, CostWeights, Cursor, Demand, Engine, EngineId, EngineInfo,
+    EngineState, Engines, LoadedModel, Model, ModelPool, ModelRef, Prompt, PromptPart, ServiceId,
+    StartTime, choose_engine,
 };
 
 /// Number of measurements, of which the median is printed.
@@ -29,7 +30,7 @@
 
 struct World {
     engines: Engines,
-    pool: Pool,
+    pool: ModelPool,
     demand: Demand,
     service: ServiceId,
 }
@@ -40,13 +41,13 @@
         let name = |m: usize| format!("model-{m}");
         let model = Model {
             weights_mb: 70_000.0,
-            load: Duration::from_secs(6),
-            from_disk: Duration::from_secs(1),
-            from_memory: Duration::from_millis(500),
+            store_load_time: Duration::from_secs(6),
+            disk_load_time: Duration::from_secs(1),
+            memory_load_time: Duration::from_millis(500),
             adapters: (adapters / models) as u32,
             adapter_mb: 66.0,
         };
-        let pool = Pool {
+        let pool = ModelPool {
             slots: 24,
             weights_mb: 230_000.0,
             adapter_slots: 8,
@@ -55,27 +56,27 @@
         };
         let mut all = Engines::default();
         for e in 0..engines {
-            let held = |m: usize| Held { model: name(m % models), adapters: Vec::new() };
-            let listed = Listed {
+            let held = |m: usize| LoadedModel { model: name(m % models), adapters: Vec::new() };
+            let listed = EngineInfo {
                 id: EngineId(format!("i-{e:010x}")),
-                at: Cursor::default(),
+                position: Cursor::default(),
                 service: service.clone(),
                 addr: ([10, 0, (e / 250) as u8, (e % 250) as u8], 80).into(),
                 domain: format!("zone-{}", e % 5),
                 slots: 24,
-                start: Start::default(),
-                standing: Standing::Ready,
-                held: (0..3).map(|n| held(e * 3 + n)).collect(),
-                at_hand: AtHand::default(),
-                cold_ms: 0,
+                started_at: StartTime::default(),
+                state: EngineState::Ready,
+                loaded: (0..3).map(|n| held(e * 3 + n)).collect(),
+                cached: CachedWeights::default(),
+                warmup_ms_left: 0,
             };
-            all.list(listed);
+            all.upsert(listed);
         }
         let mut demand = Demand::default();
         for m in 0..models {
             let adapter = (adapters > 0).then(|| format!("a{}", m % 8));
-            let wanted = Wanted { model: name(m), adapter };
-            demand.saw(900, &wanted, 400.0 / (m + 1) as f64);
+            let wanted = ModelRef { model: name(m), adapter };
+            demand.record(900, &wanted, 400.0 / (m + 1) as f64);
         }
         World { engines: all, pool, demand, service }
     }
@@ -86,37 +87,39 @@
 
     fn plan(&self) -> Duration {
         let rates = self.demand.rates(1_000);
-        let allowed = Allowed { store: true, drop: true };
-        timed(|| next_model_step(&self.all(), &self.pool, &rates, &Pending::new(), allowed, 1_000))
+        let allowed = AllowedActions { load_from_store: true, evict: true };
+        timed(|| {
+            next_model_load(&self.all(), &self.pool, &rates, &PendingLoads::new(), allowed, 1_000)
+        })
     }
 
     fn adapter(&self) -> Duration {
-        let wanted = Wanted { model: "model-0".into(), adapter: Some("a9".into()) };
+        let wanted = ModelRef { model: "model-0".into(), adapter: Some("a9".into()) };
         let (all, pool) = (self.all(), &self.pool);
         timed(|| place_adapter(&all, pool, &self.demand, &wanted, "zone-1", 1_000))
     }
 
     fn choice(&self) -> Duration {
         let prompt = Prompt {
-            wanted: Some(Wanted { model: "model-0".into(), adapter: None }),
-            tokens_in: 700,
-            tokens_out: 300,
-            parts: vec![Part { id: 1, tokens: 700 }],
+            model_ref: Some(ModelRef { model: "model-0".into(), adapter: None }),
+            prompt_tokens: 700,
+            max_output_tokens: 300,
+            parts: vec![PromptPart { id: 1, tokens: 700 }],
         };
-        let ask = Ask {
+        let ask = ChoiceParams {
             service: &self.service,
             prompt: Some(&prompt),
             domain: "zone-1",
             tried: &[],
             nodes: 80,
-            conns: 8,
-            goes_first: false,
-            gap: None,
-            waits: false,
-            draw: 0.3,
-            policy: Policy::default(),
+            max_conns: 8,
+            has_precedence: false,
+            max_event_gap: None,
+            can_wait: false,
+            random: 0.3,
+            weights: CostWeights::default(),
         };
-        timed(|| choose(&self.engines, &ask, 1_000))
+        timed(|| choose_engine(&self.engines, &ask, 1_000))
     }
 }
 
--- a/crates/direct/src/sums.rs
+++ b/crates/direct/src/aggregation.rs
@@ -10,7 +10,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
-use crate::flights::{EngineKey, Flight, Share, Tellers, Telling, Told};
+use crate::in_flight::{
+    EngineKey, InFlightLoad, InFlightUpdate, KeyPartition, PeerReports, UpdateTracker,
+};
 
 /// Time without a report after which loads are unknown; longer than two lost complete reports.
 const FRESH_FOR: Millis = 2_200;
@@ -21,157 +23,174 @@
 
 /// What a reported load covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Scope {
+pub enum ReportScope {
     /// One node.
-    Own,
+    #[serde(rename = "Own")]
+    Node,
     /// The nodes of one domain.
-    Part,
+    #[serde(rename = "Part")]
+    Domain,
     /// All nodes.
-    All,
+    #[serde(rename = "All")]
+    Global,
 }
 
 /// What a node is to the one that receives its report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relation {
     /// The hub of the receiver's domain.
-    Head,
+    Hub,
     /// The hub of another domain.
-    OtherHead,
+    OtherHub,
     /// A node that asks the receiver.
     Child,
-    Stranger,
+    Unrelated,
 }
 
 /// The sum that a report is added to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum Subtotal {
     /// Load of the nodes of this domain.
-    Near,
+    Domain,
     /// Load of all other nodes.
-    Far,
+    Remote,
 }
 
 /// The sum that a report is added to, if any. Only single nodes are added to a domain's sum, so
 /// that no sum is counted again.
-pub fn place_of(scope: Scope, from: Relation) -> Option<Place> {
+pub fn subtotal_for(scope: ReportScope, from: Relation) -> Option<Subtotal> {
     match (scope, from) {
-        (Scope::Own, Relation::Child) => Some(Place::Near),
+        (ReportScope::Node, Relation::Child) => Some(Subtotal::Domain),
         // A node that has just become a hub, or still asks one, reports only its own load.
-        (Scope::Own | Scope::Part, Relation::OtherHead) => Some(Place::Far),
-        (Scope::All, Relation::Head) => Some(Place::Far),
+        (ReportScope::Node | ReportScope::Domain, Relation::OtherHub) => Some(Subtotal::Remote),
+        (ReportScope::Global, Relation::Hub) => Some(Subtotal::Remote),
         _ => None,
     }
 }
 
 /// The nodes that a node exchanges reports with.
 #[derive(Debug, Clone, Default)]
-pub struct Circle {
+pub struct Neighbors {
     /// The hub of its domain, if that is another node.
-    pub head: Option<SocketAddr>,
+    pub hub: Option<SocketAddr>,
     /// The hubs of other domains, if it is a hub.
-    pub heads: Vec<SocketAddr>,
+    pub hubs: Vec<SocketAddr>,
     /// Nodes that ask it.
     pub children: Vec<SocketAddr>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Saying {
+pub struct OutgoingUpdate {
     pub to: Vec<SocketAddr>,
-    pub scope: Scope,
-    pub told: Told,
+    pub scope: ReportScope,
+    pub update: InFlightUpdate,
 }
 
 #[derive(Debug, Default)]
-pub struct Sums {
+pub struct Aggregator {
     /// Reports of nodes that ask this one.
-    near: Tellers,
+    near: PeerReports,
     /// Reports of the hub of this node's domain, or of other hubs.
-    far: Tellers,
-    up: Telling,
-    down: Telling,
+    far: PeerReports,
+    up: UpdateTracker,
+    down: UpdateTracker,
     fresh: bool,
     /// The hub that this node reported to last.
     head: Option<SocketAddr>,
 }
 
-impl Sums {
+impl Aggregator {
     /// Whether the loads of other nodes are known.
-    pub fn are_fresh(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         self.fresh
     }
 
     /// Applies a report; returns the engines that it affects.
-    pub fn take(
+    pub fn apply(
         &mut self,
         from: SocketAddr,
         relation: Relation,
-        scope: Scope,
-        told: &Told,
+        scope: ReportScope,
+        told: &InFlightUpdate,
         now: Millis,
     ) -> Vec<EngineKey> {
-        match place_of(scope, relation) {
-            Some(Place::Far) => self.far.take(from, now, told),
-            Some(Place::Near) => self.near.take(from, now, told),
+        match subtotal_for(scope, relation) {
+            Some(Subtotal::Remote) => self.far.apply(from, now, told),
+            Some(Subtotal::Domain) => self.near.apply(from, now, told),
             None => Vec::new(),
         }
     }
 
     /// The reports to send now, given the loads that this node has in flight.
-    pub fn next(
+    pub fn next_updates(
         &mut self,
         now: Millis,
-        own: IndexMap<EngineKey, Flight>,
-        circle: &Circle,
-    ) -> Vec<Saying> {
-        self.near.keep(now, |addr| circle.children.contains(addr));
-        self.far.keep(now, |addr| Some(*addr) == circle.head || circle.heads.contains(addr));
+        own: IndexMap<EngineKey, InFlightLoad>,
+        circle: &Neighbors,
+    ) -> Vec<OutgoingUpdate> {
+        self.near.expire(now, |addr| circle.children.contains(addr));
+        self.far.expire(now, |addr| Some(*addr) == circle.hub || circle.hubs.contains(addr));
         self.fresh = self.is_heard(circle, now);
-        let mut sayings: Vec<Saying> = self.leave(circle.head).into_iter().collect();
-        let mut say = |to: &[SocketAddr], scope, words: Vec<Told>| {
-            let all = words.into_iter().map(|told| Saying { to: to.to_vec(), scope, told });
+        let mut sayings: Vec<OutgoingUpdate> = self.leave(circle.hub).into_iter().collect();
+        let mut say = |to: &[SocketAddr], scope, words: Vec<InFlightUpdate>| {
+            let all = words.into_iter().map(|told| OutgoingUpdate {
+                to: to.to_vec(),
+                scope,
+                update: told,
+            });
             sayings.extend(all.filter(|saying| !saying.to.is_empty()));
         };
-        if let Some(head) = circle.head {
-            say(&[head], Scope::Own, self.up.next(now, &own));
+        if let Some(head) = circle.hub {
+            say(&[head], ReportScope::Node, self.up.next_updates(now, &own));
             return sayings;
         }
         let domain = add(own, &self.near);
-        say(&circle.heads, Scope::Part, self.up.next(now, &domain));
+        say(&circle.hubs, ReportScope::Domain, self.up.next_updates(now, &domain));
         if !circle.children.is_empty() {
             let all = add(domain, &self.far);
-            say(&circle.children, Scope::All, self.down.next(now, &all));
+            say(&circle.children, ReportScope::Global, self.down.next_updates(now, &all));
         }
         sayings
     }
 
     /// On a change of hub: clears the load that the previous hub counts for this node.
-    fn leave(&mut self, head: Option<SocketAddr>) -> Option<Saying> {
+    fn leave(&mut self, head: Option<SocketAddr>) -> Option<OutgoingUpdate> {
         let before = std::mem::replace(&mut self.head, head);
         if before == head {
             return None;
         }
-        self.up = Telling::default();
-        self.down = Telling::default();
-        let told = Told { all_of: Some(Share { part: 0, parts: 1 }), rows: Vec::new() };
-        before.map(|before| Saying { to: vec![before], scope: Scope::Own, told })
+        self.up = UpdateTracker::default();
+        self.down = UpdateTracker::default();
+        let told = InFlightUpdate {
+            full_partition: Some(KeyPartition { part: 0, parts: 1 }),
+            rows: Vec::new(),
+        };
+        before.map(|before| OutgoingUpdate {
+            to: vec![before],
+            scope: ReportScope::Node,
+            update: told,
+        })
     }
 
-    fn is_heard(&self, circle: &Circle, now: Millis) -> bool {
-        let heard = self.far.heard_within(FRESH_FOR, now) as f64;
-        let all = if circle.head.is_some() { 1 } else { circle.heads.len() };
+    fn is_heard(&self, circle: &Neighbors, now: Millis) -> bool {
+        let heard = self.far.active_within(FRESH_FOR, now) as f64;
+        let all = if circle.hub.is_some() { 1 } else { circle.hubs.len() };
         all > 0 && heard >= HEARD_SHARE * all as f64
     }
 
     /// Load that all other nodes have in flight at an engine.
-    pub fn elsewhere(&self, key: EngineKey) -> Flight {
+    pub fn in_flight_elsewhere(&self, key: EngineKey) -> InFlightLoad {
         let far = self.far.sum(key);
         // The hub's sum includes what this node reported to it.
-        let far = if self.head.is_some() { far.minus(self.up.sent(key)) } else { far };
+        let far = if self.head.is_some() { far.minus(self.up.last_sent(key)) } else { far };
         far.plus(self.near.sum(key))
     }
 }
 
-fn add(mut flights: IndexMap<EngineKey, Flight>, told: &Tellers) -> IndexMap<EngineKey, Flight> {
+fn add(
+    mut flights: IndexMap<EngineKey, InFlightLoad>,
+    told: &PeerReports,
+) -> IndexMap<EngineKey, InFlightLoad> {
     for (key, flight) in told.sums() {
         let sum = flights.entry(key).or_default();
         *sum = sum.plus(flight);
--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -33,19 +33,19 @@
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a caller waits for the response.
     pub timeout: Duration,
     /// Target time to the response, or to the first event of a stream.
-    pub objective: Duration,
+    pub first_byte_objective: Duration,
     /// Target for the longest gap between two events of a stream.
-    pub gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// 0 is the most urgent.
     pub priority: u8,
     /// Whether callers need no key.
-    pub is_open: bool,
+    pub is_public: bool,
     /// Maximum number of engines that one request is sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     pub targets: Vec<Target>,
 }
 
@@ -59,7 +59,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     Safe,
     /// Runs at most once.
     Unsafe,
@@ -71,14 +71,14 @@
     },
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request that may already have run may be sent again.
     pub fn may_repeat(self) -> bool {
-        matches!(self, Kind::Safe | Kind::Stream { resumable: true })
+        matches!(self, RouteKind::Safe | RouteKind::Stream { resumable: true })
     }
 
     pub fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream { .. })
+        matches!(self, RouteKind::Stream { .. })
     }
 }
 
@@ -87,12 +87,12 @@
     /// Maximum number of connections to one engine, over all nodes.
     pub max_conns: u32,
     /// Set if the engines of this service serve models.
-    pub pool: Option<Pool>,
+    pub pool: Option<ModelPool>,
 }
 
 /// The models of a service and the capacity of one of its engines.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Pool {
+pub struct ModelPool {
     /// Requests that an engine runs concurrently.
     pub slots: u32,
     /// Memory for weights and adapters.
@@ -108,11 +108,11 @@
 pub struct Model {
     pub weights_mb: f64,
     /// Time to load it from the weight store.
-    pub load: Duration,
+    pub store_load_time: Duration,
     /// Time to load it from the engine's disk.
-    pub from_disk: Duration,
+    pub disk_load_time: Duration,
     /// Time to load it from the memory of the engine's VM.
-    pub from_memory: Duration,
+    pub memory_load_time: Duration,
     /// Number of its adapters.
     pub adapters: u32,
     /// Size of one adapter.
@@ -123,22 +123,22 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallerLimits {
     /// Maximum size of a request head, in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Maximum size of a request body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time within which a request head must arrive.
     pub head_timeout: Duration,
     /// Time after which an idle connection is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
         CallerLimits {
-            head: 16 << 10,
-            body: 4 << 20,
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
             head_timeout: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -174,7 +174,7 @@
         };
         let of =
             |r: &Route| customers.all().any(|(_, c)| c.priority.unwrap_or(r.priority) > priority);
-        routes.any(|r| of(r) || r.is_open && r.priority > priority)
+        routes.any(|r| of(r) || r.is_public && r.priority > priority)
     }
 }
 
--- a/crates/direct/src/choose.rs
+++ b/crates/direct/src/choice.rs
@@ -9,7 +9,7 @@
 
 /// What an engine is chosen for.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct ChoiceParams<'a> {
     pub service: &'a ServiceId,
     /// Set if the service has models.
     pub prompt: Option<&'a Prompt>,
@@ -20,17 +20,17 @@
     /// Number of nodes that send to the same engines.
     pub nodes: u32,
     /// Maximum number of connections from this node to one engine.
-    pub conns: u32,
+    pub max_conns: u32,
     /// Whether less urgent requests go to the same service. Engines admit this request before those
     /// that wait.
-    pub goes_first: bool,
+    pub has_precedence: bool,
     /// Target for the longest gap between two events of a stream.
-    pub gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Whether the request can wait for engines to finish prefill.
-    pub waits: bool,
+    pub can_wait: bool,
     /// Uniform random number in `0..1`; makes nodes with the same data choose different engines.
-    pub draw: f64,
-    pub policy: Policy,
+    pub random: f64,
+    pub weights: CostWeights,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -46,25 +46,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoEngine {
     /// The service has no engine that accepts requests.
-    None,
+    NoneAvailable,
     /// No engine has loaded the model or adapter; retry after this time.
-    NotPlaced(Duration),
+    NotLoaded(Duration),
     /// One more prompt would delay the streams of every suitable engine for too long.
-    Reading,
+    PrefillBusy,
     /// All suitable engines are full, already tried or unreachable; retry after this time.
     Full(Duration),
 }
 
 /// Costs that are added up to compare engines, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Policy {
+pub struct CostWeights {
     /// Additional time to the first token in a full batch, compared with an idle engine.
     pub full_batch_ms: f64,
     /// Queueing time per queued request, times the number of slots.
     pub queued_ms: f64,
     /// Weight of the prefill backlog. It is above 1 because prefill also delays the streams that
     /// run there.
-    pub reading_weight: f64,
+    pub prefill_weight: f64,
     /// Part of the event gap target that expected pauses may use up. The rest covers requests that
     /// other nodes send at the same moment.
     pub gap_share: f64,
@@ -75,23 +75,23 @@
     /// Cost of a request that fails.
     pub failure_ms: f64,
     /// Cost of an engine that is still warming up after its start.
-    pub cold_ms: f64,
+    pub warmup_ms: f64,
     /// Range of the random cost that spreads nodes with the same data over several engines.
-    pub draw_ms: f64,
+    pub random_ms: f64,
 }
 
-impl Default for Policy {
+impl Default for CostWeights {
     fn default() -> Self {
-        Policy {
+        CostWeights {
             full_batch_ms: 60.0,
             queued_ms: 1_500.0,
-            reading_weight: 3.0,
+            prefill_weight: 3.0,
             gap_share: 0.65,
             other_domain_ms: 6.0,
             prefix_ms: 15.0,
             failure_ms: 2_000.0,
-            cold_ms: 100.0,
-            draw_ms: 4.0,
+            warmup_ms: 100.0,
+            random_ms: 4.0,
         }
     }
 }
@@ -121,45 +121,52 @@
 const MOST_OVERSTATED: f64 = 2.5;
 
 /// Chooses the engine with the lowest expected time to the first byte.
-pub fn choose(engines: &Engines, ask: &Ask<'_>, now: Millis) -> Result<Choice, NoEngine> {
-    let mut found = NoEngine::None;
+pub fn choose_engine(
+    engines: &Engines,
+    ask: &ChoiceParams<'_>,
+    now: Millis,
+) -> Result<Choice, NoEngine> {
+    let mut found = NoEngine::NoneAvailable;
     let mut best: Option<((bool, bool), Choice)> = None;
     let looked_at = looked_at(engines, ask, now);
-    let tokens = ask.prompt.map_or(0, |p| p.tokens_in);
+    let tokens = ask.prompt.map_or(0, |p| p.prompt_tokens);
     let home = ask.prompt.map(home_key);
     let mean = mean_load(engines, ask.service, now);
     let overstated = LazyCell::new(|| overstated(engines, ask.service, now));
-    for engine in engines.of(ask.service).filter(|e| e.takes_work()) {
-        if found == NoEngine::None {
-            found = NoEngine::NotPlaced(PLACED_WITHIN);
+    for engine in engines.of_service(ask.service).filter(|e| e.accepts_requests()) {
+        if found == NoEngine::NoneAvailable {
+            found = NoEngine::NotLoaded(PLACED_WITHIN);
         }
         // Another node probes an engine that is reported unreachable; it is not tried here.
-        let wanted = ask.prompt.and_then(|p| p.wanted.as_ref());
-        if wanted.is_some_and(|w| !engine.holds(w)) || engine.judge.is_dark(now) {
+        let wanted = ask.prompt.and_then(|p| p.model_ref.as_ref());
+        if wanted.is_some_and(|w| !engine.has_loaded(w))
+            || engine.health.is_reported_unreachable(now)
+        {
             continue;
         }
         // An engine without a known load is assumed to have the mean load, not to be idle.
-        let estimate = engine.known_load(now).unwrap_or_else(|| mean.max(f64::from(engine.own)));
-        let queue = if ask.goes_first { QUEUE_SHARE_FIRST } else { QUEUE_SHARE };
-        let room = f64::from(engine.listed.slots) * (1.0 + queue);
+        let estimate =
+            engine.known_load(now).unwrap_or_else(|| mean.max(f64::from(engine.own_requests)));
+        let queue = if ask.has_precedence { QUEUE_SHARE_FIRST } else { QUEUE_SHARE };
+        let room = f64::from(engine.info.slots) * (1.0 + queue);
         let is_full = estimate >= room && estimate / *overstated >= room;
-        if is_full || engine.own >= ask.conns || ask.tried.contains(&engine.listed.id) {
+        if is_full || engine.own_requests >= ask.max_conns || ask.tried.contains(&engine.info.id) {
             let wait = Duration::from_millis(250);
             found = NoEngine::Full(wait);
             continue;
         }
         let cost = cost(engine, estimate, ask, home, now);
-        let choice = Choice { engine: engine.listed.id.clone(), cost_ms: cost, estimate };
+        let choice = Choice { engine: engine.info.id.clone(), cost_ms: cost, estimate };
         // Each request considers some engines only, so that many nodes do not all choose the same
         // one.
-        let passed_over = draw_of(ask.draw, &engine.listed.id) > looked_at;
+        let passed_over = draw_of(ask.random, &engine.info.id) > looked_at;
         // Ejected engines are the last resort.
-        let alone = engine.judge.is_left_alone(now) || passed_over;
+        let alone = engine.health.is_ejected(now) || passed_over;
         // Engines whose streams would pause for too long rank after the others.
-        let pauses = ask.gap.is_some_and(|gap| {
+        let pauses = ask.max_event_gap.is_some_and(|gap| {
             tokens > 0
-                && engine.longest_pause(tokens, now)
-                    > gap.as_secs_f64() * 1_000.0 * ask.policy.gap_share
+                && engine.expected_pause_ms(tokens, now)
+                    > gap.as_secs_f64() * 1_000.0 * ask.weights.gap_share
         });
         let rank = (alone, pauses);
         let better = best
@@ -170,21 +177,23 @@
         }
     }
     match best {
-        Some(((false, true), _)) if ask.waits => Err(NoEngine::Reading),
+        Some(((false, true), _)) if ask.can_wait => Err(NoEngine::PrefillBusy),
         Some((_, choice)) => Ok(choice),
         None => Err(found),
     }
 }
 
 /// The highest random number of the engines that this request considers.
-fn looked_at(engines: &Engines, ask: &Ask<'_>, now: Millis) -> f64 {
+fn looked_at(engines: &Engines, ask: &ChoiceParams<'_>, now: Millis) -> f64 {
     if ask.nodes <= FEW_NODES {
         return 1.0;
     }
-    let wanted = ask.prompt.and_then(|p| p.wanted.as_ref());
-    let copies = engines.of(ask.service).filter(|e| e.takes_work() && !e.judge.is_dark(now));
-    let copies = copies.filter(|e| wanted.is_none_or(|w| e.holds(w)));
-    let mut draws: Vec<f64> = copies.map(|e| draw_of(ask.draw, &e.listed.id)).collect();
+    let wanted = ask.prompt.and_then(|p| p.model_ref.as_ref());
+    let copies = engines
+        .of_service(ask.service)
+        .filter(|e| e.accepts_requests() && !e.health.is_reported_unreachable(now));
+    let copies = copies.filter(|e| wanted.is_none_or(|w| e.has_loaded(w)));
+    let mut draws: Vec<f64> = copies.map(|e| draw_of(ask.random, &e.info.id)).collect();
     let most = ((draws.len() as f64 * LOOKED_AT).ceil() as usize).max(LEAST_LOOKED_AT);
     if draws.len() <= most {
         return 1.0;
@@ -192,23 +201,29 @@
     *draws.select_nth_unstable_by(most - 1, f64::total_cmp).1
 }
 
-fn cost(engine: &Engine, estimate: f64, ask: &Ask<'_>, home: Option<u64>, now: Millis) -> f64 {
-    let slots = f64::from(engine.listed.slots.max(1));
-    let policy = &ask.policy;
+fn cost(
+    engine: &Engine,
+    estimate: f64,
+    ask: &ChoiceParams<'_>,
+    home: Option<u64>,
+    now: Millis,
+) -> f64 {
+    let slots = f64::from(engine.info.slots.max(1));
+    let policy = &ask.weights;
     let batch = policy.full_batch_ms * (estimate / slots).min(1.0);
     let queue = policy.queued_ms * ((estimate + 1.0 - slots).max(0.0) / slots);
-    let reading = policy.reading_weight * engine.reading_ms(now);
-    let domain = if engine.listed.domain == ask.domain { 0.0 } else { policy.other_domain_ms };
-    let prefix = home.map_or(0.0, |key| policy.prefix_ms * rank(key, &engine.listed.id));
-    let failing = policy.failure_ms * engine.judge.failing(now);
-    let cold = if engine.listed.cold_ms > 0 { policy.cold_ms } else { 0.0 };
-    let chance = policy.draw_ms * draw_of(ask.draw, &engine.listed.id);
+    let reading = policy.prefill_weight * engine.prefill_ms(now);
+    let domain = if engine.info.domain == ask.domain { 0.0 } else { policy.other_domain_ms };
+    let prefix = home.map_or(0.0, |key| policy.prefix_ms * rank(key, &engine.info.id));
+    let failing = policy.failure_ms * engine.health.failure_rate(now);
+    let cold = if engine.info.warmup_ms_left > 0 { policy.warmup_ms } else { 0.0 };
+    let chance = policy.random_ms * draw_of(ask.random, &engine.info.id);
     batch + queue + reading + domain + prefix + failing + cold + chance
 }
 
 /// Mean of the loads that are known.
 fn mean_load(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
-    let known = engines.of(service).filter_map(|e| e.known_load(now));
+    let known = engines.of_service(service).filter_map(|e| e.known_load(now));
     let (count, sum) = known.fold((0_u32, 0.0), |(count, sum), load| (count + 1, sum + load));
     if count == 0 { 0.0 } else { sum / f64::from(count) }
 }
@@ -216,8 +231,10 @@
 /// Factor by which the loads reported by nodes exceed those reported by the same engines; 1 if they
 /// roughly agree. Prevents refusals while nodes count the same requests more than once.
 fn overstated(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
-    let both = engines.of(service).filter(|e| e.elsewhere.is_some() && e.takes_work());
-    let both = both.filter_map(|e| Some((e.known_load(now)?, e.told_load(now)?)));
+    let both = engines
+        .of_service(service)
+        .filter(|e| e.in_flight_elsewhere.is_some() && e.accepts_requests());
+    let both = both.filter_map(|e| Some((e.known_load(now)?, e.recent_reported_load(now)?)));
     let (known, told) = both.fold((0.0, 0.0), |(k, t), (known, told)| (k + known, t + told));
     let by = known / f64::max(told, 1.0);
     if by > MOST_OVERSTATED { by } else { 1.0 }
--- a/crates/direct/src/cursor.rs
+++ b/crates/direct/src/cursor.rs
@@ -98,7 +98,7 @@
     ///
     /// The era is in the high bits, so that tokens increase although offsets go back, and no two
     /// positions share a token.
-    pub fn fence(self) -> Option<u64> {
+    pub fn fencing_token(self) -> Option<u64> {
         let fits = self.offset < 1 << OFFSET_BITS;
         fits.then(|| (u64::from(self.era.0) << OFFSET_BITS) | self.offset)
     }
@@ -131,7 +131,7 @@
     }
 
     /// Records that an era has lasted at least this long; returns whether it is new.
-    pub fn hear(&mut self, era: Era, lasted: Duration, now: Duration) -> bool {
+    pub fn observe(&mut self, era: Era, lasted: Duration, now: Duration) -> bool {
         let since = now.saturating_sub(lasted);
         let is_new = era > self.era;
         if is_new {
@@ -149,7 +149,7 @@
     }
 
     /// Lower bound on the age of the era.
-    pub fn lasted(&self, now: Duration) -> Duration {
+    pub fn min_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.since)
     }
 }
--- a/crates/direct/src/customer.rs
+++ b/crates/direct/src/customer.rs
@@ -15,15 +15,15 @@
 
 /// The API key of a customer. It is secret and never printed.
 #[derive(Clone, PartialEq, Eq, Hash)]
-pub struct Key(String);
+pub struct ApiKey(String);
 
-impl Key {
-    pub fn new(text: impl Into<String>) -> Key {
-        Key(text.into())
+impl ApiKey {
+    pub fn new(text: impl Into<String>) -> ApiKey {
+        ApiKey(text.into())
     }
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for ApiKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
@@ -38,21 +38,21 @@
 
 /// Unit in which a quota is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unit {
+pub enum QuotaUnit {
     Requests,
     /// A request counts the tokens of its prompt and its maximum number of output tokens.
     Tokens {
         /// Tokens of a request that does not state them.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
-impl Unit {
+impl QuotaUnit {
     /// Cost of a request that states these tokens.
-    pub fn of(self, tokens: Option<u64>) -> f64 {
+    pub fn cost(self, tokens: Option<u64>) -> f64 {
         match self {
-            Unit::Requests => 1.0,
-            Unit::Tokens { plain } => tokens.unwrap_or(plain) as f64,
+            QuotaUnit::Requests => 1.0,
+            QuotaUnit::Tokens { default_tokens: plain } => tokens.unwrap_or(plain) as f64,
         }
     }
 }
@@ -60,7 +60,7 @@
 /// Usage that a customer is allowed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    pub unit: Unit,
+    pub unit: QuotaUnit,
     /// Units per second.
     pub rate: f64,
     /// Units allowed at once beyond the rate.
@@ -70,48 +70,50 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Customers {
     all: IndexMap<CustomerId, Customer>,
-    keys: IndexMap<Key, CustomerId>,
+    keys: IndexMap<ApiKey, CustomerId>,
 }
 
 /// Credentials of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Shown {
+pub enum Credentials {
     #[default]
-    Nothing,
-    Key(Key),
+    None,
+    Key(ApiKey),
     /// Several keys, or credentials that are not a key.
-    Unusable,
+    Invalid,
 }
 
 /// Who sends a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sender<'a> {
+pub enum CallerIdentity<'a> {
     Customer(&'a CustomerId, &'a Customer),
     /// A caller without a key on an open route.
-    Anybody,
+    Anonymous,
     /// A caller that is not allowed to send the request.
-    Stranger,
+    Unauthorized,
 }
 
 impl Customers {
     /// Adds a customer with its keys. A key that several customers have belongs to the last of
     /// them.
-    pub fn add(&mut self, name: CustomerId, customer: Customer, keys: Vec<Key>) {
+    pub fn add(&mut self, name: CustomerId, customer: Customer, keys: Vec<ApiKey>) {
         self.keys.extend(keys.into_iter().map(|key| (key, name.clone())));
         self.all.insert(name, customer);
     }
 
     /// Identifies the sender of a request. An unknown key is rejected on open routes too, as it may
     /// have been revoked.
-    pub fn sender(&self, shown: &Shown, is_open: bool) -> Sender<'_> {
+    pub fn identify(&self, shown: &Credentials, is_open: bool) -> CallerIdentity<'_> {
         match shown {
-            Shown::Key(key) => {
+            Credentials::Key(key) => {
                 let name = self.keys.get(key);
                 let known = name.and_then(|name| self.all.get_key_value(name));
-                known.map_or(Sender::Stranger, |(name, customer)| Sender::Customer(name, customer))
+                known.map_or(CallerIdentity::Unauthorized, |(name, customer)| {
+                    CallerIdentity::Customer(name, customer)
+                })
             }
-            Shown::Nothing if is_open => Sender::Anybody,
-            Shown::Nothing | Shown::Unusable => Sender::Stranger,
+            Credentials::None if is_open => CallerIdentity::Anonymous,
+            Credentials::None | Credentials::Invalid => CallerIdentity::Unauthorized,
         }
     }
 
@@ -130,13 +132,13 @@
     /// Window over which usage is counted.
     pub window: Duration,
     /// Allowed excess, as a part of the quota.
-    pub over: f64,
+    pub overshoot_ratio: f64,
     /// Allowed excess beyond that, in units.
     pub slack: f64,
 }
 
 impl Default for QuotaBounds {
     fn default() -> Self {
-        QuotaBounds { window: Duration::from_secs(8), over: 0.0, slack: 0.0 }
+        QuotaBounds { window: Duration::from_secs(8), overshoot_ratio: 0.0, slack: 0.0 }
     }
 }
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{Millis, Wanted};
+use crate::{Millis, ModelRef};
 
 /// Half-lives of the two moving averages.
 const FAST_MS: f64 = 1_000.0;
@@ -29,13 +29,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     models: IndexMap<String, Rate>,
-    wanted: IndexMap<Wanted, Rate>,
+    wanted: IndexMap<ModelRef, Rate>,
     since: Option<Millis>,
 }
 
 /// A node's counts for one model, from which another node continues.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Past {
+pub struct DemandSnapshot {
     pub model: String,
     fast: f64,
     slow: f64,
@@ -49,7 +49,7 @@
     /// By model: the recent rate. Requests may still run there although demand has moved on.
     pub recent: IndexMap<String, f64>,
     /// By adapter: the recent rate. Single adapters are requested too rarely to show a trend.
-    pub adapters: IndexMap<Wanted, f64>,
+    pub adapters: IndexMap<ModelRef, f64>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -64,7 +64,7 @@
 
 impl Demand {
     /// Counts requests.
-    pub fn saw(&mut self, now: Millis, wanted: &Wanted, count: f64) {
+    pub fn record(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
         self.since.get_or_insert(now);
         self.forget(now);
         if !self.models.contains_key(&wanted.model) {
@@ -92,7 +92,7 @@
     }
 
     /// Number of tracked models and adapters.
-    pub fn names(&self) -> usize {
+    pub fn tracked_names(&self) -> usize {
         self.wanted.len()
     }
 
@@ -102,14 +102,14 @@
     }
 
     /// The counts of the most requested models.
-    pub fn past(&self, now: Millis) -> Vec<Past> {
+    pub fn snapshot(&self, now: Millis) -> Vec<DemandSnapshot> {
         let models = self.models.iter().filter(|(_, rate)| rate.slow(now) >= SILENT);
-        let mut past: Vec<Past> = models
+        let mut past: Vec<DemandSnapshot> = models
             .map(|(model, rate)| {
                 let age = now.saturating_sub(rate.at);
                 let (fast, slow) =
                     (rate.fast * decay(age, FAST_MS), rate.slow * decay(age, SLOW_MS));
-                Past { model: model.clone(), fast, slow }
+                DemandSnapshot { model: model.clone(), fast, slow }
             })
             .collect();
         past.sort_by(|a, b| b.slow.total_cmp(&a.slow));
@@ -118,9 +118,9 @@
     }
 
     /// Adds the counts of another node, which has counted since `since`.
-    pub fn go_on_from(&mut self, now: Millis, since: Option<Millis>, past: &[Past]) {
+    pub fn merge(&mut self, now: Millis, since: Option<Millis>, past: &[DemandSnapshot]) {
         self.since = self.since.into_iter().chain(since).min();
-        for Past { model, fast, slow } in past {
+        for DemandSnapshot { model, fast, slow } in past {
             let rate = self.models.entry(model.clone()).or_default();
             rate.saw(now, 0.0);
             rate.fast += fast;
@@ -128,18 +128,18 @@
         }
     }
 
-    /// Records that a request waits for it now; the request itself is counted by [`Demand::saw`].
-    pub fn touch(&mut self, now: Millis, wanted: &Wanted) {
+    /// Records that a request waits for it now; the request itself is counted by [`Demand::record`].
+    pub fn mark_requested(&mut self, now: Millis, wanted: &ModelRef) {
         self.wanted.entry(wanted.clone()).or_default().asked = now;
     }
 
     /// Recent requests per second for exactly this model or adapter.
-    pub fn rate(&self, now: Millis, wanted: &Wanted) -> f64 {
+    pub fn rate(&self, now: Millis, wanted: &ModelRef) -> f64 {
         self.wanted.get(wanted).map_or(0.0, |rate| rate.slow(now))
     }
 
     /// When exactly this model or adapter was last requested.
-    pub fn last(&self, wanted: &Wanted) -> Option<Millis> {
+    pub fn last_requested(&self, wanted: &ModelRef) -> Option<Millis> {
         self.wanted.get(wanted).map(|rate| rate.asked)
     }
 
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -5,8 +5,8 @@
 use derive_more::{Display, From};
 use serde::{Deserialize, Serialize};
 
-use crate::flights::{EngineKey, Flight};
-use crate::{Cursor, Judge, Millis, ReadingPace, ServiceId, Unread, Wanted};
+use crate::in_flight::{EngineKey, InFlightLoad};
+use crate::{Cursor, HealthTracker, Millis, ModelRef, PrefillBacklog, PrefillRate, ServiceId};
 
 /// Identity of an engine, which may restart under the same one.
 #[derive(
@@ -20,25 +20,25 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Start(pub Option<u64>);
+pub struct StartTime(pub Option<u64>);
 
-impl Start {
+impl StartTime {
     /// Whether this start is known to be earlier than `known`.
-    pub fn is_before(self, known: Start) -> bool {
+    pub fn is_before(self, known: StartTime) -> bool {
         matches!((self.0, known.0), (Some(this), Some(known)) if this < known)
     }
 }
 
 /// Whether an engine accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Standing {
+pub enum EngineState {
     #[display("ready")]
     Ready,
     /// It is shutting down.
     #[display("leaving")]
     Leaving {
         /// When it terminates, if it has said so.
-        gone_at: Option<Millis>,
+        terminates_at: Option<Millis>,
     },
     /// Its latest list entry cannot be parsed, so it is not used until one can.
     #[display("unreadable")]
@@ -47,7 +47,7 @@
 
 /// A model that an engine has loaded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LoadedModel {
     pub model: String,
     /// The model's adapters that are loaded with it.
     pub adapters: Vec<String>,
@@ -55,7 +55,7 @@
 
 /// Weights that an engine can load without the weight store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AtHand {
+pub struct CachedWeights {
     /// Models in the memory of its VM.
     pub in_memory: Vec<String>,
     /// Models on its disk.
@@ -64,21 +64,21 @@
 
 /// An engine's entry in the list of engines.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct EngineInfo {
     pub id: EngineId,
     /// Position of the entry in the store's log.
-    pub at: Cursor,
-    pub start: Start,
+    pub position: Cursor,
+    pub started_at: StartTime,
     pub service: ServiceId,
     pub addr: SocketAddr,
     pub domain: String,
     /// Requests that it runs concurrently.
     pub slots: u32,
-    pub standing: Standing,
-    pub held: Vec<Held>,
-    pub at_hand: AtHand,
+    pub state: EngineState,
+    pub loaded: Vec<LoadedModel>,
+    pub cached: CachedWeights,
     /// Remaining warm-up time after its start.
-    pub cold_ms: u64,
+    pub warmup_ms_left: u64,
 }
 
 /// Load reported by an engine.
@@ -91,30 +91,30 @@
 
 #[derive(Debug, Clone)]
 pub struct Engine {
-    pub listed: Listed,
+    pub info: EngineInfo,
     /// Whether this incarnation has said that it is leaving.
     leaves: bool,
     key: EngineKey,
-    pub judge: Judge,
+    pub health: HealthTracker,
     /// Requests of this node in flight there.
-    pub own: u32,
+    pub own_requests: u32,
     /// Requests of all other nodes in flight there, if they are reported.
-    pub elsewhere: Option<Flight>,
-    /// The last reported load, when it was reported, and the value of `own` at that time.
-    pub told: Option<(Load, Millis, u32)>,
+    pub in_flight_elsewhere: Option<InFlightLoad>,
+    /// The last reported load, when it was reported, and the value of `own_requests` at that time.
+    pub reported_load: Option<(Load, Millis, u32)>,
     /// Prompts whose prefill is not complete.
-    pub unread: Unread,
-    pub reading: ReadingPace,
+    pub prefill_backlog: PrefillBacklog,
+    pub prefill_rate: PrefillRate,
     /// Average time between two events of a stream there; 0 until a stream has completed.
-    pub event_ms: f64,
+    pub event_interval_ms: f64,
     /// When the last byte arrived from it on any connection.
-    pub heard: Millis,
+    pub last_heard: Millis,
     /// Number of orders that it is known to have accepted.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// Adapters that it was ordered to load and that are not known to be loaded; they occupy slots.
-    pub coming: Vec<Wanted>,
+    pub loading_adapters: Vec<ModelRef>,
     /// When the leader last reported its loaded models.
-    pub told_at: Option<Millis>,
+    pub placement_reported_at: Option<Millis>,
 }
 
 /// Weight of the latest stream in the average time between events.
@@ -123,37 +123,37 @@
 /// Time after which a reported load is outdated.
 const TOLD_FOR: Millis = 2_000;
 
-pub(crate) fn is_leaving(listed: &Listed) -> bool {
-    matches!(listed.standing, Standing::Leaving { .. })
+pub(crate) fn is_leaving(listed: &EngineInfo) -> bool {
+    matches!(listed.state, EngineState::Leaving { .. })
 }
 
 impl Engine {
-    pub fn new(listed: Listed) -> Engine {
+    pub fn new(listed: EngineInfo) -> Engine {
         Engine {
-            key: EngineKey::of(&listed.id, listed.start),
+            key: EngineKey::of(&listed.id, listed.started_at),
             leaves: is_leaving(&listed),
-            listed,
-            judge: Judge::default(),
-            own: 0,
-            elsewhere: None,
-            told: None,
-            unread: Unread::default(),
-            reading: ReadingPace::default(),
-            event_ms: 0.0,
-            heard: 0,
-            orders: 0,
-            coming: Vec::new(),
-            told_at: None,
+            info: listed,
+            health: HealthTracker::default(),
+            own_requests: 0,
+            in_flight_elsewhere: None,
+            reported_load: None,
+            prefill_backlog: PrefillBacklog::default(),
+            prefill_rate: PrefillRate::default(),
+            event_interval_ms: 0.0,
+            last_heard: 0,
+            accepted_orders: 0,
+            loading_adapters: Vec::new(),
+            placement_reported_at: None,
         }
     }
 
     /// Replaces its list entry.
-    pub(crate) fn relist(&mut self, listed: Listed) {
-        if listed.start != self.listed.start {
-            self.key = EngineKey::of(&listed.id, listed.start);
+    pub(crate) fn relist(&mut self, listed: EngineInfo) {
+        if listed.started_at != self.info.started_at {
+            self.key = EngineKey::of(&listed.id, listed.started_at);
         }
         let leaves = self.leaves || is_leaving(&listed);
-        self.listed = listed;
+        self.info = listed;
         if leaves {
             self.leave();
         }
@@ -163,8 +163,8 @@
     /// store restored from a backup, does not undo it.
     pub(crate) fn leave(&mut self) {
         self.leaves = true;
-        if self.listed.standing == Standing::Ready {
-            self.listed.standing = Standing::Leaving { gone_at: None };
+        if self.info.state == EngineState::Ready {
+            self.info.state = EngineState::Leaving { terminates_at: None };
         }
     }
 
@@ -172,88 +172,92 @@
         self.leaves
     }
 
-    pub fn own_flight(&self) -> Flight {
-        let (prompts, tokens) = self.unread.own();
-        Flight { requests: self.own, prompts, tokens }
+    pub fn own_in_flight(&self) -> InFlightLoad {
+        let (prompts, tokens) = self.prefill_backlog.own_totals();
+        InFlightLoad { requests: self.own_requests, prompts, tokens }
     }
 
     /// Estimated number of requests there, if known: from the reports of all nodes, else from its
     /// own report.
     pub fn known_load(&self, now: Millis) -> Option<f64> {
-        if let Some(elsewhere) = self.elsewhere {
-            return Some(f64::from(elsewhere.requests) + f64::from(self.own));
+        if let Some(elsewhere) = self.in_flight_elsewhere {
+            return Some(f64::from(elsewhere.requests) + f64::from(self.own_requests));
         }
-        self.told_load(now)
+        self.recent_reported_load(now)
     }
 
     /// Its recently reported load, adjusted by the change in this node's own requests since.
-    pub fn told_load(&self, now: Millis) -> Option<f64> {
-        let (load, at, own) = self.told.filter(|(_, at, _)| now.saturating_sub(*at) < TOLD_FOR)?;
+    pub fn recent_reported_load(&self, now: Millis) -> Option<f64> {
+        let (load, at, own) =
+            self.reported_load.filter(|(_, at, _)| now.saturating_sub(*at) < TOLD_FOR)?;
         debug_assert!(at <= now);
         let told = f64::from(load.running + load.waiting);
-        Some((told + f64::from(self.own) - f64::from(own)).max(f64::from(self.own)))
+        Some(
+            (told + f64::from(self.own_requests) - f64::from(own))
+                .max(f64::from(self.own_requests)),
+        )
     }
 
     /// Estimated number of requests there; this node's own if nothing else is known.
     pub fn estimate(&self, now: Millis) -> f64 {
-        self.known_load(now).unwrap_or(f64::from(self.own))
+        self.known_load(now).unwrap_or(f64::from(self.own_requests))
     }
 
     /// Estimated time to complete all known prefill, in milliseconds.
-    pub fn reading_ms(&self, now: Millis) -> f64 {
-        self.reading.time(self.unread_tokens(now))
+    pub fn prefill_ms(&self, now: Millis) -> f64 {
+        self.prefill_rate.estimate_ms(self.unread_tokens(now))
     }
 
     fn unread_tokens(&self, now: Millis) -> u32 {
-        let elsewhere = self.elsewhere.map_or(0, |flight| flight.tokens);
-        self.unread.tokens(now).saturating_add(elsewhere)
+        let elsewhere = self.in_flight_elsewhere.map_or(0, |flight| flight.tokens);
+        self.prefill_backlog.tokens(now).saturating_add(elsewhere)
     }
 
     /// Longest expected pause of the streams that run there, in milliseconds, if it is sent a
     /// prompt of this many tokens now. 0 if no stream runs there, or if it has no other prefill, as
     /// waiting would not help then.
-    pub fn longest_pause(&self, tokens: u32, now: Millis) -> f64 {
-        let elsewhere = self.elsewhere.map_or(0, |flight| flight.prompts);
-        let reads = self.unread.count(now) + elsewhere as usize;
+    pub fn expected_pause_ms(&self, tokens: u32, now: Millis) -> f64 {
+        let elsewhere = self.in_flight_elsewhere.map_or(0, |flight| flight.prompts);
+        let reads = self.prefill_backlog.count(now) + elsewhere as usize;
         let unread = self.unread_tokens(now);
         if unread == 0 || self.estimate(now) <= reads as f64 {
             return 0.0;
         }
-        self.reading.time(unread.saturating_add(tokens)) + self.event_ms
+        self.prefill_rate.estimate_ms(unread.saturating_add(tokens)) + self.event_interval_ms
     }
 
     /// Records the mean time between the events of a complete stream.
-    pub fn saw_events(&mut self, mean_ms: f64) {
-        let before = if self.event_ms == 0.0 { mean_ms } else { self.event_ms };
-        self.event_ms = before + EVENTS_WEIGHT * (mean_ms - before);
+    pub fn record_event_interval(&mut self, mean_ms: f64) {
+        let before = if self.event_interval_ms == 0.0 { mean_ms } else { self.event_interval_ms };
+        self.event_interval_ms = before + EVENTS_WEIGHT * (mean_ms - before);
     }
 
     /// Records a load that another node received, unless a newer one is known.
-    pub fn hear(&mut self, load: Load, at: Millis) {
-        if self.told.is_none_or(|(_, known, _)| known < at) {
-            self.told = Some((load, at, self.own));
+    pub fn record_peer_load(&mut self, load: Load, at: Millis) {
+        if self.reported_load.is_none_or(|(_, known, _)| known < at) {
+            self.reported_load = Some((load, at, self.own_requests));
         }
     }
 
     /// Whether it has loaded the model, and the adapter if one is given.
-    pub fn holds(&self, wanted: &Wanted) -> bool {
-        let held = self.listed.held.iter().find(|h| h.model == wanted.model);
+    pub fn has_loaded(&self, wanted: &ModelRef) -> bool {
+        let held = self.info.loaded.iter().find(|h| h.model == wanted.model);
         held.is_some_and(|h| match &wanted.adapter {
             Some(adapter) => h.adapters.contains(adapter),
             None => true,
         })
     }
 
-    pub fn holds_model(&self, model: &str) -> bool {
-        self.listed.held.iter().any(|h| h.model == model)
+    pub fn has_model(&self, model: &str) -> bool {
+        self.info.loaded.iter().any(|h| h.model == model)
     }
 
     /// Removes a model or adapter that the engine reported as not loaded.
-    pub fn drop_held(&mut self, wanted: &Wanted) {
+    pub fn remove_loaded(&mut self, wanted: &ModelRef) {
         match &wanted.adapter {
-            None => self.listed.held.retain(|h| h.model != wanted.model),
+            None => self.info.loaded.retain(|h| h.model != wanted.model),
             Some(adapter) => {
-                for held in self.listed.held.iter_mut().filter(|h| h.model == wanted.model) {
+                for held in self.info.loaded.iter_mut().filter(|h| h.model == wanted.model) {
                     held.adapters.retain(|a| a != adapter);
                 }
             }
@@ -261,27 +265,29 @@
     }
 
     /// Records that it was, or may have been, ordered to load an adapter.
-    pub fn expect(&mut self, wanted: &Wanted) {
-        if !self.coming.contains(wanted) {
-            self.coming.push(wanted.clone());
+    pub fn expect_adapter(&mut self, wanted: &ModelRef) {
+        if !self.loading_adapters.contains(wanted) {
+            self.loading_adapters.push(wanted.clone());
         }
     }
 
     /// Adapter slots that are, or may be, in use.
-    pub fn places_taken(&self) -> usize {
-        let held: usize = self.listed.held.iter().map(|h| h.adapters.len()).sum();
-        held + self.coming.iter().filter(|w| !self.holds(w)).count()
+    pub fn adapter_slots_used(&self) -> usize {
+        let held: usize = self.info.loaded.iter().map(|h| h.adapters.len()).sum();
+        held + self.loading_adapters.iter().filter(|w| !self.has_loaded(w)).count()
     }
 
-    pub fn add_held(&mut self, wanted: &Wanted) {
-        self.coming.retain(|w| w != wanted);
-        let at = self.listed.held.iter().position(|h| h.model == wanted.model);
+    pub fn add_loaded(&mut self, wanted: &ModelRef) {
+        self.loading_adapters.retain(|w| w != wanted);
+        let at = self.info.loaded.iter().position(|h| h.model == wanted.model);
         let at = at.unwrap_or_else(|| {
-            self.listed.held.push(Held { model: wanted.model.clone(), adapters: Vec::new() });
-            self.listed.held.len() - 1
+            self.info
+                .loaded
+                .push(LoadedModel { model: wanted.model.clone(), adapters: Vec::new() });
+            self.info.loaded.len() - 1
         });
         if let Some(adapter) = &wanted.adapter {
-            let adapters = &mut self.listed.held[at].adapters;
+            let adapters = &mut self.info.loaded[at].adapters;
             if !adapters.contains(adapter) {
                 adapters.push(adapter.clone());
             }
@@ -293,7 +299,7 @@
         self.key
     }
 
-    pub fn takes_work(&self) -> bool {
-        self.listed.standing == Standing::Ready
+    pub fn accepts_requests(&self) -> bool {
+        self.info.state == EngineState::Ready
     }
 }
--- a/crates/direct/src/engines.rs
+++ b/crates/direct/src/engines.rs
@@ -5,8 +5,8 @@
 use indexmap::{IndexMap, IndexSet};
 
 use crate::engine::is_leaving;
-use crate::flights::EngineKey;
-use crate::{Cursor, Engine, EngineId, Era, Listed, ServiceId, Standing, Start};
+use crate::in_flight::EngineKey;
+use crate::{Cursor, Engine, EngineId, EngineInfo, EngineState, Era, ServiceId, StartTime};
 
 /// Maximum number of removed engines that are remembered.
 const MOST_GONE: usize = 1_000;
@@ -22,7 +22,7 @@
     /// Removed engines.
     gone: IndexMap<EngineId, Gone>,
     /// Position at which the backup ends that the store was restored from.
-    copy_end: Cursor,
+    backup_end: Cursor,
     /// Addresses of engines that have restarted.
     anew: Vec<SocketAddr>,
 }
@@ -32,7 +32,7 @@
 struct Gone {
     /// Position of the removal, or of the snapshot that it was missing from.
     at: Cursor,
-    start: Start,
+    start: StartTime,
     /// Whether that incarnation had said that it was leaving.
     left: bool,
 }
@@ -61,29 +61,29 @@
     }
 
     /// All engines of a service.
-    pub fn of<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Engine> {
-        self.by_id.values().filter(move |e| &e.listed.service == service)
+    pub fn of_service<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Engine> {
+        self.by_id.values().filter(move |e| &e.info.service == service)
     }
 
     /// Applies an engine's list entry. An entry of an earlier incarnation or an earlier position is
     /// ignored; one of a later incarnation replaces everything known about the engine.
-    pub fn list(&mut self, mut listed: Listed) {
+    pub fn upsert(&mut self, mut listed: EngineInfo) {
         let Some(engine) = self.by_id.get_mut(&listed.id) else {
             self.list_unknown(listed);
             return;
         };
-        let known = engine.listed.start;
-        if listed.start.is_before(known) {
+        let known = engine.info.started_at;
+        if listed.started_at.is_before(known) {
             return;
         }
-        if known.is_before(listed.start) {
+        if known.is_before(listed.started_at) {
             self.begin_anew(listed);
-        } else if listed.at >= engine.listed.at {
+        } else if listed.position >= engine.info.position {
             // An entry without a start time is taken to be of the known incarnation.
-            listed.start = listed.start.max(known);
-            if listed.start != known {
+            listed.started_at = listed.started_at.max(known);
+            if listed.started_at != known {
                 self.by_key.swap_remove(&engine.key());
-                self.by_key.insert(EngineKey::of(&listed.id, listed.start), listed.id.clone());
+                self.by_key.insert(EngineKey::of(&listed.id, listed.started_at), listed.id.clone());
             }
             engine.relist(listed);
         } else if is_leaving(&listed) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn list_unknown(&mut self, listed: Listed) {
+    fn list_unknown(&mut self, listed: EngineInfo) {
         if self.is_gone(&listed) {
             if let Some(gone) = self.gone.get_mut(&listed.id) {
                 gone.left |= is_leaving(&listed);
@@ -100,7 +100,7 @@
         }
         let gone = self.gone.shift_remove(&listed.id);
         let mut engine = Engine::new(listed);
-        if gone.is_some_and(|gone| gone.left && !gone.start.is_before(engine.listed.start)) {
+        if gone.is_some_and(|gone| gone.left && !gone.start.is_before(engine.info.started_at)) {
             engine.leave();
         }
         self.insert(engine);
@@ -109,48 +109,49 @@
     /// Whether the entry belongs to a removed engine and is not newer than the removal. In a later
     /// era only entries written in that era are newer: the backup may contain engines that have
     /// left since.
-    fn is_gone(&self, listed: &Listed) -> bool {
+    fn is_gone(&self, listed: &EngineInfo) -> bool {
         let Some(gone) = self.gone.get(&listed.id) else { return false };
-        if gone.start.is_before(listed.start) {
+        if gone.start.is_before(listed.started_at) {
             return false;
         }
-        listed.at <= gone.at || (listed.at.era > gone.at.era && self.is_copied(listed.at))
+        listed.position <= gone.at
+            || (listed.position.era > gone.at.era && self.is_from_backup(listed.position))
     }
 
     /// Whether an entry at this position may come from the backup that the store was restored from.
-    pub fn is_copied(&self, at: Cursor) -> bool {
-        at.era > Era::FIRST && at.era == self.copy_end.era && at < self.copy_end
+    pub fn is_from_backup(&self, at: Cursor) -> bool {
+        at.era > Era::FIRST && at.era == self.backup_end.era && at < self.backup_end
     }
 
     /// Position at which that backup ends, as far as known.
-    pub fn copy_end(&self) -> Cursor {
-        self.copy_end
+    pub fn backup_end(&self) -> Cursor {
+        self.backup_end
     }
 
     /// Records that a log ended here after a restore. The earliest end counts, as later entries
     /// were written after the restore.
-    pub fn copy_ends(&mut self, end: Cursor) {
-        if end.era > self.copy_end.era {
-            self.copy_end = end;
-        } else if end.era == self.copy_end.era {
-            self.copy_end = self.copy_end.min(end);
+    pub fn set_backup_end(&mut self, end: Cursor) {
+        if end.era > self.backup_end.era {
+            self.backup_end = end;
+        } else if end.era == self.backup_end.era {
+            self.backup_end = self.backup_end.min(end);
         }
     }
 
     /// Position at which a removed engine was removed.
-    pub fn gone_at(&self, id: &EngineId) -> Option<Cursor> {
+    pub fn removed_at(&self, id: &EngineId) -> Option<Cursor> {
         self.gone.get(id).map(|gone| gone.at)
     }
 
     fn insert(&mut self, engine: Engine) {
-        let id = engine.listed.id.clone();
+        let id = engine.info.id.clone();
         self.by_key.insert(engine.key(), id.clone());
         self.by_id.insert(id, engine);
     }
 
-    fn begin_anew(&mut self, listed: Listed) {
+    fn begin_anew(&mut self, listed: EngineInfo) {
         if let Some(before) = self.by_id.get(&listed.id) {
-            self.anew.push(before.listed.addr);
+            self.anew.push(before.info.addr);
             self.by_key.swap_remove(&before.key());
         }
         self.insert(Engine::new(listed));
@@ -158,42 +159,43 @@
 
     /// Returns the engine if a report about this start time applies to its current incarnation. A
     /// later start time discards everything known about the earlier incarnation.
-    pub fn meet(&mut self, id: &EngineId, start: Start) -> Option<&mut Engine> {
+    pub fn observe_start(&mut self, id: &EngineId, start: StartTime) -> Option<&mut Engine> {
         let engine = self.by_id.get(id)?;
-        let known = engine.listed.start;
+        let known = engine.info.started_at;
         if start.is_before(known) {
             return None;
         }
         if known.is_before(start) {
-            let listed = Listed { start, held: Vec::new(), ..engine.listed.clone() };
+            let listed =
+                EngineInfo { started_at: start, loaded: Vec::new(), ..engine.info.clone() };
             self.begin_anew(listed);
         }
         self.by_id.get_mut(id)
     }
 
     /// Addresses of engines that have restarted since the last call.
-    pub fn take_anew(&mut self) -> Vec<SocketAddr> {
+    pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.anew)
     }
 
     /// Marks an engine whose entry cannot be parsed.
-    pub fn spoil(&mut self, id: &EngineId, at: Cursor) {
-        if let Some(engine) = self.by_id.get_mut(id).filter(|engine| at >= engine.listed.at) {
-            engine.listed.standing = Standing::Unreadable;
-            engine.listed.at = at;
+    pub fn mark_unreadable(&mut self, id: &EngineId, at: Cursor) {
+        if let Some(engine) = self.by_id.get_mut(id).filter(|engine| at >= engine.info.position) {
+            engine.info.state = EngineState::Unreadable;
+            engine.info.position = at;
         }
     }
 
     /// Removes an engine whose entry was removed at this position.
-    pub fn unlist(&mut self, id: &EngineId, at: Cursor) {
-        if self.by_id.get(id).is_some_and(|engine| engine.listed.at > at) {
+    pub fn remove(&mut self, id: &EngineId, at: Cursor) {
+        if self.by_id.get(id).is_some_and(|engine| engine.info.position > at) {
             return;
         }
         let known = self.gone.get(id).copied().unwrap_or_default();
         let mut gone = Gone { at: known.at.max(at), ..known };
         if let Some(engine) = self.by_id.shift_remove(id) {
             self.by_key.swap_remove(&engine.key());
-            gone = Gone { start: engine.listed.start, left: engine.leaves(), ..gone };
+            gone = Gone { start: engine.info.started_at, left: engine.leaves(), ..gone };
         }
         self.gone.insert(id.clone(), gone);
         if self.gone.len() > MOST_GONE {
@@ -204,17 +206,17 @@
     /// Applies a complete list that extends to `end`. Engines that it does not contain are removed,
     /// unless `keep` is set: entries that expired during a store outage return with the next
     /// heartbeat.
-    pub fn replace(&mut self, listed: Vec<Listed>, end: Cursor, keep: bool) {
+    pub fn apply_snapshot(&mut self, listed: Vec<EngineInfo>, end: Cursor, keep: bool) {
         if !keep {
             let named: IndexSet<&EngineId> = listed.iter().map(|l| &l.id).collect();
             let missing = self.by_id.keys().filter(|id| !named.contains(id));
             let missing: Vec<EngineId> = missing.cloned().collect();
             for id in missing {
-                self.unlist(&id, end);
+                self.remove(&id, end);
             }
         }
         for listed in listed {
-            self.list(listed);
+            self.upsert(listed);
         }
     }
 }
--- a/crates/direct/src/proof.rs
+++ b/crates/direct/src/freshness.rs
@@ -12,22 +12,22 @@
 
 /// An observation that no newer version than this one existed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct VersionCheck {
     pub newest: u64,
     /// When the store was asked, on the clock that includes suspension. The answer holds for this
     /// time, however late it arrives.
-    pub asked: Duration,
+    pub asked_at: Duration,
 }
 
 /// Latest observations, by this node or reported by others.
 #[derive(Debug, Clone, Default)]
-pub struct Proof {
-    seen: Vec<Seen>,
+pub struct FreshnessProof {
+    seen: Vec<VersionCheck>,
 }
 
-impl Proof {
-    pub fn learn(&mut self, seen: Seen) {
-        self.seen.retain(|known| known.newest != seen.newest || known.asked > seen.asked);
+impl FreshnessProof {
+    pub fn record(&mut self, seen: VersionCheck) {
+        self.seen.retain(|known| known.newest != seen.newest || known.asked_at > seen.asked_at);
         if !self.seen.iter().any(|known| known.newest == seen.newest) {
             self.seen.push(seen);
         }
@@ -38,13 +38,13 @@
     }
 
     /// The latest observation that `version` was the newest.
-    pub fn of(&self, version: u64) -> Option<Seen> {
+    pub fn latest_check(&self, version: u64) -> Option<VersionCheck> {
         let known = self.seen.iter().filter(|seen| seen.newest <= version);
-        known.max_by_key(|seen| seen.asked).copied()
+        known.max_by_key(|seen| seen.asked_at).copied()
     }
 
     /// Time since `version` was last known to be the newest.
     pub fn age(&self, version: u64, now: Duration) -> Option<Duration> {
-        self.of(version).map(|seen| now.saturating_sub(seen.asked))
+        self.latest_check(version).map(|seen| now.saturating_sub(seen.asked_at))
     }
 }
--- a/crates/direct/src/judge.rs
+++ b/crates/direct/src/health.rs
@@ -6,28 +6,28 @@
 
 /// Outcome of a request to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// A complete response.
-    Good,
+    Success,
     /// The engine rejected the request because it is full.
-    Full,
+    Rejected,
     /// An error, an incomplete response or an invalid one.
     Failed,
     /// The engine could not be reached or stopped responding.
-    Silent,
+    Unreachable,
 }
 
 /// Health state, as shown in logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display)]
-pub enum Opinion {
+pub enum Health {
     #[default]
     #[display("well")]
-    Well,
+    Healthy,
     #[display("failing")]
     Failing,
     /// It could not be reached and gets no requests until its ejection ends.
     #[display("left alone")]
-    LeftAlone,
+    Ejected,
 }
 
 /// Failure rate from which an engine is reported as failing.
@@ -51,7 +51,7 @@
 ///
 /// Prevents an engine that fails quickly from attracting more requests because it looks idle.
 #[derive(Debug, Clone, Default)]
-pub struct Judge {
+pub struct HealthTracker {
     good: f64,
     bad: f64,
     at: Millis,
@@ -59,51 +59,51 @@
     left_alone_until: Millis,
     /// End of the ejection that another node has reported.
     dark_until: Millis,
-    opinion: Opinion,
+    health: Health,
 }
 
-impl Judge {
+impl HealthTracker {
     /// Records an outcome; returns the health state if it changed.
-    pub fn saw(&mut self, now: Millis, verdict: Verdict) -> Option<Opinion> {
+    pub fn record(&mut self, now: Millis, verdict: AttemptOutcome) -> Option<Health> {
         self.decay(now);
         match verdict {
-            Verdict::Good => {
+            AttemptOutcome::Success => {
                 self.good += 1.0;
                 self.silent_in_a_row = 0;
                 self.left_alone_until = 0;
                 self.dark_until = 0;
             }
-            Verdict::Full => self.silent_in_a_row = 0,
-            Verdict::Failed => self.bad += 1.0,
-            Verdict::Silent => {
+            AttemptOutcome::Rejected => self.silent_in_a_row = 0,
+            AttemptOutcome::Failed => self.bad += 1.0,
+            AttemptOutcome::Unreachable => {
                 self.bad += 1.0;
                 let pause = FIRST_PAUSE << self.silent_in_a_row.min(3);
                 self.silent_in_a_row += 1;
                 self.left_alone_until = now + pause.min(LONGEST_PAUSE);
             }
         }
-        let opinion = self.opinion(now);
-        let before = std::mem::replace(&mut self.opinion, opinion);
+        let opinion = self.health(now);
+        let before = std::mem::replace(&mut self.health, opinion);
         (opinion != before).then_some(opinion)
     }
 
-    pub fn opinion(&self, now: Millis) -> Opinion {
-        if self.is_left_alone(now) {
-            Opinion::LeftAlone
-        } else if self.failing(now) >= FAILING {
-            Opinion::Failing
+    pub fn health(&self, now: Millis) -> Health {
+        if self.is_ejected(now) {
+            Health::Ejected
+        } else if self.failure_rate(now) >= FAILING {
+            Health::Failing
         } else {
-            Opinion::Well
+            Health::Healthy
         }
     }
 
     /// Another node could not reach the engine and probes it.
-    pub fn told_dark(&mut self, until: Millis) {
+    pub fn report_unreachable(&mut self, until: Millis) {
         self.dark_until = until;
     }
 
     /// Another node has reached the engine again.
-    pub fn told_back(&mut self) {
+    pub fn report_reachable(&mut self) {
         self.silent_in_a_row = 0;
         self.left_alone_until = 0;
         self.dark_until = 0;
@@ -111,25 +111,25 @@
 
     /// Whether another node reports the engine as unreachable and probes it, so that this node need
     /// not.
-    pub fn is_dark(&self, now: Millis) -> bool {
+    pub fn is_reported_unreachable(&self, now: Millis) -> bool {
         now < self.dark_until
     }
 
     /// Expected failure rate.
-    pub fn failing(&self, now: Millis) -> f64 {
+    pub fn failure_rate(&self, now: Millis) -> f64 {
         let keep = decay(now.saturating_sub(self.at));
         self.bad * keep / (PRIOR + (self.good + self.bad) * keep)
     }
 
     /// Whether the engine gets no requests now, as it could not be reached.
-    pub fn is_left_alone(&self, now: Millis) -> bool {
-        now < self.left_alone_until || self.is_dark(now)
+    pub fn is_ejected(&self, now: Millis) -> bool {
+        now < self.left_alone_until || self.is_reported_unreachable(now)
     }
 
     /// Whether the latest attempt to reach the engine failed.
-    pub fn is_silent(&self, now: Millis) -> bool {
+    pub fn is_unreachable(&self, now: Millis) -> bool {
         let silent = self.silent_in_a_row > 0 && now < self.left_alone_until + SILENT_FOR;
-        silent || self.is_dark(now)
+        silent || self.is_reported_unreachable(now)
     }
 
     fn decay(&mut self, now: Millis) {
--- a/crates/direct/src/heads.rs
+++ b/crates/direct/src/hubs.rs
@@ -47,7 +47,8 @@
     pub addr: SocketAddr,
     pub domain: String,
     /// CPUs of its VM that it may use; can be a fraction.
-    pub processor: f64,
+    #[serde(rename = "processor")]
+    pub cpu_share: f64,
 }
 
 /// The hub candidates of a domain in order of preference; empty if the domain has too few nodes.
@@ -58,37 +59,37 @@
     if own.len() < FEWEST {
         return Vec::new();
     }
-    let largest = own.iter().map(|m| m.processor).fold(0.0, f64::max);
-    own.retain(|m| m.processor >= AS_LARGE * largest);
+    let largest = own.iter().map(|m| m.cpu_share).fold(0.0, f64::max);
+    own.retain(|m| m.cpu_share >= AS_LARGE * largest);
     let key = |m: &Member| xxh3_64(m.node.as_bytes());
-    own.sort_by(|a, b| b.processor.total_cmp(&a.processor).then(key(a).cmp(&key(b))));
+    own.sort_by(|a, b| b.cpu_share.total_cmp(&a.cpu_share).then(key(a).cmp(&key(b))));
     own.into_iter().take(CANDIDATES).cloned().collect()
 }
 
 /// The node that is asked for updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Parent {
-    Holder,
-    Head(SocketAddr),
+    Leader,
+    Hub(SocketAddr),
 }
 
 /// Why a node is skipped for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PassedOver {
-    Silent,
+pub enum SkipReason {
+    Unresponsive,
     /// It answers, but has not received anything new itself.
     Stale,
 }
 
 /// The hub candidates of this node's domain, and the nodes that are skipped.
 #[derive(Debug, Clone, Default)]
-pub struct Heads {
+pub struct Hubs {
     candidates: Vec<Member>,
-    passed_over: IndexMap<SocketAddr, (PassedOver, Millis)>,
+    passed_over: IndexMap<SocketAddr, (SkipReason, Millis)>,
 }
 
-impl Heads {
-    pub fn know(&mut self, candidates: Vec<Member>) {
+impl Hubs {
+    pub fn set_candidates(&mut self, candidates: Vec<Member>) {
         self.candidates = candidates;
     }
 
@@ -97,11 +98,11 @@
     }
 
     /// Skips a candidate or the leader for a while.
-    pub fn pass_over(&mut self, addr: SocketAddr, why: PassedOver, now: Millis) {
+    pub fn skip(&mut self, addr: SocketAddr, why: SkipReason, now: Millis) {
         self.passed_over.retain(|_, (_, until)| now < *until);
         let time = match why {
-            PassedOver::Silent => SILENT_FOR,
-            PassedOver::Stale => STALE_FOR,
+            SkipReason::Unresponsive => SILENT_FOR,
+            SkipReason::Stale => STALE_FOR,
         };
         self.passed_over.insert(addr, (why, now + time));
     }
@@ -119,18 +120,18 @@
         };
         let first = others().find(|addr| *addr == me || state(addr).is_none());
         let holder_knows = holder.is_some_and(|holder| state(&holder).is_none());
-        let answers = || others().find(|addr| state(addr) == Some(PassedOver::Stale));
+        let answers = || others().find(|addr| state(addr) == Some(SkipReason::Stale));
         let asked = first.or_else(|| if holder_knows { None } else { answers() });
         match asked {
-            Some(addr) if addr != me => Parent::Head(addr),
-            _ => Parent::Holder,
+            Some(addr) if addr != me => Parent::Hub(addr),
+            _ => Parent::Leader,
         }
     }
 }
 
 /// Factor by which a node extends its poll interval if its parent has this many children, with this
 /// many nodes in total.
-pub fn crowd(children: u32, nodes: u32) -> u32 {
+pub fn poll_interval_factor(children: u32, nodes: u32) -> u32 {
     let of_all = nodes.div_ceil(FEW_CHILDREN).min(CROWD_OF_MANY);
     children.div_ceil(FEW_CHILDREN).max(of_all).clamp(1, MOST_CROWD)
 }
--- a/crates/direct/src/reach.rs
+++ b/crates/direct/src/isolation.rs
@@ -15,12 +15,12 @@
 /// reports that it is not ready, so that callers go to other nodes.
 ///
 /// The store alone is not enough: during a store outage all nodes would report not ready.
-pub fn is_cut_off(store_silent_for: Millis, engines: &Engines, domain: &str, now: Millis) -> bool {
-    let others = engines.iter().filter(|e| e.takes_work() && e.listed.domain != domain);
+pub fn is_isolated(store_silent_for: Millis, engines: &Engines, domain: &str, now: Millis) -> bool {
+    let others = engines.iter().filter(|e| e.accepts_requests() && e.info.domain != domain);
     let (mut all, mut silent) = (0, 0);
     for engine in others {
         all += 1;
-        silent += usize::from(engine.judge.is_silent(now));
+        silent += usize::from(engine.health.is_unreachable(now));
     }
     store_silent_for > STORE_SILENT && all >= FEWEST && silent as f64 >= OUT_OF_REACH * all as f64
 }
--- a/crates/direct/src/silence.rs
+++ b/crates/direct/src/leader_liveness.rs
@@ -7,17 +7,17 @@
 /// A node that does not read the lease log itself counts from the last renewal that the leader
 /// reported, so that the lease of a failed leader does not expire late.
 #[derive(Debug, Clone, Default)]
-pub struct Silence {
+pub struct LeaderLiveness {
     /// End of the log after the leader's last renewal, and when that was sent.
     renewed: Option<(Cursor, Millis)>,
     /// Whether the leader does not respond.
     silent: bool,
 }
 
-impl Silence {
+impl LeaderLiveness {
     /// The leader responds and reports its last renewal.
-    pub fn answers(&mut self, renewed: Option<(Cursor, Millis)>) {
-        *self = Silence { renewed, silent: false };
+    pub fn record_response(&mut self, renewed: Option<(Cursor, Millis)>) {
+        *self = LeaderLiveness { renewed, silent: false };
     }
 
     /// End of the log after the last renewal, and how many milliseconds ago that was sent.
@@ -26,7 +26,7 @@
     }
 
     /// The leader does not respond.
-    pub fn is_silent(&mut self) {
+    pub fn mark_unresponsive(&mut self) {
         self.silent = true;
     }
 
@@ -34,7 +34,7 @@
     ///
     /// Only a leader that does not respond counts as silent: during a store outage it responds but
     /// cannot renew, and must keep its lease.
-    pub fn since(&self, end: Cursor, now: Millis) -> Millis {
+    pub fn unrenewed_since(&self, end: Cursor, now: Millis) -> Millis {
         let told = self.renewed.filter(|(at, _)| self.silent && *at == end);
         told.map_or(now, |(_, sent)| sent.min(now))
     }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -3,50 +3,57 @@
 //! Nothing here does I/O or reads a clock: the time is passed in, so that every decision can be
 //! tested.
 
-mod budget;
+pub mod aggregation;
 mod catalog;
-mod choose;
+mod choice;
 mod cursor;
 mod customer;
 mod deadline;
 mod demand;
 mod engine;
 mod engines;
-pub mod flights;
-pub mod heads;
-mod judge;
-mod listing;
-pub mod place;
+mod freshness;
+mod health;
+pub mod hubs;
+pub mod in_flight;
+mod isolation;
+mod leader_liveness;
+mod list_changes;
+pub mod placement;
+mod prefill;
 mod prompt;
-mod proof;
 pub mod quota;
-mod reach;
-mod refuse;
-mod silence;
-pub mod sums;
-mod unread;
+mod refusal;
+mod retry_budget;
 
-pub use budget::{Budget, BudgetLimits};
 pub use catalog::{
-    CallerLimits, Catalog, Kind, Model, Pool, Route, RouteMatch, Service, ServiceId, Target,
+    CallerLimits, Catalog, Model, ModelPool, Route, RouteKind, RouteMatch, Service, ServiceId,
+    Target,
 };
-pub use choose::{Ask, Choice, NoEngine, Policy, choose};
+pub use choice::{Choice, ChoiceParams, CostWeights, NoEngine, choose_engine};
 pub use cursor::{BadEra, Cursor, Era, KnownEra};
-pub use customer::{Customer, CustomerId, Customers, Key, Quota, QuotaBounds, Sender, Shown, Unit};
-pub use deadline::{Deadline, LEAST_TO_SEND};
-pub use demand::{Demand, Past, Rates};
-pub use engine::{AtHand, Engine, EngineId, Held, Listed, Load, Standing, Start};
+pub use customer::{
+    ApiKey, CallerIdentity, Credentials, Customer, CustomerId, Customers, Quota, QuotaBounds,
+    QuotaUnit,
+};
+pub use deadline::{Deadline, MIN_TIME_TO_SEND};
+pub use demand::{Demand, DemandSnapshot, Rates};
+pub use engine::{
+    CachedWeights, Engine, EngineId, EngineInfo, EngineState, Load, LoadedModel, StartTime,
+};
 pub use engines::Engines;
-pub use judge::{Judge, Opinion, Verdict};
-pub use listing::{
-    ListNews, ListPlace, Listing, Part as ListPart, Passed, StandingChange, is_long, reads_on,
+pub use freshness::{FreshnessProof, VersionCheck};
+pub use health::{AttemptOutcome, Health, HealthTracker};
+pub use isolation::is_isolated;
+pub use leader_liveness::LeaderLiveness;
+pub use list_changes::{
+    EngineRecord, EngineStateChange, ListChanges, ListUpdate, ListUpdateKind, ListVersion,
+    is_large_list, polls_store,
 };
-pub use prompt::{EmptyModel, Part, Prompt, Wanted};
-pub use proof::{Proof, Seen};
-pub use reach::is_cut_off;
-pub use refuse::{RETRY_LEAST, Refusal, come_back};
-pub use silence::Silence;
-pub use unread::{ReadingPace, SendId, Unread, tells_sends};
+pub use prefill::{PrefillBacklog, PrefillRate, SendId, broadcasts_sends};
+pub use prompt::{EmptyModelName, ModelRef, Prompt, PromptPart};
+pub use refusal::{MIN_RETRY_AFTER, Refusal, retry_after};
+pub use retry_budget::{RetryBudget, RetryBudgetLimits};
 
 /// Milliseconds since the start of the process.
 pub type Millis = u64;
--- a/crates/direct/src/listing.rs
+++ b/crates/direct/src/list_changes.rs
@@ -6,29 +6,29 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{Cursor, Engine, EngineId, Engines, Held, Standing, Start};
+use crate::{Cursor, Engine, EngineId, EngineState, Engines, LoadedModel, StartTime};
 
 /// Version of a list of engines: the position in the store's log up to which it was read, and the
 /// number of changes that were learned at that position without reading on.
 ///
 /// A list that was read further is newer, whatever was learned at earlier positions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ListPlace(Cursor, u32);
+pub struct ListVersion(Cursor, u32);
 
-impl ListPlace {
+impl ListVersion {
     /// The version of a list that was read up to here.
-    pub fn read(cursor: Cursor) -> ListPlace {
-        ListPlace(cursor, 0)
+    pub fn at_position(cursor: Cursor) -> ListVersion {
+        ListVersion(cursor, 0)
     }
 
     /// How far the log was read.
-    pub fn cursor(self) -> Cursor {
+    pub fn position(self) -> Cursor {
         self.0
     }
 
     /// The next version, for a change that was learned without reading on.
-    fn found(self) -> ListPlace {
-        ListPlace(self.0, self.1.saturating_add(1))
+    fn found(self) -> ListVersion {
+        ListVersion(self.0, self.1.saturating_add(1))
     }
 }
 
@@ -45,22 +45,24 @@
 ///
 /// Prevents many nodes from overloading the store with reads of a long list, which would also delay
 /// the next leader.
-pub fn reads_on(engines: &Engines, crowd: u32, draw: u32) -> bool {
-    !is_long(engines) || draw.is_multiple_of(crowd.max(1))
+pub fn polls_store(engines: &Engines, crowd: u32, draw: u32) -> bool {
+    !is_large_list(engines) || draw.is_multiple_of(crowd.max(1))
 }
 
 /// Whether the list is too long to be sent to each node in full.
-pub fn is_long(engines: &Engines) -> bool {
+pub fn is_large_list(engines: &Engines) -> bool {
     engines.iter().count() > MOST_WHOLE
 }
 
 /// Wire form of an engine's list entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct EngineRecord {
     pub engine: EngineId,
     /// Position of the entry in the store's log.
-    pub at: Cursor,
-    pub start: Start,
+    #[serde(rename = "at")]
+    pub position: Cursor,
+    #[serde(rename = "start")]
+    pub started_at: StartTime,
     pub service: String,
     pub addr: SocketAddr,
     pub domain: String,
@@ -68,32 +70,40 @@
     pub leaving: bool,
     pub unreadable: bool,
     /// Whether it is still warming up after its start.
-    pub cold: bool,
-    pub held: Vec<Held>,
+    #[serde(rename = "cold")]
+    pub warming_up: bool,
+    #[serde(rename = "held")]
+    pub loaded: Vec<LoadedModel>,
 }
 
 /// An update of the list of engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListNews {
+pub struct ListUpdate {
     /// Version of the list with this update.
-    pub place: ListPlace,
+    #[serde(rename = "place")]
+    pub version: ListVersion,
     /// Position at which the backup ends that the store was restored from, as far as the sender
     /// knows.
-    pub copy_end: Cursor,
-    pub part: Part,
-    pub engines: Vec<Passed>,
+    #[serde(rename = "copy_end")]
+    pub backup_end: Cursor,
+    #[serde(rename = "part")]
+    pub kind: ListUpdateKind,
+    pub engines: Vec<EngineRecord>,
     /// Removed engines, with the position of the removal.
-    pub gone: Vec<(EngineId, Cursor)>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<(EngineId, Cursor)>,
 }
 
 /// What an update contains.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Part {
+pub enum ListUpdateKind {
     #[default]
     Changes,
-    Whole,
+    #[serde(rename = "Whole")]
+    Full,
     /// Nothing: the receiver is too far behind and has to read the list from the store.
-    ReadAnew,
+    #[serde(rename = "ReadAnew")]
+    RereadStore,
     /// Nothing: the sender has no list yet.
     Unknown,
 }
@@ -103,22 +113,22 @@
 /// Versions are positions in the store's log, so that a node can get changes from any other node
 /// that has read further.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct ListChanges {
     /// Version from which on all changes are known.
-    begun: Option<ListPlace>,
+    begun: Option<ListVersion>,
     /// Version of the list.
-    at: ListPlace,
+    at: ListVersion,
     /// Version of the latest change.
-    changed_at: ListPlace,
+    changed_at: ListVersion,
     /// Version of the latest change by engine.
-    known: IndexMap<EngineId, (ListPlace, Signature)>,
-    gone: Vec<(ListPlace, EngineId)>,
+    known: IndexMap<EngineId, (ListVersion, Signature)>,
+    gone: Vec<(ListVersion, EngineId)>,
 }
 
 /// The parts of an entry whose changes are distributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Signature {
-    start: Start,
+    start: StartTime,
     leaves: bool,
     unreadable: bool,
     cold: bool,
@@ -135,49 +145,49 @@
 }
 
 fn signature(engines: &Engines, engine: &Engine) -> Signature {
-    let listed = &engine.listed;
+    let listed = &engine.info;
     Signature {
-        start: listed.start,
-        leaves: matches!(listed.standing, Standing::Leaving { .. }),
-        unreadable: listed.standing == Standing::Unreadable,
-        cold: listed.cold_ms > 0,
+        start: listed.started_at,
+        leaves: matches!(listed.state, EngineState::Leaving { .. }),
+        unreadable: listed.state == EngineState::Unreadable,
+        cold: listed.warmup_ms_left > 0,
         slots: listed.slots,
         addr: listed.addr,
-        copied: engines.is_copied(listed.at),
+        copied: engines.is_from_backup(listed.position),
     }
 }
 
 /// A change of an engine's state, for logs.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-#[display("{}", standing.map_or("gone".to_owned(), |standing| standing.to_string()))]
-pub struct StandingChange {
+#[display("{}", state.map_or("gone".to_owned(), |state| state.to_string()))]
+pub struct EngineStateChange {
     pub engine: EngineId,
     /// `None` if the engine was removed.
-    pub standing: Option<Standing>,
+    pub state: Option<EngineState>,
 }
 
-impl Listing {
+impl ListChanges {
     /// Compares the list, read up to `cursor`, with the known one. Returns the changes of state;
     /// none for the first list.
-    pub fn look(&mut self, engines: &Engines, cursor: Cursor) -> Vec<StandingChange> {
+    pub fn update(&mut self, engines: &Engines, cursor: Cursor) -> Vec<EngineStateChange> {
         let is_first = self.begun.is_none();
         let mut changed = Vec::new();
         let mut changes = Vec::new();
         for engine in engines.iter() {
-            let (id, now) = (&engine.listed.id, signature(engines, engine));
+            let (id, now) = (&engine.info.id, signature(engines, engine));
             let then = self.known.get(id).map(|(_, then)| *then);
             if then != Some(now) {
                 changed.push((id.clone(), now));
             }
             if !is_first && then.is_none_or(|then| !then.stands_as(&now)) {
-                let standing = Some(engine.listed.standing);
-                changes.push(StandingChange { engine: id.clone(), standing });
+                let standing = Some(engine.info.state);
+                changes.push(EngineStateChange { engine: id.clone(), state: standing });
             }
         }
         let lost: Vec<EngineId> =
             self.known.keys().filter(|id| engines.get(id).is_none()).cloned().collect();
         let news = !changed.is_empty() || !lost.is_empty();
-        let read = ListPlace::read(cursor);
+        let read = ListVersion::at_position(cursor);
         if read > self.at || self.begun.is_none() {
             self.at = read;
         } else if news {
@@ -193,7 +203,7 @@
             self.known.insert(id, (self.at, signature));
         }
         for id in lost {
-            changes.push(StandingChange { engine: id.clone(), standing: None });
+            changes.push(EngineStateChange { engine: id.clone(), state: None });
             self.known.shift_remove(&id);
             self.gone.push((self.at, id));
         }
@@ -204,51 +214,63 @@
         changes
     }
 
-    pub fn changed_at(&self) -> ListPlace {
+    pub fn changed_at(&self) -> ListVersion {
         self.changed_at
     }
 
     /// Whether a node with this version needs no update.
-    pub fn has_nothing_since(&self, since: Option<ListPlace>) -> bool {
+    pub fn is_up_to_date(&self, since: Option<ListVersion>) -> bool {
         let is_known = |since| self.begun.is_some_and(|begun| since >= begun);
         self.begun.is_none()
             || since.is_none_or(|since| is_known(since) && self.changed_at <= since)
     }
 
     /// The update for a node with this version; empty for a node without a list.
-    pub fn since(&self, engines: &Engines, since: Option<ListPlace>) -> ListNews {
+    pub fn changes_since(&self, engines: &Engines, since: Option<ListVersion>) -> ListUpdate {
         if self.begun.is_none() {
-            return ListNews { part: Part::Unknown, ..ListNews::default() };
+            return ListUpdate { kind: ListUpdateKind::Unknown, ..ListUpdate::default() };
         }
-        let Some(since) = since else { return ListNews { place: self.at, ..ListNews::default() } };
+        let Some(since) = since else {
+            return ListUpdate { version: self.at, ..ListUpdate::default() };
+        };
         let is_known = self.begun.is_some_and(|begun| since >= begun);
         let part = match is_known {
-            true => Part::Changes,
-            false if self.known.len() <= MOST_WHOLE => Part::Whole,
-            false => return ListNews { part: Part::ReadAnew, ..ListNews::default() },
+            true => ListUpdateKind::Changes,
+            false if self.known.len() <= MOST_WHOLE => ListUpdateKind::Full,
+            false => {
+                return ListUpdate { kind: ListUpdateKind::RereadStore, ..ListUpdate::default() };
+            }
         };
-        let newer = self.known.iter().filter(|(_, (at, _))| part == Part::Whole || *at > since);
+        let newer =
+            self.known.iter().filter(|(_, (at, _))| part == ListUpdateKind::Full || *at > since);
         let told = newer.filter_map(|(id, _)| engines.get(id).map(passed)).collect();
         let gone = self.gone.iter().filter(|(at, _)| *at > since);
-        let gone = gone.map(|(at, id)| (id.clone(), engines.gone_at(id).unwrap_or(at.cursor())));
-        let (gone, copy_end) = (gone.collect(), engines.copy_end());
-        ListNews { place: self.at, copy_end, part, engines: told, gone }
+        let gone =
+            gone.map(|(at, id)| (id.clone(), engines.removed_at(id).unwrap_or(at.position())));
+        let (gone, copy_end) = (gone.collect(), engines.backup_end());
+        ListUpdate {
+            version: self.at,
+            backup_end: copy_end,
+            kind: part,
+            engines: told,
+            removed: gone,
+        }
     }
 }
 
-fn passed(engine: &Engine) -> Passed {
-    let listed = &engine.listed;
-    Passed {
+fn passed(engine: &Engine) -> EngineRecord {
+    let listed = &engine.info;
+    EngineRecord {
         engine: listed.id.clone(),
-        at: listed.at,
-        start: listed.start,
+        position: listed.position,
+        started_at: listed.started_at,
         service: listed.service.0.clone(),
         addr: listed.addr,
         domain: listed.domain.clone(),
         slots: listed.slots,
-        leaving: matches!(listed.standing, Standing::Leaving { .. }),
-        unreadable: listed.standing == Standing::Unreadable,
-        cold: listed.cold_ms > 0,
-        held: listed.held.clone(),
+        leaving: matches!(listed.state, EngineState::Leaving { .. }),
+        unreadable: listed.state == EngineState::Unreadable,
+        warming_up: listed.warmup_ms_left > 0,
+        loaded: listed.loaded.clone(),
     }
 }
--- a/crates/direct/src/place/adapters.rs
+++ b/crates/direct/src/placement/adapters.rs
@@ -1,18 +1,15 @@
 //! Chooses where adapters are loaded.
 
-use crate::place::free_places;
-use crate::{Demand, Engine, EngineId, Millis, Pool, Wanted};
+use crate::placement::free_adapter_slots;
+use crate::{Demand, Engine, EngineId, Millis, ModelPool, ModelRef};
 
 /// How a requested adapter gets loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AdapterStep {
+pub enum AdapterAction {
     /// Load it at this engine, after evicting another adapter if one is given.
-    Load {
-        engine: EngineId,
-        instead_of: Option<Wanted>,
-    },
+    Load { engine: EngineId, evict: Option<ModelRef> },
     /// No engine with the model can take an order now.
-    Nowhere,
+    NotPossible,
 }
 
 /// Cost of an engine outside the caller's failure domain, relative to a fully loaded engine.
@@ -31,47 +28,47 @@
 /// Otherwise the adapter whose eviction costs least is evicted.
 pub fn place_adapter(
     engines: &[&Engine],
-    pool: &Pool,
+    pool: &ModelPool,
     demand: &Demand,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     domain: &str,
     now: Millis,
-) -> AdapterStep {
-    let mut best: Option<(f64, AdapterStep)> = None;
+) -> AdapterAction {
+    let mut best: Option<(f64, AdapterAction)> = None;
     for engine in engines {
-        if !engine.holds_model(&wanted.model) || engine.judge.is_left_alone(now) {
+        if !engine.has_model(&wanted.model) || engine.health.is_ejected(now) {
             continue;
         }
         let Some((instead_of, loss)) = place(engine, engines, pool, demand, now) else { continue };
-        let load = engine.estimate(now) / f64::from(engine.listed.slots.max(1));
-        let far = if engine.listed.domain == domain { 0.0 } else { OTHER_DOMAIN };
-        let cost = loss + load + far + engine.judge.failing(now) * 3.0;
+        let load = engine.estimate(now) / f64::from(engine.info.slots.max(1));
+        let far = if engine.info.domain == domain { 0.0 } else { OTHER_DOMAIN };
+        let cost = loss + load + far + engine.health.failure_rate(now) * 3.0;
         if best.as_ref().is_none_or(|(c, _)| cost < *c) {
-            let engine = engine.listed.id.clone();
-            best = Some((cost, AdapterStep::Load { engine, instead_of }));
+            let engine = engine.info.id.clone();
+            best = Some((cost, AdapterAction::Load { engine, evict: instead_of }));
         }
     }
-    best.map_or(AdapterStep::Nowhere, |(_, step)| step)
+    best.map_or(AdapterAction::NotPossible, |(_, step)| step)
 }
 
 /// The adapter to evict at this engine, if no slot is free, and the cost.
 fn place(
     engine: &Engine,
     engines: &[&Engine],
-    pool: &Pool,
+    pool: &ModelPool,
     demand: &Demand,
     now: Millis,
-) -> Option<(Option<Wanted>, f64)> {
-    if free_places(engine, pool) > 0 {
+) -> Option<(Option<ModelRef>, f64)> {
+    if free_adapter_slots(engine, pool) > 0 {
         return Some((None, 0.0));
     }
-    let all = engine.listed.held.iter().flat_map(|h| {
-        h.adapters.iter().map(|a| Wanted { model: h.model.clone(), adapter: Some(a.clone()) })
+    let all = engine.info.loaded.iter().flat_map(|h| {
+        h.adapters.iter().map(|a| ModelRef { model: h.model.clone(), adapter: Some(a.clone()) })
     });
-    let cost = |w: &Wanted| {
-        let elsewhere = engines.iter().filter(|e| e.holds(w)).count() > 1;
+    let cost = |w: &ModelRef| {
+        let elsewhere = engines.iter().filter(|e| e.has_loaded(w)).count() > 1;
         let rate = demand.rate(now, w);
-        let in_use = demand.last(w).is_some_and(|at| now.saturating_sub(at) < IN_USE);
+        let in_use = demand.last_requested(w).is_some_and(|at| now.saturating_sub(at) < IN_USE);
         let waits = if in_use { WAITS } else { 0.0 };
         waits + if elsewhere { rate * ELSEWHERE_SHARE } else { rate }
     };
@@ -80,11 +77,11 @@
 }
 
 /// The most requested adapter that no engine has loaded and whose model is loaded.
-pub fn spread_adapters(engines: &[&Engine], demand: &Demand, now: Millis) -> Option<Wanted> {
+pub fn next_missing_adapter(engines: &[&Engine], demand: &Demand, now: Millis) -> Option<ModelRef> {
     let rates = demand.rates(now);
     let missing = rates.adapters.iter().filter(|(w, _)| {
-        let model_held = engines.iter().any(|e| e.holds_model(&w.model));
-        model_held && !engines.iter().any(|e| e.holds(w))
+        let model_held = engines.iter().any(|e| e.has_model(&w.model));
+        model_held && !engines.iter().any(|e| e.has_loaded(w))
     });
     missing.max_by(|a, b| a.1.total_cmp(b.1)).map(|(w, _)| w.clone())
 }
--- a/crates/direct/src/place/even.rs
+++ b/crates/direct/src/placement/balance.rs
@@ -1,9 +1,9 @@
 //! Moves model copies so that the load of the engines is balanced.
 
-use super::models::{Bounds, Candidates, LEAST_NEED, ModelStep};
-use super::room::free_mb;
+use super::capacity::free_mb;
+use super::models::{Bounds, Candidates, LEAST_NEED, ModelLoad};
 use super::targets::{IN_DEMAND, copy_rate};
-use crate::{Engine, Held};
+use crate::{Engine, LoadedModel};
 
 /// Minimum load difference, as a part of the mean load, that justifies the time of another load.
 const UNEVEN: f64 = 0.4;
@@ -16,7 +16,7 @@
     /// makes room for it there.
     ///
     /// Prevents engines from being idle because they hold models that are no longer requested.
-    pub(super) fn evening_out(&self) -> Option<ModelStep> {
+    pub(super) fn evening_out(&self) -> Option<ModelLoad> {
         let uneven = UNEVEN * self.spread.mean();
         let levels = self.levels();
         let copy = |(model, level): &(&str, f64)| {
@@ -47,11 +47,11 @@
 
     /// Loads a last copy elsewhere if it is in the way of `model` at an engine with at most this
     /// load. Once there are two copies, the one here can be evicted.
-    fn move_away(&self, model: &str, most: f64) -> Option<ModelStep> {
+    fn move_away(&self, model: &str, most: f64) -> Option<ModelLoad> {
         let needs = self.pool.models.get(model)?.weights_mb;
         let idle = self.engines.iter().enumerate().filter(|(at, engine)| {
-            let taken = self.pending.contains_key(&engine.listed.id);
-            self.spread.load(*at) <= most && !taken && !engine.holds_model(model)
+            let taken = self.pending.contains_key(&engine.info.id);
+            self.spread.load(*at) <= most && !taken && !engine.has_model(model)
         });
         let mut idle: Vec<(usize, &&Engine)> = idle.collect();
         idle.sort_by(|a, b| self.spread.load(a.0).total_cmp(&self.spread.load(b.0)));
@@ -61,8 +61,9 @@
             loss: UNEVEN * self.spread.mean(),
         };
         idle.into_iter().find_map(|(_, engine)| {
-            let weights = |h: &Held| self.pool.models.get(&h.model).map_or(0.0, |m| m.weights_mb);
-            let held = engine.listed.held.iter();
+            let weights =
+                |h: &LoadedModel| self.pool.models.get(&h.model).map_or(0.0, |m| m.weights_mb);
+            let held = engine.info.loaded.iter();
             let spare: f64 = held.clone().filter(|h| self.is_spare(&h.model)).map(weights).sum();
             let lacks = needs - spare - free_mb(engine, self.pool, self.reserved);
             let in_the_way = held.filter(|h| {
--- /dev/null
+++ b/crates/direct/src/placement/mod.rs
@@ -0,0 +1,16 @@
+//! Decides which engine loads which model and adapter. Only the leader does this.
+
+mod adapters;
+mod balance;
+mod capacity;
+mod load_rate;
+mod models;
+mod spread;
+mod targets;
+
+pub use adapters::{AdapterAction, next_missing_adapter, place_adapter};
+pub use capacity::free_adapter_slots;
+pub use load_rate::{LoadRateLimiter, LoadRateLimits};
+pub use models::{
+    AllowedActions, ModelLoad, PendingLoads, WeightSource, count_evicting, next_model_load,
+};
--- a/crates/direct/src/place/models.rs
+++ b/crates/direct/src/placement/models.rs
@@ -5,38 +5,38 @@
 use derive_more::Display;
 use indexmap::IndexMap;
 
-use super::room::{free_mb, reserved_mb};
+use super::capacity::{free_mb, reserved_mb};
 use super::spread::Spread;
 use super::targets::{IN_DEMAND, need, targets};
-use crate::{Engine, EngineId, Engines, Millis, Model, Pool, Rates, Wanted};
+use crate::{Engine, EngineId, Engines, Millis, Model, ModelPool, ModelRef, Rates};
 
 /// Models that engines are being ordered to load.
-pub type Pending = IndexMap<EngineId, String>;
+pub type PendingLoads = IndexMap<EngineId, String>;
 
 /// A model to load at one more engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ModelStep {
+pub struct ModelLoad {
     pub engine: EngineId,
     /// Models to evict first, in this order.
-    pub drop: Vec<String>,
-    pub load: String,
-    pub source: Source,
+    pub evict: Vec<String>,
+    pub model: String,
+    pub source: WeightSource,
 }
 
-impl ModelStep {
+impl ModelLoad {
     /// Removes the evicted models from the engine's entry, so that the next plan does not evict the
     /// last copy.
-    pub fn make_way(&self, engines: &mut Engines) {
+    pub fn apply_evictions(&self, engines: &mut Engines) {
         let Some(engine) = engines.get_mut(&self.engine) else { return };
-        for model in &self.drop {
-            engine.drop_held(&Wanted { model: model.clone(), adapter: None });
+        for model in &self.evict {
+            engine.remove_loaded(&ModelRef { model: model.clone(), adapter: None });
         }
     }
 }
 
 /// Where weights are loaded from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
-pub enum Source {
+pub enum WeightSource {
     /// Memory of the engine's VM.
     #[display("memory")]
     Memory,
@@ -48,35 +48,35 @@
     Store,
 }
 
-impl Source {
+impl WeightSource {
     /// Fastest source for an engine to load a model from.
-    pub fn of(engine: &Engine, model: &str) -> Source {
+    pub fn fastest(engine: &Engine, model: &str) -> WeightSource {
         let has = |all: &[String]| all.iter().any(|m| m == model);
-        if has(&engine.listed.at_hand.in_memory) {
-            Source::Memory
-        } else if has(&engine.listed.at_hand.on_disk) {
-            Source::Disk
+        if has(&engine.info.cached.in_memory) {
+            WeightSource::Memory
+        } else if has(&engine.info.cached.on_disk) {
+            WeightSource::Disk
         } else {
-            Source::Store
+            WeightSource::Store
         }
     }
 
-    pub fn time(self, model: &Model) -> Duration {
+    pub fn load_time(self, model: &Model) -> Duration {
         match self {
-            Source::Memory => model.from_memory,
-            Source::Disk => model.from_disk,
-            Source::Store => model.load,
+            WeightSource::Memory => model.memory_load_time,
+            WeightSource::Disk => model.disk_load_time,
+            WeightSource::Store => model.store_load_time,
         }
     }
 }
 
 /// What a plan may do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Allowed {
+pub struct AllowedActions {
     /// Whether to load from the weight store.
-    pub store: bool,
+    pub load_from_store: bool,
     /// Whether to evict models. A new leader has to observe demand first.
-    pub drop: bool,
+    pub evict: bool,
 }
 
 /// Factor on demand by which a copy must be spare to be evicted; prevents an engine from loading
@@ -101,19 +101,19 @@
 
 /// Number of engines that evict models for a load that has not started. Counted by engine, as one
 /// that has disappeared may be in only one of the two lists.
-pub fn making_room(pending: &Pending, loading: &IndexMap<EngineId, Millis>) -> usize {
+pub fn count_evicting(pending: &PendingLoads, loading: &IndexMap<EngineId, Millis>) -> usize {
     pending.keys().filter(|engine| !loading.contains_key(*engine)).count()
 }
 
 /// The most useful load, if any. Engines in `pending` take no order now.
-pub fn next_model_step(
+pub fn next_model_load(
     engines: &[&Engine],
-    pool: &Pool,
+    pool: &ModelPool,
     rates: &Rates,
-    pending: &Pending,
-    allowed: Allowed,
+    pending: &PendingLoads,
+    allowed: AllowedActions,
     now: Millis,
-) -> Option<ModelStep> {
+) -> Option<ModelLoad> {
     let kept = targets(engines, pool, rates, SPARE);
     let targets = targets(engines, pool, rates, 1.0);
     let held = held(engines);
@@ -161,7 +161,7 @@
 /// Number of engines that have each model, counted once per plan to keep plans fast.
 fn held<'a>(engines: &[&'a Engine]) -> IndexMap<&'a str, usize> {
     let mut held = IndexMap::new();
-    for model in engines.iter().flat_map(|e| &e.listed.held) {
+    for model in engines.iter().flat_map(|e| &e.info.loaded) {
         *held.entry(model.model.as_str()).or_default() += 1;
     }
     held
@@ -182,9 +182,9 @@
 /// Input of a plan.
 pub(super) struct Candidates<'a> {
     pub(super) engines: &'a [&'a Engine],
-    pub(super) pool: &'a Pool,
+    pub(super) pool: &'a ModelPool,
     pub(super) rates: &'a Rates,
-    pub(super) pending: &'a Pending,
+    pub(super) pending: &'a PendingLoads,
     pub(super) spread: &'a Spread<'a>,
     /// Number of copies that each model keeps.
     pub(super) kept: &'a IndexMap<String, usize>,
@@ -192,38 +192,38 @@
     pub(super) held: &'a IndexMap<&'a str, usize>,
     /// Memory per engine that is reserved for adapters, in megabytes.
     pub(super) reserved: f64,
-    pub(super) allowed: Allowed,
+    pub(super) allowed: AllowedActions,
     pub(super) now: Millis,
 }
 
 impl Candidates<'_> {
     /// The best engine for one more copy of a model, with the models to evict there.
-    pub(super) fn step(&self, model: &str, need: f64, bounds: &Bounds) -> Option<ModelStep> {
+    pub(super) fn step(&self, model: &str, need: f64, bounds: &Bounds) -> Option<ModelLoad> {
         let configured = self.pool.models.get(model)?;
         let needs = configured.weights_mb;
-        let mut best: Option<(f64, &Engine, Vec<String>, Source)> = None;
+        let mut best: Option<(f64, &Engine, Vec<String>, WeightSource)> = None;
         for (at, engine) in self.engines.iter().enumerate() {
-            let id = &engine.listed.id;
+            let id = &engine.info.id;
             let load = self.spread.load(at);
             if load < bounds.least || load > bounds.most {
                 continue;
             }
-            if self.pending.contains_key(id) || engine.holds_model(model) {
+            if self.pending.contains_key(id) || engine.has_model(model) {
                 continue;
             }
-            if engine.judge.is_left_alone(self.now) {
+            if engine.health.is_ejected(self.now) {
                 continue;
             }
-            let source = Source::of(engine, model);
-            if source == Source::Store && !self.allowed.store {
+            let source = WeightSource::fastest(engine, model);
+            if source == WeightSource::Store && !self.allowed.load_from_store {
                 continue;
             }
             let Some((victims, loss)) = self.victims(engine, needs) else { continue };
-            if loss > bounds.loss || (!victims.is_empty() && !self.allowed.drop) {
+            if loss > bounds.loss || (!victims.is_empty() && !self.allowed.evict) {
                 continue;
             }
             // Requests that arrive until the load is complete are not served.
-            let time = self.runs_out(&victims) + source.time(configured);
+            let time = self.runs_out(&victims) + source.load_time(configured);
             let waits = need.max(LEAST_NEED) * time.as_secs_f64();
             let cost = loss + self.burden(model, load) + waits;
             if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
@@ -231,14 +231,14 @@
             }
         }
         let (_, engine, victims, source) = best?;
-        let (engine, load) = (engine.listed.id.clone(), model.to_owned());
-        Some(ModelStep { engine, drop: victims, load, source })
+        let (engine, load) = (engine.info.id.clone(), model.to_owned());
+        Some(ModelLoad { engine, evict: victims, model: load, source })
     }
 
     /// Time until the load is complete.
-    fn time(&self, step: &ModelStep) -> Duration {
-        let load = self.pool.models.get(&step.load).map(|model| step.source.time(model));
-        self.runs_out(&step.drop) + load.unwrap_or_default()
+    fn time(&self, step: &ModelLoad) -> Duration {
+        let load = self.pool.models.get(&step.model).map(|model| step.source.load_time(model));
+        self.runs_out(&step.evict) + load.unwrap_or_default()
     }
 
     /// Cost of an engine with this load. A rarely requested model goes to a busy engine, to leave
@@ -251,8 +251,8 @@
     fn victims(&self, engine: &Engine, needs: f64) -> Option<(Vec<String>, f64)> {
         let mut free_mb = free_mb(engine, self.pool, self.reserved);
         let mut droppable: Vec<(&str, f64)> = engine
-            .listed
-            .held
+            .info
+            .loaded
             .iter()
             .filter(|h| self.is_spare(&h.model))
             .map(|h| (h.model.as_str(), self.rate(&h.model)))
--- a/crates/direct/src/place/spread.rs
+++ b/crates/direct/src/placement/spread.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use super::models::Pending;
+use super::models::PendingLoads;
 use crate::{Engine, Rates};
 
 /// Number of parts in which the demand for a model is distributed over its copies.
@@ -24,13 +24,17 @@
 }
 
 impl<'a> Spread<'a> {
-    pub(super) fn of(engines: &[&'a Engine], pending: &'a Pending, rates: &Rates) -> Spread<'a> {
+    pub(super) fn of(
+        engines: &[&'a Engine],
+        pending: &'a PendingLoads,
+        rates: &Rates,
+    ) -> Spread<'a> {
         let mut holders: IndexMap<&str, Vec<usize>> = IndexMap::new();
         for (at, engine) in engines.iter().enumerate() {
-            for held in &engine.listed.held {
+            for held in &engine.info.loaded {
                 holders.entry(&held.model).or_default().push(at);
             }
-            let coming = pending.get(&engine.listed.id).filter(|m| !engine.holds_model(m));
+            let coming = pending.get(&engine.info.id).filter(|m| !engine.has_model(m));
             if let Some(model) = coming {
                 holders.entry(model).or_default().push(at);
             }
--- a/crates/direct/src/place/targets.rs
+++ b/crates/direct/src/placement/targets.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::{Engine, Pool, Rates};
+use crate::{Engine, ModelPool, Rates};
 
 /// Requests per second that one copy serves, per slot of its engine. With more, the gaps between
 /// the events of streams exceed their target.
@@ -30,7 +30,7 @@
 /// Number of copies that each model should have, by its share of the demand.
 pub(super) fn targets(
     engines: &[&Engine],
-    pool: &Pool,
+    pool: &ModelPool,
     rates: &Rates,
     margin: f64,
 ) -> IndexMap<String, usize> {
@@ -60,7 +60,7 @@
 }
 
 /// Requests per second that one copy serves.
-pub(super) fn copy_rate(pool: &Pool) -> f64 {
+pub(super) fn copy_rate(pool: &ModelPool) -> f64 {
     (f64::from(pool.slots) * COPY_RATE_OF_SLOTS).max(1.0)
 }
 
@@ -69,7 +69,7 @@
 ///
 /// Unserved requests are limited to what one copy serves; otherwise the most requested model would
 /// get all copies first.
-pub(super) fn need(rate: f64, copies: usize, pool: &Pool) -> f64 {
+pub(super) fn need(rate: f64, copies: usize, pool: &ModelPool) -> f64 {
     let one_serves = f64::from(pool.slots) * MOST_RATE_OF_SLOTS;
     let served = copies as f64 * one_serves;
     let unserved = (rate - served).clamp(0.0, one_serves);
--- a/crates/direct/src/unread.rs
+++ b/crates/direct/src/prefill.rs
@@ -12,7 +12,7 @@
 const MOST_TELLING: u32 = 12;
 
 /// Whether nodes broadcast the requests that they send.
-pub fn tells_sends(nodes: u32) -> bool {
+pub fn broadcasts_sends(nodes: u32) -> bool {
     (2..=MOST_TELLING).contains(&nodes)
 }
 
@@ -39,7 +39,7 @@
 /// The number of requests does not show this load: a few long prompts delay all streams of the
 /// engine.
 #[derive(Debug, Clone, Default)]
-pub struct Unread {
+pub struct PrefillBacklog {
     prompts: IndexMap<SendId, Sent>,
 }
 
@@ -53,14 +53,14 @@
     own: bool,
 }
 
-impl Unread {
-    pub fn send(&mut self, id: SendId, tokens: u32, now: Millis) {
+impl PrefillBacklog {
+    pub fn add_own(&mut self, id: SendId, tokens: u32, now: Millis) {
         let until_read = self.tokens(now).saturating_add(tokens);
         self.prompts.insert(id, Sent { tokens, at: now, until_read, own: true });
     }
 
     /// Adds a prompt that another node reported.
-    pub fn told(&mut self, id: SendId, tokens: u32, now: Millis) {
+    pub fn add_from_peer(&mut self, id: SendId, tokens: u32, now: Millis) {
         if self.prompts.len() >= MOST {
             self.prompts.retain(|_, sent| sent.counts(now));
         }
@@ -72,7 +72,7 @@
     /// Removes a prompt whose prefill is complete or whose request has ended. Returns the tokens
     /// that the engine has processed since it was sent and the time this took, if this node sent
     /// it.
-    pub fn read(&mut self, id: SendId, now: Millis) -> Option<(u32, Millis)> {
+    pub fn finish(&mut self, id: SendId, now: Millis) -> Option<(u32, Millis)> {
         let sent = self.prompts.swap_remove(&id).filter(|sent| sent.own)?;
         Some((sent.until_read, now.saturating_sub(sent.at)))
     }
@@ -82,7 +82,7 @@
     }
 
     /// Number and tokens of the prompts that this node sent.
-    pub fn own(&self) -> (u32, u32) {
+    pub fn own_totals(&self) -> (u32, u32) {
         let own = self.prompts.values().filter(|sent| sent.own);
         own.fold((0, 0), |(count, sum), sent| (count + 1, sum.saturating_add(sent.tokens)))
     }
@@ -110,26 +110,26 @@
 
 /// Average prefill time per token, including the decode steps between.
 #[derive(Debug, Clone, Copy)]
-pub struct ReadingPace {
+pub struct PrefillRate {
     ms: f64,
     tokens: f64,
 }
 
-impl Default for ReadingPace {
+impl Default for PrefillRate {
     fn default() -> Self {
-        ReadingPace { ms: UNKNOWN_MS * ASSUMED, tokens: ASSUMED }
+        PrefillRate { ms: UNKNOWN_MS * ASSUMED, tokens: ASSUMED }
     }
 }
 
-impl ReadingPace {
-    pub fn saw(&mut self, tokens: u32, took: Millis) {
+impl PrefillRate {
+    pub fn record(&mut self, tokens: u32, took: Millis) {
         let keep = REMEMBERED / (REMEMBERED + f64::from(tokens));
         self.ms = self.ms * keep + took as f64;
         self.tokens = self.tokens * keep + f64::from(tokens);
     }
 
     /// Estimated prefill time in milliseconds.
-    pub fn time(&self, tokens: u32) -> f64 {
+    pub fn estimate_ms(&self, tokens: u32) -> f64 {
         self.ms / self.tokens * f64::from(tokens)
     }
 }
--- a/crates/direct/src/prompt.rs
+++ b/crates/direct/src/prompt.rs
@@ -7,17 +7,17 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// `None` if the service has no models.
-    pub wanted: Option<Wanted>,
-    pub tokens_in: u32,
+    pub model_ref: Option<ModelRef>,
+    pub prompt_tokens: u32,
     /// Maximum number of output tokens.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// The parts of the prompt, in order. The last one belongs to the caller or its session.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// A part of a prompt, which several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Identifies its text.
     pub id: u64,
     pub tokens: u32,
@@ -25,12 +25,12 @@
 
 /// A model, or an adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Wanted {
+pub struct ModelRef {
     pub model: String,
     pub adapter: Option<String>,
 }
 
-impl fmt::Display for Wanted {
+impl fmt::Display for ModelRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.model)?;
         match &self.adapter {
@@ -40,21 +40,21 @@
     }
 }
 
-impl std::str::FromStr for Wanted {
-    type Err = EmptyModel;
+impl std::str::FromStr for ModelRef {
+    type Err = EmptyModelName;
 
-    fn from_str(s: &str) -> Result<Self, EmptyModel> {
+    fn from_str(s: &str) -> Result<Self, EmptyModelName> {
         let (model, adapter) = match s.split_once('/') {
             Some((model, adapter)) => (model, Some(adapter.to_owned())),
             None => (s, None),
         };
         if model.is_empty() || adapter.as_deref() == Some("") {
-            return Err(EmptyModel);
+            return Err(EmptyModelName);
         }
-        Ok(Wanted { model: model.to_owned(), adapter })
+        Ok(ModelRef { model: model.to_owned(), adapter })
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("a model or adapter without a name")]
-pub struct EmptyModel;
+pub struct EmptyModelName;
--- a/crates/direct/src/quota/alone.rs
+++ b/crates/direct/src/quota/fallback.rs
@@ -7,11 +7,13 @@
 use crate::{CustomerId, Millis};
 
 use super::bucket::Bucket;
-use super::{ALONE_SHARE, Answer, LEAST_DEPTH_S, SILENT_AFTER, Terms, Want};
+use super::{
+    ALONE_SHARE, AllowanceRequest, IssuanceParams, IssuedAmount, LEAST_DEPTH_S, SILENT_AFTER,
+};
 
 /// Usage that was granted without the issuer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Used {
+pub struct Usage {
     pub customer: CustomerId,
     pub amount: f64,
     pub at: Millis,
@@ -19,54 +21,54 @@
 
 /// Grants a domain's share of the quotas without the issuer.
 #[derive(Debug, Clone, Default)]
-pub struct Alone {
+pub struct FallbackIssuer {
     buckets: IndexMap<CustomerId, Bucket>,
     /// Customers without a grant since the issuer responded.
     ended: IndexSet<CustomerId>,
-    used: VecDeque<Used>,
+    used: VecDeque<Usage>,
 }
 
-impl Alone {
+impl FallbackIssuer {
     /// The issuer has responded. The advance that was used stays used, so that an issuer that
     /// responds only now and then does not renew it each time.
-    pub fn end(&mut self) {
+    pub fn issuer_responded(&mut self) {
         self.ended.extend(self.buckets.keys().cloned());
     }
 
     /// Grants from the quota's part for `share` of all nodes.
-    pub fn give(
+    pub fn grant(
         &mut self,
         customer: &CustomerId,
-        terms: &Terms,
-        want: &Want,
+        terms: &IssuanceParams,
+        want: &AllowanceRequest,
         share: f64,
         now: Millis,
-    ) -> Answer {
+    ) -> IssuedAmount {
         let part = ALONE_SHARE * share;
         let bucket = self.buckets.entry(customer.clone()).or_insert(Bucket { level: 0.0, at: now });
         let begins = self.ended.swap_remove(customer);
         let depth = if begins { 0.0 } else { terms.rate * part * LEAST_DEPTH_S };
         bucket.fill(now, terms.rate * part, depth);
-        let given = want.of(bucket.level + terms.ahead * share);
+        let given = want.grantable(bucket.level + terms.ahead * share);
         bucket.level -= given;
         self.forget(now);
-        self.used.push_back(Used { customer: customer.clone(), amount: given, at: now });
+        self.used.push_back(Usage { customer: customer.clone(), amount: given, at: now });
         let rate = (terms.rate * part).max(f64::MIN_POSITIVE);
         let lacks = want.needed - given;
-        Answer {
+        IssuedAmount {
             amount: given,
-            room_in: (lacks > 0.0).then_some((1_000.0 * lacks / rate) as Millis),
+            available_in: (lacks > 0.0).then_some((1_000.0 * lacks / rate) as Millis),
         }
     }
 
     /// Recent usage, to report to the issuer, which has deducted earlier usage already.
-    pub fn take_used(&mut self, now: Millis) -> Vec<Used> {
+    pub fn take_usage(&mut self, now: Millis) -> Vec<Usage> {
         self.forget(now);
         self.used.drain(..).collect()
     }
 
     /// Restores usage that could not be reported.
-    pub fn give_back(&mut self, used: Vec<Used>) {
+    pub fn restore_usage(&mut self, used: Vec<Usage>) {
         used.into_iter().rev().for_each(|used| self.used.push_front(used));
     }
 
--- a/crates/direct/src/quota/terms.rs
+++ b/crates/direct/src/quota/issuance.rs
@@ -27,19 +27,19 @@
 
 /// Parameters with which an issuer grants a quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct IssuanceParams {
     pub(super) rate: f64,
     /// Initial level of the bucket.
     pub(super) start: f64,
     pub(super) depth: f64,
-    life: Millis,
+    allowance_ttl: Millis,
     pub(super) ahead: f64,
 }
 
-impl Terms {
-    pub fn of(quota: Quota, bounds: &QuotaBounds) -> Terms {
+impl IssuanceParams {
+    pub fn new(quota: Quota, bounds: &QuotaBounds) -> IssuanceParams {
         let window = bounds.window.as_secs_f64().max(0.1);
-        let room = bounds.over * (quota.rate * window + quota.burst) + bounds.slack;
+        let room = bounds.overshoot_ratio * (quota.rate * window + quota.burst) + bounds.slack;
         let life_s = LIFE_SHARE * room / quota.rate.max(f64::MIN_POSITIVE);
         let life = ((life_s * 1_000.0) as Millis).clamp(SHORTEST_LIFE, LONGEST_LIFE);
         let alive = quota.rate * life as f64 / 1_000.0;
@@ -51,11 +51,11 @@
         // The slack lets larger requests of a small customer fit.
         let depth = free.clamp(least, (quota.burst + bounds.slack).max(least));
         let rate = (quota.rate - (depth - free).max(0.0) / window).max(0.0);
-        Terms { rate, start: start.min(depth), depth, life, ahead }
+        IssuanceParams { rate, start: start.min(depth), depth, allowance_ttl: life, ahead }
     }
 
     /// Lifetime of an allowance.
-    pub fn life(&self) -> Millis {
-        self.life
+    pub fn allowance_ttl(&self) -> Millis {
+        self.allowance_ttl
     }
 }
--- a/crates/direct/src/quota/issuer.rs
+++ b/crates/direct/src/quota/issuer.rs
@@ -7,7 +7,7 @@
 use crate::{CustomerId, Millis};
 
 use super::bucket::Bucket;
-use super::{ALONE_SHARE, SILENT_AFTER, Terms, Want};
+use super::{ALONE_SHARE, AllowanceRequest, IssuanceParams, SILENT_AFTER};
 
 /// Maximum part of the available amount for one request, as a multiple of the part of the nodes
 /// that it is for, and a minimum of that. Prevents the first node from getting more than it uses
@@ -32,12 +32,12 @@
 
 impl Issuer {
     /// Starts with nearly empty buckets.
-    pub fn begin(now: Millis) -> Issuer {
+    pub fn new(now: Millis) -> Issuer {
         Issuer { since: now, ..Issuer::default() }
     }
 
     /// Records a request by a node for itself and those that ask it.
-    pub fn hear(&mut self, from: SocketAddr, nodes: u32, now: Millis) {
+    pub fn record_contact(&mut self, from: SocketAddr, nodes: u32, now: Millis) {
         self.heard.insert(from, (now, nodes));
         self.heard.retain(|_, (at, _)| now.saturating_sub(*at) < SILENT_AFTER);
     }
@@ -54,7 +54,7 @@
     }
 
     /// Maximum part of the available amount for a request for this many of all nodes.
-    pub fn part_of(asks_for: u32, nodes: u32) -> f64 {
+    pub fn max_share(asks_for: u32, nodes: u32) -> f64 {
         let part = f64::from(asks_for.max(1)) / f64::from(nodes.max(1));
         (OF_ITS_PART * part).clamp(LEAST_PART, 1.0)
     }
@@ -62,15 +62,15 @@
     /// Grants from a customer's quota. `alone` is usage without the issuer, `silent` the part of
     /// the nodes that may use their share without it, and `part` the maximum part to grant, unless
     /// a single request needs more.
-    pub fn give(
+    pub fn grant(
         &mut self,
         from: SocketAddr,
         customer: &CustomerId,
-        terms: &Terms,
-        want: &Want,
+        terms: &IssuanceParams,
+        want: &AllowanceRequest,
         (alone, silent, part): (f64, f64, f64),
         now: Millis,
-    ) -> Answer {
+    ) -> IssuedAmount {
         let empty = Bucket { level: terms.start, at: self.since };
         let bucket = self.buckets.entry(customer.clone()).or_insert(empty);
         bucket.fill(now, terms.rate * (1.0 - ALONE_SHARE * silent), terms.depth);
@@ -78,27 +78,27 @@
         if now.saturating_sub(self.since) >= SILENT_AFTER {
             bucket.level -= alone;
         }
-        let there = (bucket.level * part).max(want.least.min(bucket.level));
-        let amount = want.of(there);
+        let there = (bucket.level * part).max(want.min.min(bucket.level));
+        let amount = want.grantable(there);
         bucket.level -= amount;
         let unmet = self.unmet.entry(customer.clone()).or_default();
         unmet.retain(|_, (_, at)| now.saturating_sub(*at) < UNMET_FOR);
-        let is_short = amount < want.needed && bucket.level < want.least;
+        let is_short = amount < want.needed && bucket.level < want.min;
         if !is_short {
             unmet.swap_remove(&from);
-            return Answer { amount, room_in: None };
+            return IssuedAmount { amount, available_in: None };
         }
         unmet.insert(from, (want.needed - amount, now));
         let lacks: f64 = unmet.values().map(|(amount, _)| amount).sum::<f64>() - bucket.level;
         let rate = terms.rate.max(f64::MIN_POSITIVE);
-        Answer { amount, room_in: Some((1_000.0 * lacks / rate) as Millis) }
+        IssuedAmount { amount, available_in: Some((1_000.0 * lacks / rate) as Millis) }
     }
 }
 
 /// A response of an issuer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Answer {
+pub struct IssuedAmount {
     pub amount: f64,
     /// Set if the quota is used up: milliseconds until it is available again.
-    pub room_in: Option<Millis>,
+    pub available_in: Option<Millis>,
 }
--- a/crates/direct/src/quota/mod.rs
+++ b/crates/direct/src/quota/mod.rs
@@ -7,25 +7,25 @@
 //! empty buckets, as grants of the previous one count in the same window.
 //!
 //! The usage in a window is at most what the bucket granted within it and one allowance lifetime
-//! before, plus what isolated domains used before the issuer noticed. [`Terms`] sizes the bucket so
+//! before, plus what isolated domains used before the issuer noticed. [`IssuanceParams`] sizes the bucket so
 //! that both stay within [`QuotaBounds`](crate::QuotaBounds).
 
 mod account;
-mod alone;
+mod allowance;
 mod bucket;
+mod fallback;
+mod issuance;
 mod issuer;
-mod purse;
-mod terms;
-mod want;
+mod request;
 
 use crate::Millis;
 
-pub use account::{Account, Waiting};
-pub use alone::{Alone, Used};
-pub use issuer::{Answer, Issuer};
-pub use purse::{Grant, Lot, Purse};
-pub use terms::Terms;
-pub use want::Want;
+pub use account::{Account, Waiter};
+pub use allowance::{Allowance, AllowancePool, Grant};
+pub use fallback::{FallbackIssuer, Usage};
+pub use issuance::IssuanceParams;
+pub use issuer::{IssuedAmount, Issuer};
+pub use request::AllowanceRequest;
 
 /// Part of their share that domains use while they do not reach the issuer.
 const ALONE_SHARE: f64 = 0.8;
--- a/crates/direct/src/quota/want.rs
+++ b/crates/direct/src/quota/request.rs
@@ -4,29 +4,33 @@
 
 /// A request for an allowance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct AllowanceRequest {
     /// Maximum amount.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
     /// Amount that requests wait for; the rest is requested in advance.
     pub needed: f64,
     /// Minimum useful amount: what one request lacks.
-    pub least: f64,
+    #[serde(rename = "least")]
+    pub min: f64,
     /// Cost of one further request.
-    pub step: f64,
+    #[serde(rename = "step")]
+    pub unit_cost: f64,
     /// New demand since the last request, whether it was met or not.
-    pub new: f64,
+    #[serde(rename = "new")]
+    pub new_demand: f64,
 }
 
-impl Want {
+impl AllowanceRequest {
     /// The amount to grant if this much is available, in multiples of whole requests, as smaller
     /// amounts would expire unused.
-    pub fn of(&self, there: f64) -> f64 {
-        if there >= self.most {
-            return self.most;
+    pub fn grantable(&self, there: f64) -> f64 {
+        if there >= self.max {
+            return self.max;
         }
-        if there < self.least || self.step <= 0.0 {
+        if there < self.min || self.unit_cost <= 0.0 {
             return 0.0;
         }
-        self.least + ((there - self.least) / self.step).floor() * self.step
+        self.min + ((there - self.min) / self.unit_cost).floor() * self.unit_cost
     }
 }
--- a/crates/direct/src/refuse.rs
+++ b/crates/direct/src/refusal.rs
@@ -18,30 +18,30 @@
     NoEngine,
     /// No engine has loaded the model, and none will in time.
     #[display("model not placed")]
-    NotPlaced,
+    ModelNotLoaded,
     /// The request cannot start before its deadline.
     #[display("full")]
-    Full,
+    EnginesFull,
     /// The configuration may be outdated, and the key revoked.
     #[display("no proof of the newest keys")]
-    NoProof,
+    StaleConfig,
     /// The customer has used up its quota.
     #[display("over the limit")]
-    OverLimit,
+    QuotaExceeded,
     /// The customer's remaining quota is unknown.
     #[display("no word on the limit")]
-    NoAllowance,
+    QuotaUnknown,
     /// The retry budget is used up.
     #[display("no retry left")]
-    NoRetry,
+    RetryBudgetExhausted,
 }
 
 /// Minimum retry time for a refused caller.
-pub const RETRY_LEAST: Duration = Duration::from_millis(200);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Retry time for a refused caller. `draw`, in `0..1`, adds up to as much again, so that callers
 /// that are refused together do not return together.
-pub fn come_back(wait: Duration, draw: f64) -> Duration {
-    let least = wait.max(RETRY_LEAST);
+pub fn retry_after(wait: Duration, draw: f64) -> Duration {
+    let least = wait.max(MIN_RETRY_AFTER);
     least + least.mul_f64(draw)
 }
--- a/crates/direct/src/budget.rs
+++ b/crates/direct/src/retry_budget.rs
@@ -6,7 +6,7 @@
 
 /// Retry budget of all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetLimits {
+pub struct RetryBudgetLimits {
     /// Retries per request.
     pub ratio: f64,
     /// Retries allowed beyond that ratio, over all nodes.
@@ -23,19 +23,19 @@
 /// One node's share of a service's retry budget; keeps retries from multiplying the load on the
 /// remaining engines when one fails.
 #[derive(Debug, Clone, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     firsts: VecDeque<Millis>,
     again: VecDeque<Millis>,
 }
 
-impl Budget {
-    pub fn first(&mut self, now: Millis, limits: &BudgetLimits) {
+impl RetryBudget {
+    pub fn record_request(&mut self, now: Millis, limits: &RetryBudgetLimits) {
         self.firsts.push_back(now);
         self.expire(now, limits);
     }
 
     /// Number of retries that may still be sent now.
-    pub fn left(&mut self, now: Millis, limits: &BudgetLimits) -> f64 {
+    pub fn remaining(&mut self, now: Millis, limits: &RetryBudgetLimits) -> f64 {
         self.expire(now, limits);
         let slack = limits.slack / f64::from(limits.nodes.max(1));
         let allowed = USED_SHARE * (limits.ratio * self.firsts.len() as f64 + slack);
@@ -44,17 +44,17 @@
 
     /// Consumes one retry; returns false if none is left. A quarter of the slack is reserved for
     /// `urgent` requests.
-    pub fn take(&mut self, now: Millis, limits: &BudgetLimits, urgent: bool) -> bool {
+    pub fn try_take(&mut self, now: Millis, limits: &RetryBudgetLimits, urgent: bool) -> bool {
         let slack = limits.slack / f64::from(limits.nodes.max(1));
         let kept = if urgent { 0.0 } else { 0.25 * USED_SHARE * slack };
-        if self.left(now, limits) - kept < 1.0 {
+        if self.remaining(now, limits) - kept < 1.0 {
             return false;
         }
         self.again.push_back(now);
         true
     }
 
-    fn expire(&mut self, now: Millis, limits: &BudgetLimits) {
+    fn expire(&mut self, now: Millis, limits: &RetryBudgetLimits) {
         let from = now.saturating_sub(limits.window);
         for times in [&mut self.firsts, &mut self.again] {
             while times.front().is_some_and(|t| *t < from) {
--- a/crates/direct/tests/sums.rs
+++ b/crates/direct/tests/aggregation.rs
@@ -3,9 +3,11 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use hgw_direct::Start;
-use hgw_direct::flights::{EngineKey, Flight};
-use hgw_direct::sums::{Circle, Place, Relation, Saying, Scope, Sums, place_of};
+use hgw_direct::StartTime;
+use hgw_direct::aggregation::{
+    Aggregator, Neighbors, OutgoingUpdate, Relation, ReportScope, Subtotal, subtotal_for,
+};
+use hgw_direct::in_flight::{EngineKey, InFlightLoad};
 use indexmap::IndexMap;
 use proptest::collection::vec;
 use proptest::prelude::{Strategy, prop_assert, proptest};
@@ -17,7 +19,7 @@
 const DELAY: usize = 1;
 
 fn engine() -> EngineKey {
-    EngineKey::of(&"i-1".into(), Start(None))
+    EngineKey::of(&"i-1".into(), StartTime(None))
 }
 
 fn addr(node: usize) -> SocketAddr {
@@ -36,17 +38,17 @@
 
 /// Nodes that report their loads at one engine to each other.
 struct World {
-    sums: Vec<Sums>,
+    sums: Vec<Aggregator>,
     views: Vec<View>,
     own: Vec<u32>,
-    under_way: VecDeque<Vec<(usize, Saying)>>,
+    under_way: VecDeque<Vec<(usize, OutgoingUpdate)>>,
     now: u64,
 }
 
 impl World {
     fn new(nodes: usize, own: u32) -> World {
         World {
-            sums: (0..nodes).map(|_| Sums::default()).collect(),
+            sums: (0..nodes).map(|_| Aggregator::default()).collect(),
             views: vec![View::default(); nodes],
             own: vec![own; nodes],
             under_way: VecDeque::from(vec![Vec::new(); DELAY]),
@@ -75,24 +77,24 @@
     fn relation(&self, node: usize, other: usize) -> Relation {
         let view = &self.views[node];
         if view.head == Some(other) {
-            Relation::Head
+            Relation::Hub
         } else if view.head.is_none() && view.heads.contains(&other) {
-            Relation::OtherHead
+            Relation::OtherHub
         } else if self.asks(other, node) {
             Relation::Child
         } else {
-            Relation::Stranger
+            Relation::Unrelated
         }
     }
 
-    fn circle(&self, node: usize) -> Circle {
+    fn circle(&self, node: usize) -> Neighbors {
         let those = |relation| {
             let all = (0..self.sums.len()).filter(|other| *other != node);
             all.filter(|other| self.relation(node, *other) == relation).map(addr).collect()
         };
-        Circle {
-            head: self.views[node].head.map(addr),
-            heads: those(Relation::OtherHead),
+        Neighbors {
+            hub: self.views[node].head.map(addr),
+            hubs: those(Relation::OtherHub),
             children: those(Relation::Child),
         }
     }
@@ -103,15 +105,15 @@
             for to in &saying.to {
                 let to = usize::from(to.port()) - 1;
                 let relation = self.relation(to, from);
-                self.sums[to].take(addr(from), relation, saying.scope, &saying.told, self.now);
+                self.sums[to].apply(addr(from), relation, saying.scope, &saying.update, self.now);
             }
         }
         let mut said = Vec::new();
         for node in 0..self.sums.len() {
-            let flight = Flight { requests: self.own[node], prompts: 0, tokens: 0 };
+            let flight = InFlightLoad { requests: self.own[node], prompts: 0, tokens: 0 };
             let own = IndexMap::from([(engine(), flight)]);
             let circle = self.circle(node);
-            let sayings = self.sums[node].next(self.now, own, &circle);
+            let sayings = self.sums[node].next_updates(self.now, own, &circle);
             said.extend(sayings.into_iter().map(|saying| (node, saying)));
         }
         self.under_way.push_back(said);
@@ -125,13 +127,13 @@
 
     /// Highest load at the engine that any node believes in.
     fn most(&self) -> u32 {
-        let believed = |n: usize| self.sums[n].elsewhere(engine()).requests + self.own[n];
+        let believed = |n: usize| self.sums[n].in_flight_elsewhere(engine()).requests + self.own[n];
         (0..self.sums.len()).map(believed).max().unwrap_or(0)
     }
 
     fn is_known_to_all(&self, sum: u32) -> bool {
-        let believed = |n: usize| self.sums[n].elsewhere(engine()).requests + self.own[n];
-        (0..self.sums.len()).all(|n| self.sums[n].are_fresh() && believed(n) == sum)
+        let believed = |n: usize| self.sums[n].in_flight_elsewhere(engine()).requests + self.own[n];
+        (0..self.sums.len()).all(|n| self.sums[n].is_fresh() && believed(n) == sum)
     }
 }
 
@@ -195,27 +197,27 @@
     for head in [5, 10] {
         world.views[head].heads = vec![1, 5, 10];
     }
-    world.sums[0] = Sums::default();
+    world.sums[0] = Aggregator::default();
     world.views[0].heads = Vec::new();
     world.own[0] = 0;
     world.run(3_000);
-    let believed = world.sums[7].elsewhere(engine()).requests + world.own[7];
+    let believed = world.sums[7].in_flight_elsewhere(engine()).requests + world.own[7];
     assert_eq!(believed, 42);
 }
 
 /// Guards against cycles between the levels of sums.
 #[test]
 fn no_word_counts_where_it_could_come_back_into_itself() {
-    let all = [Relation::Head, Relation::OtherHead, Relation::Child, Relation::Stranger];
+    let all = [Relation::Hub, Relation::OtherHub, Relation::Child, Relation::Unrelated];
     let counts = |scope, place| -> Vec<Relation> {
-        all.into_iter().filter(|r| place_of(scope, *r) == Some(place)).collect()
+        all.into_iter().filter(|r| subtotal_for(scope, *r) == Some(place)).collect()
     };
-    assert_eq!(counts(Scope::Own, Place::Near), [Relation::Child]);
-    assert_eq!(counts(Scope::Part, Place::Near), []);
-    assert_eq!(counts(Scope::All, Place::Near), []);
-    assert_eq!(counts(Scope::Own, Place::Far), [Relation::OtherHead]);
-    assert_eq!(counts(Scope::Part, Place::Far), [Relation::OtherHead]);
-    assert_eq!(counts(Scope::All, Place::Far), [Relation::Head]);
+    assert_eq!(counts(ReportScope::Node, Subtotal::Domain), [Relation::Child]);
+    assert_eq!(counts(ReportScope::Domain, Subtotal::Domain), []);
+    assert_eq!(counts(ReportScope::Global, Subtotal::Domain), []);
+    assert_eq!(counts(ReportScope::Node, Subtotal::Remote), [Relation::OtherHub]);
+    assert_eq!(counts(ReportScope::Domain, Subtotal::Remote), [Relation::OtherHub]);
+    assert_eq!(counts(ReportScope::Global, Subtotal::Remote), [Relation::Hub]);
 }
 
 fn views(nodes: usize) -> impl Strategy<Value = Vec<View>> {
--- a/crates/direct/tests/catalog.rs
+++ b/crates/direct/tests/catalog.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hgw_direct::{Catalog, Kind, Route, ServiceId, Target};
+use hgw_direct::{Catalog, Route, RouteKind, ServiceId, Target};
 
 fn route(name: &str, host: &str, prefix: &str, targets: &[(&str, u32)]) -> Route {
     let target = |(service, weight): &(&str, u32)| Target {
@@ -13,13 +13,13 @@
         name: name.to_owned(),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         timeout: Duration::from_secs(1),
-        objective: Duration::from_millis(100),
-        gap: None,
+        first_byte_objective: Duration::from_millis(100),
+        max_event_gap: None,
         priority: 1,
-        is_open: false,
-        attempts: 2,
+        is_public: false,
+        max_attempts: 2,
         targets: targets.iter().map(target).collect(),
     }
 }
--- a/crates/direct/tests/choose.rs
+++ b/crates/direct/tests/choice.rs
@@ -3,38 +3,38 @@
 mod support;
 
 use assert_matches::assert_matches;
-use hgw_direct::flights::Flight;
+use hgw_direct::in_flight::InFlightLoad;
 use hgw_direct::{
-    Ask, Choice, EngineId, Engines, Load, NoEngine, Part, Policy, Prompt, SendId, Verdict, choose,
-    is_cut_off,
+    AttemptOutcome, Choice, ChoiceParams, CostWeights, EngineId, Engines, Load, NoEngine, Prompt,
+    PromptPart, SendId, choose_engine, is_isolated,
 };
 use support::{engines, listed, service, wanted};
 
 fn prompt(want: &str, session: u64) -> Prompt {
     Prompt {
-        wanted: Some(wanted(want)),
-        tokens_in: 500,
-        tokens_out: 100,
-        parts: vec![Part { id: 1, tokens: 200 }, Part { id: session, tokens: 300 }],
+        model_ref: Some(wanted(want)),
+        prompt_tokens: 500,
+        max_output_tokens: 100,
+        parts: vec![PromptPart { id: 1, tokens: 200 }, PromptPart { id: session, tokens: 300 }],
     }
 }
 
 fn chosen(engines: &Engines, want: &str, tried: &[EngineId]) -> Result<Choice, NoEngine> {
     let (service, prompt) = (service(), prompt(want, 7));
-    let ask = Ask {
+    let ask = ChoiceParams {
         service: &service,
         prompt: Some(&prompt),
         domain: "a",
         tried,
         nodes: 1,
-        conns: 100,
-        goes_first: false,
-        gap: None,
-        waits: false,
-        draw: 0.0,
-        policy: Policy::default(),
+        max_conns: 100,
+        has_precedence: false,
+        max_event_gap: None,
+        can_wait: false,
+        random: 0.0,
+        weights: CostWeights::default(),
     };
-    choose(engines, &ask, 1_000)
+    choose_engine(engines, &ask, 1_000)
 }
 
 fn name(choice: Result<Choice, NoEngine>) -> String {
@@ -50,21 +50,21 @@
 #[test]
 fn adapter_that_is_nowhere_is_not_sent_in_hope() {
     let engines = engines(&[("e1", "a", &["m"])]);
-    assert_matches!(chosen(&engines, "m/x", &[]), Err(NoEngine::NotPlaced(_)));
+    assert_matches!(chosen(&engines, "m/x", &[]), Err(NoEngine::NotLoaded(_)));
 }
 
 #[test]
 fn no_engine_differs_from_no_model() {
-    assert_eq!(chosen(&engines(&[]), "m", &[]), Err(NoEngine::None));
+    assert_eq!(chosen(&engines(&[]), "m", &[]), Err(NoEngine::NoneAvailable));
 }
 
 #[test]
 fn engine_that_leaves_gets_nothing() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
     let mut leaving = listed("e1", "a", &["m"]);
-    leaving.standing = hgw_direct::Standing::Leaving { gone_at: None };
-    engines.list(leaving);
-    assert_eq!(chosen(&engines, "m", &[]), Err(NoEngine::None));
+    leaving.state = hgw_direct::EngineState::Leaving { terminates_at: None };
+    engines.upsert(leaving);
+    assert_eq!(chosen(&engines, "m", &[]), Err(NoEngine::NoneAvailable));
 }
 
 #[test]
@@ -85,8 +85,8 @@
 fn told_load_counts_with_what_was_sent_since() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     let busy = engines.get_mut(&"e1".into()).unwrap();
-    busy.told = Some((Load { running: 60, waiting: 0, slots: 64 }, 900, 5));
-    busy.own = 12;
+    busy.reported_load = Some((Load { running: 60, waiting: 0, slots: 64 }, 900, 5));
+    busy.own_requests = 12;
     assert_eq!(busy.estimate(1_000), 67.0);
     assert_eq!(name(chosen(&engines, "m", &[])), "e2");
 }
@@ -95,7 +95,7 @@
 fn old_word_of_a_load_is_forgotten() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
     let engine = engines.get_mut(&"e1".into()).unwrap();
-    engine.told = Some((Load { running: 60, waiting: 9, slots: 64 }, 0, 0));
+    engine.reported_load = Some((Load { running: 60, waiting: 9, slots: 64 }, 0, 0));
     assert_eq!(engine.estimate(10_000), 0.0);
 }
 
@@ -103,20 +103,20 @@
 #[test]
 fn failing_engine_is_avoided_though_it_is_idle() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    engines.get_mut(&"e2".into()).unwrap().own = 30;
+    engines.get_mut(&"e2".into()).unwrap().own_requests = 30;
     for _ in 0..4 {
-        engines.get_mut(&"e1".into()).unwrap().judge.saw(900, Verdict::Failed);
+        engines.get_mut(&"e1".into()).unwrap().health.record(900, AttemptOutcome::Failed);
     }
     assert_eq!(name(chosen(&engines, "m", &[])), "e2");
-    engines.get_mut(&"e1".into()).unwrap().judge.saw(1_000, Verdict::Good);
-    let judge = engines.get(&"e1".into()).unwrap().judge.clone();
-    assert!(judge.failing(60_000) < 0.01, "{}", judge.failing(60_000));
+    engines.get_mut(&"e1".into()).unwrap().health.record(1_000, AttemptOutcome::Success);
+    let judge = engines.get(&"e1".into()).unwrap().health.clone();
+    assert!(judge.failure_rate(60_000) < 0.01, "{}", judge.failure_rate(60_000));
 }
 
 #[test]
 fn engine_that_cannot_be_reached_is_the_last_resort() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "b", &["m"])]);
-    engines.get_mut(&"e1".into()).unwrap().judge.saw(990, Verdict::Silent);
+    engines.get_mut(&"e1".into()).unwrap().health.record(990, AttemptOutcome::Unreachable);
     assert_eq!(name(chosen(&engines, "m", &[])), "e2");
     assert_eq!(name(chosen(&engines, "m", &["e2".into()])), "e1");
 }
@@ -124,7 +124,7 @@
 #[test]
 fn full_engines_ask_callers_to_come_back() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
-    engines.get_mut(&"e1".into()).unwrap().own = 128;
+    engines.get_mut(&"e1".into()).unwrap().own_requests = 128;
     assert_matches!(chosen(&engines, "m", &[]), Err(NoEngine::Full(wait)) if !wait.is_zero());
 }
 
@@ -134,14 +134,14 @@
 fn node_that_reaches_neither_store_nor_other_domains_is_cut_off() {
     let mut engines =
         engines(&[("e1", "a", &["m"]), ("e2", "b", &[]), ("e3", "c", &[]), ("e4", "d", &[])]);
-    assert!(!is_cut_off(5_000, &engines, "a", 5_000));
+    assert!(!is_isolated(5_000, &engines, "a", 5_000));
     for id in ["e2", "e3", "e4"] {
-        engines.get_mut(&id.into()).unwrap().judge.saw(5_000, Verdict::Silent);
+        engines.get_mut(&id.into()).unwrap().health.record(5_000, AttemptOutcome::Unreachable);
     }
-    assert!(is_cut_off(2_000, &engines, "a", 5_100));
-    assert!(!is_cut_off(100, &engines, "a", 5_100));
-    engines.get_mut(&"e2".into()).unwrap().judge.saw(5_200, Verdict::Good);
-    assert!(!is_cut_off(2_000, &engines, "a", 5_300));
+    assert!(is_isolated(2_000, &engines, "a", 5_100));
+    assert!(!is_isolated(100, &engines, "a", 5_100));
+    engines.get_mut(&"e2".into()).unwrap().health.record(5_200, AttemptOutcome::Success);
+    assert!(!is_isolated(2_000, &engines, "a", 5_300));
 }
 
 /// Guards against nodes that all choose the same engine among idle ones.
@@ -151,20 +151,20 @@
     let service = service();
     let mut counts = indexmap::IndexMap::new();
     for draw in 0..300 {
-        let ask = Ask {
+        let ask = ChoiceParams {
             service: &service,
             prompt: None,
             domain: "a",
             tried: &[],
             nodes: 6,
-            conns: 100,
-            goes_first: false,
-            gap: None,
-            waits: false,
-            draw: f64::from(draw) / 300.0,
-            policy: Policy::default(),
+            max_conns: 100,
+            has_precedence: false,
+            max_event_gap: None,
+            can_wait: false,
+            random: f64::from(draw) / 300.0,
+            weights: CostWeights::default(),
         };
-        *counts.entry(name(choose(&engines, &ask, 1_000))).or_insert(0) += 1;
+        *counts.entry(name(choose_engine(&engines, &ask, 1_000))).or_insert(0) += 1;
     }
     assert!(counts.len() == 3 && counts.values().all(|n| (70..130).contains(n)), "{counts:?}");
 }
@@ -174,15 +174,15 @@
 fn prompts_that_wait_to_be_read_count_more_than_requests() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     let reading = engines.get_mut(&"e1".into()).unwrap();
-    reading.own = 4;
+    reading.own_requests = 4;
     for request in ["r1", "r2", "r3", "r4"] {
-        reading.unread.send(SendId::of(request), 1_500, 950);
+        reading.prefill_backlog.add_own(SendId::of(request), 1_500, 950);
     }
-    engines.get_mut(&"e2".into()).unwrap().own = 20;
+    engines.get_mut(&"e2".into()).unwrap().own_requests = 20;
     assert_eq!(name(chosen(&engines, "m", &[])), "e2");
     let reading = engines.get_mut(&"e1".into()).unwrap();
     for request in ["r1", "r2", "r3", "r4"] {
-        assert!(reading.unread.read(SendId::of(request), 990).is_some());
+        assert!(reading.prefill_backlog.finish(SendId::of(request), 990).is_some());
     }
     assert_eq!(name(chosen(&engines, "m", &[])), "e1");
 }
@@ -194,9 +194,9 @@
     for (id, took) in [("e1", 180), ("e2", 60)] {
         let engine = engines.get_mut(&id.into()).unwrap();
         for _ in 0..8 {
-            engine.reading.saw(1_500, took);
+            engine.prefill_rate.record(1_500, took);
         }
-        engine.unread.send(SendId::of("r"), 1_500, 980);
+        engine.prefill_backlog.add_own(SendId::of("r"), 1_500, 980);
     }
     assert_eq!(name(chosen(&engines, "m", &[])), "e2");
 }
@@ -204,29 +204,29 @@
 /// Gives an engine streams that one more prompt would delay beyond the gap target.
 fn crowded(engines: &mut Engines, id: &str) {
     let engine = engines.get_mut(&id.into()).unwrap();
-    engine.own = 12;
-    engine.event_ms = 30.0;
+    engine.own_requests = 12;
+    engine.event_interval_ms = 30.0;
     for request in ["r1", "r2", "r3"] {
-        engine.unread.send(SendId::of(request), 1_500, 980);
+        engine.prefill_backlog.add_own(SendId::of(request), 1_500, 980);
     }
 }
 
 fn on_time(engines: &Engines, waits: bool) -> Result<Choice, NoEngine> {
     let (service, prompt) = (service(), prompt("m", 7));
-    let ask = Ask {
+    let ask = ChoiceParams {
         service: &service,
         prompt: Some(&prompt),
         domain: "a",
         tried: &[],
         nodes: 1,
-        conns: 100,
-        goes_first: false,
-        gap: Some(std::time::Duration::from_millis(200)),
-        waits,
-        draw: 0.0,
-        policy: Policy::default(),
+        max_conns: 100,
+        has_precedence: false,
+        max_event_gap: Some(std::time::Duration::from_millis(200)),
+        can_wait: waits,
+        random: 0.0,
+        weights: CostWeights::default(),
     };
-    choose(engines, &ask, 1_000)
+    choose_engine(engines, &ask, 1_000)
 }
 
 /// Guards against a burst of prompts that delays the streams of all engines. A request that cannot
@@ -237,11 +237,11 @@
     crowded(&mut engines, "e1");
     assert_eq!(name(on_time(&engines, true)), "e2");
     crowded(&mut engines, "e2");
-    assert_eq!(on_time(&engines, true), Err(NoEngine::Reading));
+    assert_eq!(on_time(&engines, true), Err(NoEngine::PrefillBusy));
     assert!(on_time(&engines, false).is_ok());
     let engine = engines.get_mut(&"e2".into()).unwrap();
     for request in ["r1", "r2"] {
-        engine.unread.read(SendId::of(request), 1_000);
+        engine.prefill_backlog.finish(SendId::of(request), 1_000);
     }
     assert_eq!(name(on_time(&engines, true)), "e2");
 }
@@ -251,7 +251,7 @@
 fn prompt_that_is_too_long_by_itself_does_not_wait_for_ever() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
     let engine = engines.get_mut(&"e1".into()).unwrap();
-    (engine.own, engine.event_ms) = (12, 250.0);
+    (engine.own_requests, engine.event_interval_ms) = (12, 250.0);
     assert_eq!(name(on_time(&engines, true)), "e1");
 }
 
@@ -260,7 +260,7 @@
 fn engine_that_runs_nothing_takes_prompts() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
     crowded(&mut engines, "e1");
-    engines.get_mut(&"e1".into()).unwrap().own = 3;
+    engines.get_mut(&"e1".into()).unwrap().own_requests = 3;
     assert_eq!(name(on_time(&engines, true)), "e1");
 }
 
@@ -269,8 +269,8 @@
 fn engine_that_cannot_be_reached_is_no_way_round_a_wait() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     crowded(&mut engines, "e1");
-    engines.get_mut(&"e2".into()).unwrap().judge.saw(990, Verdict::Silent);
-    assert_eq!(on_time(&engines, true), Err(NoEngine::Reading));
+    engines.get_mut(&"e2".into()).unwrap().health.record(990, AttemptOutcome::Unreachable);
+    assert_eq!(on_time(&engines, true), Err(NoEngine::PrefillBusy));
     assert_eq!(name(on_time(&engines, false)), "e1");
 }
 
@@ -279,25 +279,25 @@
 fn idle_one_of_two_copies_is_not_passed_over() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     for (id, requests) in [("e1", 20), ("e2", 0)] {
-        let flight = Flight { requests, ..Flight::default() };
-        engines.get_mut(&id.into()).unwrap().elsewhere = Some(flight);
+        let flight = InFlightLoad { requests, ..InFlightLoad::default() };
+        engines.get_mut(&id.into()).unwrap().in_flight_elsewhere = Some(flight);
     }
     let (service, prompt) = (service(), prompt("m", 7));
     for draw in 0..100 {
-        let ask = Ask {
+        let ask = ChoiceParams {
             service: &service,
             prompt: Some(&prompt),
             domain: "a",
             tried: &[],
             nodes: 200,
-            conns: 100,
-            goes_first: false,
-            gap: None,
-            waits: false,
-            draw: f64::from(draw) / 100.0,
-            policy: Policy::default(),
+            max_conns: 100,
+            has_precedence: false,
+            max_event_gap: None,
+            can_wait: false,
+            random: f64::from(draw) / 100.0,
+            weights: CostWeights::default(),
         };
-        assert_eq!(name(choose(&engines, &ask, 1_000)), "e2");
+        assert_eq!(name(choose_engine(&engines, &ask, 1_000)), "e2");
     }
 }
 
@@ -305,24 +305,24 @@
 #[test]
 fn urgent_request_goes_where_less_urgent_ones_wait() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
-    let flight = Flight { requests: 130, ..Flight::default() };
-    engines.get_mut(&"e1".into()).unwrap().elsewhere = Some(flight);
+    let flight = InFlightLoad { requests: 130, ..InFlightLoad::default() };
+    engines.get_mut(&"e1".into()).unwrap().in_flight_elsewhere = Some(flight);
     let (service, prompt) = (service(), prompt("m", 7));
     for goes_first in [true, false] {
-        let ask = Ask {
+        let ask = ChoiceParams {
             service: &service,
             prompt: Some(&prompt),
             domain: "a",
             tried: &[],
             nodes: 6,
-            conns: 100,
-            goes_first,
-            gap: None,
-            waits: false,
-            draw: 0.5,
-            policy: Policy::default(),
+            max_conns: 100,
+            has_precedence: goes_first,
+            max_event_gap: None,
+            can_wait: false,
+            random: 0.5,
+            weights: CostWeights::default(),
         };
-        let choice = choose(&engines, &ask, 1_000);
+        let choice = choose_engine(&engines, &ask, 1_000);
         assert_eq!(choice.is_ok(), goes_first, "{choice:?}");
     }
 }
@@ -332,15 +332,16 @@
 fn engines_that_say_they_have_places_are_not_full() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "b", &["m"])]);
     for engine in engines.iter_mut() {
-        let slots = engine.listed.slots;
-        engine.elsewhere = Some(Flight { requests: 20 * slots, prompts: 0, tokens: 0 });
-        engine.hear(Load { running: slots / 2, waiting: 0, slots }, 900);
+        let slots = engine.info.slots;
+        engine.in_flight_elsewhere =
+            Some(InFlightLoad { requests: 20 * slots, prompts: 0, tokens: 0 });
+        engine.record_peer_load(Load { running: slots / 2, waiting: 0, slots }, 900);
     }
     assert_matches!(chosen(&engines, "m", &[]), Ok(_));
     // The engines themselves report that they are full.
     for engine in engines.iter_mut() {
-        let slots = engine.listed.slots;
-        engine.hear(Load { running: slots, waiting: 19 * slots, slots }, 950);
+        let slots = engine.info.slots;
+        engine.record_peer_load(Load { running: slots, waiting: 19 * slots, slots }, 950);
     }
     assert_matches!(chosen(&engines, "m", &[]), Err(NoEngine::Full(_)));
 }
--- a/crates/direct/tests/cursor.rs
+++ b/crates/direct/tests/cursor.rs
@@ -41,11 +41,11 @@
 /// leaders with the same token.
 #[test]
 fn fencing_numbers_rise_over_eras() {
-    assert_eq!(at("0", 17).fence(), Some(17));
-    assert!(at("1", 3).fence() > at("0", 17).fence());
-    assert!(at("1", 17).fence() > at("0", 17).fence());
-    assert_eq!(at("0", 1 << 32).fence(), None);
-    assert!(at("2097151", u64::from(u32::MAX)).fence().unwrap() < 1 << 53);
+    assert_eq!(at("0", 17).fencing_token(), Some(17));
+    assert!(at("1", 3).fencing_token() > at("0", 17).fencing_token());
+    assert!(at("1", 17).fencing_token() > at("0", 17).fencing_token());
+    assert_eq!(at("0", 1 << 32).fencing_token(), None);
+    assert!(at("2097151", u64::from(u32::MAX)).fencing_token().unwrap() < 1 << 53);
 }
 
 #[test]
@@ -60,14 +60,14 @@
 #[test]
 fn era_is_as_old_as_anybody_has_known_it() {
     let mut known = KnownEra::default();
-    assert!(known.hear(era("2"), s(0), s(100)));
-    assert!(!known.hear(era("1"), s(50), s(101)), "an earlier one is no news");
-    assert_eq!((known.era(), known.lasted(s(103))), (era("2"), s(3)));
-    assert!(!known.hear(era("2"), s(40), s(103)));
-    assert_eq!(known.lasted(s(103)), s(40));
-    assert!(known.hear(era("3"), s(1), s(104)));
-    assert_eq!(known.lasted(s(104)), s(1));
-    assert_eq!(KnownEra::default().lasted(s(7)), s(7), "nothing was lost before the first");
+    assert!(known.observe(era("2"), s(0), s(100)));
+    assert!(!known.observe(era("1"), s(50), s(101)), "an earlier one is no news");
+    assert_eq!((known.era(), known.min_age(s(103))), (era("2"), s(3)));
+    assert!(!known.observe(era("2"), s(40), s(103)));
+    assert_eq!(known.min_age(s(103)), s(40));
+    assert!(known.observe(era("3"), s(1), s(104)));
+    assert_eq!(known.min_age(s(104)), s(1));
+    assert_eq!(KnownEra::default().min_age(s(7)), s(7), "nothing was lost before the first");
 }
 
 proptest! {
@@ -78,7 +78,7 @@
         b in (0_u32..2_097_152, 0_u64..1 << 32),
     ) {
         let of = |(era, offset): (u32, u64)| at(&era.to_string(), offset);
-        prop_assert_eq!(of(a).cmp(&of(b)), of(a).fence().cmp(&of(b).fence()));
-        prop_assert!(of(a).fence().is_some());
+        prop_assert_eq!(of(a).cmp(&of(b)), of(a).fencing_token().cmp(&of(b).fencing_token()));
+        prop_assert!(of(a).fencing_token().is_some());
     }
 }
--- a/crates/direct/tests/customer.rs
+++ b/crates/direct/tests/customer.rs
@@ -1,25 +1,25 @@
 //! Identification of callers by their keys.
 
 use assert_matches::assert_matches;
-use hgw_direct::{Customer, Customers, Key, Quota, Sender, Shown, Unit};
+use hgw_direct::{ApiKey, CallerIdentity, Credentials, Customer, Customers, Quota, QuotaUnit};
 
-fn shows(key: &str) -> Shown {
-    Shown::Key(Key::new(key))
+fn shows(key: &str) -> Credentials {
+    Credentials::Key(ApiKey::new(key))
 }
 
 fn customers(all: &[(&str, &[&str])]) -> Customers {
     let mut customers = Customers::default();
     for (name, keys) in all {
-        let keys = keys.iter().map(|key| Key::new(*key)).collect();
+        let keys = keys.iter().map(|key| ApiKey::new(*key)).collect();
         customers.add((*name).into(), Customer::default(), keys);
     }
     customers
 }
 
-fn name(customers: &Customers, shown: &Shown, is_open: bool) -> Option<String> {
-    match customers.sender(shown, is_open) {
-        Sender::Customer(name, _) => Some(name.0.clone()),
-        Sender::Anybody | Sender::Stranger => None,
+fn name(customers: &Customers, shown: &Credentials, is_open: bool) -> Option<String> {
+    match customers.identify(shown, is_open) {
+        CallerIdentity::Customer(name, _) => Some(name.0.clone()),
+        CallerIdentity::Anonymous | CallerIdentity::Unauthorized => None,
     }
 }
 
@@ -42,8 +42,8 @@
 #[test]
 fn only_open_routes_are_for_those_who_show_nothing() {
     let all = customers(&[("a", &["k1"])]);
-    assert_matches!(all.sender(&Shown::Nothing, true), Sender::Anybody);
-    assert_matches!(all.sender(&Shown::Nothing, false), Sender::Stranger);
+    assert_matches!(all.identify(&Credentials::None, true), CallerIdentity::Anonymous);
+    assert_matches!(all.identify(&Credentials::None, false), CallerIdentity::Unauthorized);
 }
 
 /// Guards against accepting a revoked key on an open route.
@@ -51,8 +51,8 @@
 fn unknown_key_and_several_keys_are_strangers_on_any_route() {
     let all = customers(&[("a", &["k1"])]);
     for is_open in [false, true] {
-        assert_matches!(all.sender(&shows("k9"), is_open), Sender::Stranger);
-        assert_matches!(all.sender(&Shown::Unusable, is_open), Sender::Stranger);
+        assert_matches!(all.identify(&shows("k9"), is_open), CallerIdentity::Unauthorized);
+        assert_matches!(all.identify(&Credentials::Invalid, is_open), CallerIdentity::Unauthorized);
     }
 }
 
@@ -65,7 +65,7 @@
 #[test]
 fn request_counts_in_the_unit_of_the_quota() {
     let quota = |unit| Quota { unit, rate: 1.0, burst: 1.0 };
-    assert_eq!(quota(Unit::Requests).unit.of(Some(700)), 1.0);
-    assert_eq!(quota(Unit::Tokens { plain: 200 }).unit.of(Some(700)), 700.0);
-    assert_eq!(quota(Unit::Tokens { plain: 200 }).unit.of(None), 200.0);
+    assert_eq!(quota(QuotaUnit::Requests).unit.cost(Some(700)), 1.0);
+    assert_eq!(quota(QuotaUnit::Tokens { default_tokens: 200 }).unit.cost(Some(700)), 700.0);
+    assert_eq!(quota(QuotaUnit::Tokens { default_tokens: 200 }).unit.cost(None), 200.0);
 }
--- a/crates/direct/tests/engines.rs
+++ b/crates/direct/tests/engines.rs
@@ -2,27 +2,29 @@
 
 mod support;
 
-use hgw_direct::flights::EngineKey;
-use hgw_direct::{Cursor, EngineId, Engines, Listed, Load, SendId, Standing, Start, Verdict};
+use hgw_direct::in_flight::EngineKey;
+use hgw_direct::{
+    AttemptOutcome, Cursor, EngineId, EngineInfo, EngineState, Engines, Load, SendId, StartTime,
+};
 use proptest::collection::vec;
 use proptest::prelude::{prop_assert, prop_assert_eq, proptest};
 use support::{engines, listed};
 
-fn born(at: u64, holds: &[&str]) -> Listed {
-    Listed { start: Start(Some(at)), ..listed("e1", "a", holds) }
+fn born(at: u64, holds: &[&str]) -> EngineInfo {
+    EngineInfo { started_at: StartTime(Some(at)), ..listed("e1", "a", holds) }
 }
 
 fn used() -> Engines {
     let mut engines = engines(&[("e1", "a", &[])]);
-    engines.list(born(100, &["m"]));
+    engines.upsert(born(100, &["m"]));
     let engine = engines.get_mut(&id()).unwrap();
-    engine.own = 7;
-    engine.orders = 3;
-    engine.told = Some((Load { running: 60, waiting: 4, slots: 64 }, 10, 7));
-    engine.told_at = Some(10);
-    engine.unread.send(SendId(1), 900, 10);
-    engine.judge.saw(10, Verdict::Silent);
-    engine.expect(&"m/a1".parse().unwrap());
+    engine.own_requests = 7;
+    engine.accepted_orders = 3;
+    engine.reported_load = Some((Load { running: 60, waiting: 4, slots: 64 }, 10, 7));
+    engine.placement_reported_at = Some(10);
+    engine.prefill_backlog.add_own(SendId(1), 900, 10);
+    engine.health.record(10, AttemptOutcome::Unreachable);
+    engine.expect_adapter(&"m/a1".parse().unwrap());
     engines
 }
 
@@ -33,71 +35,79 @@
 #[test]
 fn later_start_ends_all_that_was_believed() {
     let mut engines = used();
-    engines.list(born(200, &[]));
+    engines.upsert(born(200, &[]));
     let engine = engines.get(&id()).unwrap();
-    assert_eq!((engine.own, engine.orders, engine.told, engine.told_at), (0, 0, None, None));
-    assert_eq!((engine.unread.tokens(20), engine.places_taken()), (0, 0));
-    assert!(!engine.judge.is_left_alone(20) && engine.listed.held.is_empty());
-    assert_eq!(engines.take_anew().len(), 1);
-    assert!(engines.take_anew().is_empty());
+    assert_eq!(
+        (
+            engine.own_requests,
+            engine.accepted_orders,
+            engine.reported_load,
+            engine.placement_reported_at
+        ),
+        (0, 0, None, None)
+    );
+    assert_eq!((engine.prefill_backlog.tokens(20), engine.adapter_slots_used()), (0, 0));
+    assert!(!engine.health.is_ejected(20) && engine.info.loaded.is_empty());
+    assert_eq!(engines.take_restarted().len(), 1);
+    assert!(engines.take_restarted().is_empty());
 }
 
 #[test]
 fn entry_of_an_earlier_start_changes_nothing() {
     let mut engines = used();
-    engines.list(born(200, &["n"]));
+    engines.upsert(born(200, &["n"]));
     let mut late = born(100, &["m"]);
-    late.standing = Standing::Leaving { gone_at: None };
-    engines.list(late);
+    late.state = EngineState::Leaving { terminates_at: None };
+    engines.upsert(late);
     let engine = engines.get(&id()).unwrap();
-    assert!(engine.takes_work() && engine.holds_model("n") && !engine.holds_model("m"));
+    assert!(engine.accepts_requests() && engine.has_model("n") && !engine.has_model("m"));
 }
 
 /// Guards against applying a report about an earlier incarnation after a restart.
 #[test]
 fn word_of_a_later_start_goes_before_one_of_the_earlier() {
     let mut engines = used();
-    let engine = engines.meet(&id(), Start(Some(200))).unwrap();
-    assert!(engine.listed.held.is_empty() && engine.own == 0);
-    engine.orders = 1;
-    assert!(engines.meet(&id(), Start(Some(100))).is_none());
-    assert_eq!(engines.meet(&id(), Start(Some(200))).unwrap().orders, 1);
+    let engine = engines.observe_start(&id(), StartTime(Some(200))).unwrap();
+    assert!(engine.info.loaded.is_empty() && engine.own_requests == 0);
+    engine.accepted_orders = 1;
+    assert!(engines.observe_start(&id(), StartTime(Some(100))).is_none());
+    assert_eq!(engines.observe_start(&id(), StartTime(Some(200))).unwrap().accepted_orders, 1);
 }
 
 /// Some engines do not report their start time, or not everywhere.
 #[test]
 fn word_without_a_start_holds_for_the_start_that_is_known() {
     let mut engines = used();
-    engines.list(listed("e1", "a", &["m", "n"]));
-    let engine = engines.meet(&id(), Start(None)).unwrap();
-    assert_eq!((engine.own, engine.listed.start), (7, Start(Some(100))));
-    assert!(engines.take_anew().is_empty());
+    engines.upsert(listed("e1", "a", &["m", "n"]));
+    let engine = engines.observe_start(&id(), StartTime(None)).unwrap();
+    assert_eq!((engine.own_requests, engine.info.started_at), (7, StartTime(Some(100))));
+    assert!(engines.take_restarted().is_empty());
 }
 
 #[test]
 fn engine_whose_entry_cannot_be_read_is_not_used_until_one_can() {
     let mut engines = used();
-    engines.spoil(&id(), Cursor::default());
-    assert!(!engines.get(&id()).unwrap().takes_work());
-    engines.list(born(100, &["m"]));
+    engines.mark_unreadable(&id(), Cursor::default());
+    assert!(!engines.get(&id()).unwrap().accepts_requests());
+    engines.upsert(born(100, &["m"]));
     let engine = engines.get(&id()).unwrap();
-    assert!(engine.takes_work() && engine.own == 7);
+    assert!(engine.accepts_requests() && engine.own_requests == 7);
 }
 
 /// Guards against applying loads of an earlier incarnation, however the restart became known.
 #[test]
 fn engine_is_found_by_the_name_of_its_newest_start_alone() {
-    let named = |born| EngineKey::of(&"e1".into(), Start(born));
+    let named = |born| EngineKey::of(&"e1".into(), StartTime(born));
     let mut engines = engines(&[("e1", "a", &["m"])]);
     assert!(engines.by_key(named(None)).is_some());
-    let entry = |born| Listed { start: Start(born), ..listed("e1", "a", &["m"]) };
-    engines.list(entry(Some(1)));
+    let entry = |born| EngineInfo { started_at: StartTime(born), ..listed("e1", "a", &["m"]) };
+    engines.upsert(entry(Some(1)));
     assert!(engines.by_key(named(None)).is_none() && engines.by_key(named(Some(1))).is_some());
-    engines.list(entry(Some(2)));
+    engines.upsert(entry(Some(2)));
     assert!(engines.by_key(named(Some(1))).is_none() && engines.by_key(named(Some(2))).is_some());
-    engines.meet(&"e1".into(), Start(Some(3)));
+    engines.observe_start(&"e1".into(), StartTime(Some(3)));
     assert!(engines.by_key(named(Some(2))).is_none() && engines.by_key(named(Some(3))).is_some());
-    engines.unlist(&"e1".into(), Cursor::default());
+    engines.remove(&"e1".into(), Cursor::default());
     assert!(engines.by_key(named(Some(3))).is_none());
 }
 
@@ -105,23 +115,23 @@
     Cursor::new(era.parse().unwrap(), offset)
 }
 
-fn entry(at: Cursor, standing: Standing) -> Listed {
-    Listed { at, standing, ..listed("e1", "a", &["m"]) }
+fn entry(at: Cursor, standing: EngineState) -> EngineInfo {
+    EngineInfo { position: at, state: standing, ..listed("e1", "a", &["m"]) }
 }
 
-const LEAVING: Standing = Standing::Leaving { gone_at: None };
+const LEAVING: EngineState = EngineState::Leaving { terminates_at: None };
 
-fn standing(engines: &Engines) -> Option<Standing> {
-    engines.get(&id()).map(|engine| engine.listed.standing)
+fn standing(engines: &Engines) -> Option<EngineState> {
+    engines.get(&id()).map(|engine| engine.info.state)
 }
 
 /// Guards against a delayed response of the store that makes a leaving engine ready again.
 #[test]
 fn older_answer_does_not_bring_back_an_engine_that_leaves() {
     let mut engines = Engines::default();
-    engines.list(entry(at("0", 5), Standing::Ready));
-    engines.list(entry(at("0", 9), LEAVING));
-    engines.replace(vec![entry(at("0", 5), Standing::Ready)], at("0", 8), false);
+    engines.upsert(entry(at("0", 5), EngineState::Ready));
+    engines.upsert(entry(at("0", 9), LEAVING));
+    engines.apply_snapshot(vec![entry(at("0", 5), EngineState::Ready)], at("0", 8), false);
     assert_eq!(standing(&engines), Some(LEAVING));
 }
 
@@ -129,26 +139,26 @@
 #[test]
 fn older_answer_neither_brings_back_nor_takes_away() {
     let mut engines = Engines::default();
-    engines.list(entry(at("0", 5), Standing::Ready));
-    engines.unlist(&id(), at("0", 9));
-    engines.list(Listed { at: at("0", 10), ..listed("e2", "a", &["m"]) });
-    engines.replace(vec![entry(at("0", 5), Standing::Ready)], at("0", 8), false);
+    engines.upsert(entry(at("0", 5), EngineState::Ready));
+    engines.remove(&id(), at("0", 9));
+    engines.upsert(EngineInfo { position: at("0", 10), ..listed("e2", "a", &["m"]) });
+    engines.apply_snapshot(vec![entry(at("0", 5), EngineState::Ready)], at("0", 8), false);
     assert_eq!(standing(&engines), None);
     assert!(engines.get(&"e2".into()).is_some());
-    engines.list(entry(at("0", 11), Standing::Ready));
-    assert_eq!(standing(&engines), Some(Standing::Ready), "its entry had lapsed");
+    engines.upsert(entry(at("0", 11), EngineState::Ready));
+    assert_eq!(standing(&engines), Some(EngineState::Ready), "its entry had lapsed");
 }
 
 /// Guards against sending to a leaving engine after a restore from a backup in which it was ready.
 #[test]
 fn engine_that_leaves_does_not_come_back_with_the_store() {
     let mut engines = Engines::default();
-    engines.list(entry(at("0", 5), Standing::Ready));
-    engines.list(entry(at("0", 9), LEAVING));
-    engines.copy_ends(at("1", 7));
-    engines.replace(vec![entry(at("1", 5), Standing::Ready)], at("1", 7), true);
+    engines.upsert(entry(at("0", 5), EngineState::Ready));
+    engines.upsert(entry(at("0", 9), LEAVING));
+    engines.set_backup_end(at("1", 7));
+    engines.apply_snapshot(vec![entry(at("1", 5), EngineState::Ready)], at("1", 7), true);
     assert_eq!(standing(&engines), Some(LEAVING));
-    engines.list(entry(at("1", 7), Standing::Ready));
+    engines.upsert(entry(at("1", 7), EngineState::Ready));
     assert_eq!(standing(&engines), Some(LEAVING), "a heartbeat from before, written again");
 }
 
@@ -156,45 +166,48 @@
 #[test]
 fn late_heartbeat_does_not_take_back_that_an_engine_leaves() {
     let mut engines = Engines::default();
-    let born = |at, start, standing| Listed { start: Start(Some(start)), ..entry(at, standing) };
-    engines.list(born(at("0", 5), 100, Standing::Ready));
-    engines.list(born(at("0", 9), 100, LEAVING));
-    engines.list(born(at("0", 11), 100, Standing::Ready));
+    let born = |at, start, standing| EngineInfo {
+        started_at: StartTime(Some(start)),
+        ..entry(at, standing)
+    };
+    engines.upsert(born(at("0", 5), 100, EngineState::Ready));
+    engines.upsert(born(at("0", 9), 100, LEAVING));
+    engines.upsert(born(at("0", 11), 100, EngineState::Ready));
     assert_eq!(standing(&engines), Some(LEAVING));
-    engines.unlist(&id(), at("0", 12));
-    engines.list(born(at("0", 14), 100, Standing::Ready));
+    engines.remove(&id(), at("0", 12));
+    engines.upsert(born(at("0", 14), 100, EngineState::Ready));
     assert_eq!(standing(&engines), Some(LEAVING));
-    engines.list(born(at("0", 16), 200, Standing::Ready));
-    assert_eq!(standing(&engines), Some(Standing::Ready), "a later start has said nothing");
+    engines.upsert(born(at("0", 16), 200, EngineState::Ready));
+    assert_eq!(standing(&engines), Some(EngineState::Ready), "a later start has said nothing");
 }
 
 /// Guards against using a removed engine that a restored backup still contains.
 #[test]
 fn engine_that_is_gone_comes_back_by_its_own_word_only() {
     let mut engines = Engines::default();
-    engines.list(entry(at("0", 5), Standing::Ready));
-    engines.unlist(&id(), at("0", 9));
-    engines.copy_ends(at("1", 7));
-    engines.replace(vec![entry(at("1", 5), Standing::Ready)], at("1", 7), true);
+    engines.upsert(entry(at("0", 5), EngineState::Ready));
+    engines.remove(&id(), at("0", 9));
+    engines.set_backup_end(at("1", 7));
+    engines.apply_snapshot(vec![entry(at("1", 5), EngineState::Ready)], at("1", 7), true);
     assert_eq!(standing(&engines), None);
-    engines.list(entry(at("1", 8), Standing::Ready));
-    assert_eq!(standing(&engines), Some(Standing::Ready));
+    engines.upsert(entry(at("1", 8), EngineState::Ready));
+    assert_eq!(standing(&engines), Some(EngineState::Ready));
 }
 
 /// Guards against ignoring entries that were written after a restore.
 #[test]
 fn earliest_end_of_a_copy_counts() {
     let mut engines = Engines::default();
-    engines.copy_ends(at("1", 50));
-    assert!(engines.is_copied(at("1", 45)) && !engines.is_copied(at("1", 50)));
-    engines.copy_ends(at("1", 40));
-    assert!(!engines.is_copied(at("1", 45)) && engines.is_copied(at("1", 39)));
-    engines.copy_ends(at("0", 10));
-    assert_eq!(engines.copy_end(), at("1", 40));
-    engines.copy_ends(at("2", 60));
-    assert!(engines.is_copied(at("2", 45)) && !engines.is_copied(at("1", 39)));
+    engines.set_backup_end(at("1", 50));
+    assert!(engines.is_from_backup(at("1", 45)) && !engines.is_from_backup(at("1", 50)));
+    engines.set_backup_end(at("1", 40));
+    assert!(!engines.is_from_backup(at("1", 45)) && engines.is_from_backup(at("1", 39)));
+    engines.set_backup_end(at("0", 10));
+    assert_eq!(engines.backup_end(), at("1", 40));
+    engines.set_backup_end(at("2", 60));
+    assert!(engines.is_from_backup(at("2", 45)) && !engines.is_from_backup(at("1", 39)));
     assert!(
-        !Engines::default().is_copied(at("0", 0)),
+        !Engines::default().is_from_backup(at("0", 0)),
         "nothing is copied before the store went away"
     );
 }
@@ -203,9 +216,9 @@
 fn takes(engines: &mut Engines, offset: u64, kind: u8) {
     let place = at("0", offset);
     match kind {
-        0 => engines.list(entry(place, Standing::Ready)),
-        1 => engines.list(entry(place, LEAVING)),
-        _ => engines.unlist(&id(), place),
+        0 => engines.upsert(entry(place, EngineState::Ready)),
+        1 => engines.upsert(entry(place, LEAVING)),
+        _ => engines.remove(&id(), place),
     }
 }
 
@@ -228,7 +241,7 @@
         let expected = match log[last] {
             2 => None,
             _ if left => Some(LEAVING),
-            _ => Some(Standing::Ready),
+            _ => Some(EngineState::Ready),
         };
         prop_assert_eq!(standing(&engines), expected);
     }
@@ -243,16 +256,16 @@
         let before = standing(&engines);
         let copy = &log[..copied.min(log.len())];
         let end = at("1", copy.len() as u64);
-        engines.copy_ends(end);
+        engines.set_backup_end(end);
         for (n, kind) in copy.iter().enumerate() {
             match kind {
-                0 => engines.list(entry(at("1", n as u64), Standing::Ready)),
-                1 => engines.list(entry(at("1", n as u64), LEAVING)),
+                0 => engines.upsert(entry(at("1", n as u64), EngineState::Ready)),
+                1 => engines.upsert(entry(at("1", n as u64), LEAVING)),
                 _ => {}
             }
         }
-        if before != Some(Standing::Ready) {
-            prop_assert!(standing(&engines) != Some(Standing::Ready));
+        if before != Some(EngineState::Ready) {
+            prop_assert!(standing(&engines) != Some(EngineState::Ready));
         }
     }
 }
--- a/crates/direct/tests/proof.rs
+++ b/crates/direct/tests/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hgw_direct::{Proof, Seen};
+use hgw_direct::{FreshnessProof, VersionCheck};
 use proptest::collection::vec;
 use proptest::prelude::{prop_assert, proptest};
 
@@ -10,19 +10,19 @@
     Duration::from_secs(s)
 }
 
-fn seen(newest: u64, asked: u64) -> Seen {
-    Seen { newest, asked: s(asked) }
+fn seen(newest: u64, asked: u64) -> VersionCheck {
+    VersionCheck { newest, asked_at: s(asked) }
 }
 
 #[test]
 fn nothing_is_known_before_the_store_was_asked() {
-    assert_eq!(Proof::default().age(7, s(9)), None);
+    assert_eq!(FreshnessProof::default().age(7, s(9)), None);
 }
 
 #[test]
 fn age_counts_from_the_question() {
-    let mut proof = Proof::default();
-    proof.learn(seen(7, 3));
+    let mut proof = FreshnessProof::default();
+    proof.record(seen(7, 3));
     assert_eq!(proof.age(7, s(5)), Some(s(2)));
     assert_eq!(proof.age(8, s(5)), Some(s(2)));
 }
@@ -30,9 +30,9 @@
 /// Guards against accepting a key that a newer version has revoked.
 #[test]
 fn word_of_a_newer_version_proves_nothing_for_an_older_one() {
-    let mut proof = Proof::default();
-    proof.learn(seen(7, 3));
-    proof.learn(seen(8, 9));
+    let mut proof = FreshnessProof::default();
+    proof.record(seen(7, 3));
+    proof.record(seen(8, 9));
     assert_eq!(proof.age(7, s(10)), Some(s(7)));
     assert_eq!(proof.age(8, s(10)), Some(s(1)));
 }
@@ -40,9 +40,9 @@
 /// Guards against a delayed response that makes the configuration look older.
 #[test]
 fn older_question_takes_nothing_away() {
-    let mut proof = Proof::default();
-    proof.learn(seen(7, 8));
-    proof.learn(seen(7, 2));
+    let mut proof = FreshnessProof::default();
+    proof.record(seen(7, 8));
+    proof.record(seen(7, 2));
     assert_eq!(proof.age(7, s(9)), Some(s(1)));
 }
 
@@ -53,12 +53,12 @@
         words in vec((1_u64..6, 0_u64..50), 1..30),
         version in 1_u64..6,
     ) {
-        let mut proof = Proof::default();
+        let mut proof = FreshnessProof::default();
         for (newest, asked) in &words {
-            proof.learn(seen(*newest, *asked));
+            proof.record(seen(*newest, *asked));
         }
-        if let Some(held) = proof.of(version) {
-            let gives = |(newest, asked): &(u64, u64)| *newest <= version && s(*asked) == held.asked;
+        if let Some(held) = proof.latest_check(version) {
+            let gives = |(newest, asked): &(u64, u64)| *newest <= version && s(*asked) == held.asked_at;
             prop_assert!(words.iter().any(gives));
         }
     }
--- a/crates/direct/tests/heads.rs
+++ b/crates/direct/tests/hubs.rs
@@ -2,10 +2,12 @@
 
 use std::net::SocketAddr;
 
-use hgw_direct::heads::{Heads, Member, Parent, PassedOver, candidates, crowd, digest};
+use hgw_direct::hubs::{
+    Hubs, Member, Parent, SkipReason, candidates, digest, poll_interval_factor,
+};
 
 fn member(n: u16, domain: &str, processor: f64) -> Member {
-    Member { node: format!("node-{n}"), addr: addr(n), domain: domain.into(), processor }
+    Member { node: format!("node-{n}"), addr: addr(n), domain: domain.into(), cpu_share: processor }
 }
 
 fn addr(n: u16) -> SocketAddr {
@@ -18,11 +20,11 @@
     all.chain([member(20, "b", 1.0)]).collect()
 }
 
-fn heads() -> (Heads, Vec<SocketAddr>) {
-    let mut heads = Heads::default();
+fn heads() -> (Hubs, Vec<SocketAddr>) {
+    let mut heads = Hubs::default();
     let known = candidates(&domain(), "a");
     let addrs = known.iter().map(|c| c.addr).collect();
-    heads.know(known);
+    heads.set_candidates(known);
     (heads, addrs)
 }
 
@@ -49,25 +51,25 @@
 fn few_nodes_ask_the_holder_themselves() {
     let few: Vec<Member> = (0..4).map(|n| member(n, "a", 0.25)).collect();
     assert_eq!(candidates(&few, "a"), []);
-    assert_eq!(Heads::default().parent(addr(1), Some(addr(9)), 0), Parent::Holder);
+    assert_eq!(Hubs::default().parent(addr(1), Some(addr(9)), 0), Parent::Leader);
 }
 
 #[test]
 fn node_asks_the_first_and_the_first_asks_the_holder() {
     let (heads, first) = heads();
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 0), Parent::Head(first[0]));
-    assert_eq!(heads.parent(first[1], Some(addr(90)), 0), Parent::Head(first[0]));
-    assert_eq!(heads.parent(first[0], Some(addr(90)), 0), Parent::Holder);
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 0), Parent::Hub(first[0]));
+    assert_eq!(heads.parent(first[1], Some(addr(90)), 0), Parent::Hub(first[0]));
+    assert_eq!(heads.parent(first[0], Some(addr(90)), 0), Parent::Leader);
 }
 
 /// Guards against a domain without updates after its hub was killed.
 #[test]
 fn second_takes_over_from_a_first_that_is_silent() {
     let (mut heads, first) = heads();
-    heads.pass_over(first[0], PassedOver::Silent, 1_000);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Head(first[1]));
-    assert_eq!(heads.parent(first[1], Some(addr(90)), 1_100), Parent::Holder);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 4_000), Parent::Head(first[0]));
+    heads.skip(first[0], SkipReason::Unresponsive, 1_000);
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[1]));
+    assert_eq!(heads.parent(first[1], Some(addr(90)), 1_100), Parent::Leader);
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 4_000), Parent::Hub(first[0]));
 }
 
 /// Guards against a domain without updates after all its hub candidates failed.
@@ -75,9 +77,9 @@
 fn nodes_ask_the_holder_where_none_passes_on() {
     let (mut heads, first) = heads();
     for addr in &first {
-        heads.pass_over(*addr, PassedOver::Silent, 1_000);
+        heads.skip(*addr, SkipReason::Unresponsive, 1_000);
     }
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Holder);
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
 }
 
 /// Guards against overloading the leader during a store outage, when all nodes are outdated.
@@ -85,10 +87,10 @@
 fn first_is_asked_again_where_none_knows_more() {
     let (mut heads, first) = heads();
     for addr in first.iter().chain([&addr(90)]) {
-        heads.pass_over(*addr, PassedOver::Stale, 1_000);
+        heads.skip(*addr, SkipReason::Stale, 1_000);
     }
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Head(first[0]));
-    assert_eq!(heads.parent(addr(1), None, 1_100), Parent::Head(first[0]));
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[0]));
+    assert_eq!(heads.parent(addr(1), None, 1_100), Parent::Hub(first[0]));
 }
 
 /// Guards against outdated updates when the store refuses all hubs of a domain.
@@ -96,12 +98,12 @@
 fn holder_is_asked_where_those_that_pass_on_know_nothing_new() {
     let (mut heads, first) = heads();
     for addr in &first {
-        heads.pass_over(*addr, PassedOver::Stale, 1_000);
+        heads.skip(*addr, SkipReason::Stale, 1_000);
     }
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Holder);
-    heads.know(candidates(&domain(), "a"));
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Holder);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 3_000), Parent::Head(first[0]));
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
+    heads.set_candidates(candidates(&domain(), "a"));
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 3_000), Parent::Hub(first[0]));
 }
 
 /// Guards against a small VM as hub, whose link would be saturated.
@@ -109,41 +111,41 @@
 fn smaller_machine_is_not_asked_where_nobody_else_knows_more() {
     let small = (0..12).map(|n| member(n, "a", 0.12));
     let members: Vec<Member> = small.chain([member(30, "a", 0.5), member(31, "a", 0.4)]).collect();
-    let mut heads = Heads::default();
-    heads.know(candidates(&members, "a"));
-    let asks = |heads: &Heads, now| heads.parent(addr(91), Some(addr(90)), now);
-    heads.pass_over(addr(30), PassedOver::Stale, 1_000);
-    assert_eq!(asks(&heads, 1_100), Parent::Head(addr(31)));
-    heads.pass_over(addr(31), PassedOver::Stale, 1_100);
-    assert_eq!(asks(&heads, 1_200), Parent::Holder);
-    heads.pass_over(addr(90), PassedOver::Silent, 1_200);
-    assert_eq!(asks(&heads, 1_300), Parent::Head(addr(30)));
+    let mut heads = Hubs::default();
+    heads.set_candidates(candidates(&members, "a"));
+    let asks = |heads: &Hubs, now| heads.parent(addr(91), Some(addr(90)), now);
+    heads.skip(addr(30), SkipReason::Stale, 1_000);
+    assert_eq!(asks(&heads, 1_100), Parent::Hub(addr(31)));
+    heads.skip(addr(31), SkipReason::Stale, 1_100);
+    assert_eq!(asks(&heads, 1_200), Parent::Leader);
+    heads.skip(addr(90), SkipReason::Unresponsive, 1_200);
+    assert_eq!(asks(&heads, 1_300), Parent::Hub(addr(30)));
 }
 
 /// The next leader becomes known through a hub that responds.
 #[test]
 fn one_that_answers_is_asked_before_a_silent_holder() {
     let (mut heads, first) = heads();
-    heads.pass_over(first[0], PassedOver::Silent, 1_000);
-    heads.pass_over(first[1], PassedOver::Stale, 1_000);
-    heads.pass_over(first[2], PassedOver::Stale, 1_000);
-    heads.pass_over(addr(90), PassedOver::Silent, 1_000);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Head(first[1]));
+    heads.skip(first[0], SkipReason::Unresponsive, 1_000);
+    heads.skip(first[1], SkipReason::Stale, 1_000);
+    heads.skip(first[2], SkipReason::Stale, 1_000);
+    heads.skip(addr(90), SkipReason::Unresponsive, 1_000);
+    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[1]));
 }
 
 /// The leader serves the hubs of all domains; its own domain has another hub.
 #[test]
 fn holder_does_not_pass_on_to_its_domain() {
     let (heads, first) = heads();
-    assert_eq!(heads.parent(addr(1), Some(first[0]), 0), Parent::Head(first[1]));
-    assert_eq!(heads.parent(first[1], Some(first[0]), 0), Parent::Holder);
+    assert_eq!(heads.parent(addr(1), Some(first[0]), 0), Parent::Hub(first[1]));
+    assert_eq!(heads.parent(first[1], Some(first[0]), 0), Parent::Leader);
 }
 
 /// Guards against polling at the full rate when there are few hubs but many nodes.
 #[test]
 fn heads_of_many_nodes_hold_back_though_they_are_few() {
     let of = [(6, 6), (9, 10), (11, 12), (10, 33), (12, 195), (33, 195), (194, 195)];
-    let crowds = of.map(|(children, nodes)| crowd(children, nodes));
+    let crowds = of.map(|(children, nodes)| poll_interval_factor(children, nodes));
     assert_eq!(crowds, [1, 1, 2, 4, 4, 4, 12]);
 }
 
@@ -154,7 +156,7 @@
         node: format!("n-{n}"),
         addr: ([10, 0, 0, 1], n).into(),
         domain: "a".into(),
-        processor,
+        cpu_share: processor,
     };
     let mut members: Vec<Member> = (1..20).map(|n| node(n, 0.12)).collect();
     assert_eq!(candidates(&members, "a").len(), 3);
