--- a/crates/direct/tests/place.rs
+++ b/crates/direct/tests/placement.rs
@@ -5,24 +5,24 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use hgw_direct::place::{
-    AdapterStep, Allowed, Ceiling, CeilingLimits, ModelStep, Pending, Source, free_places,
-    making_room, next_model_step, place_adapter,
+use hgw_direct::placement::{
+    AdapterAction, AllowedActions, LoadRateLimiter, LoadRateLimits, ModelLoad, PendingLoads,
+    WeightSource, count_evicting, free_adapter_slots, next_model_load, place_adapter,
 };
-use hgw_direct::{Demand, Engine, Engines, Model, Pool, Rates};
+use hgw_direct::{Demand, Engine, Engines, Model, ModelPool, Rates};
 use support::{engines, wanted};
 
 /// A service whose engines have memory for three models.
-fn pool(models: &[&str]) -> Pool {
+fn pool(models: &[&str]) -> ModelPool {
     let model = Model {
         weights_mb: 70_000.0,
-        load: Duration::from_secs(4),
-        from_disk: Duration::from_secs(1),
-        from_memory: Duration::from_millis(500),
+        store_load_time: Duration::from_secs(4),
+        disk_load_time: Duration::from_secs(1),
+        memory_load_time: Duration::from_millis(500),
         adapters: 8,
         adapter_mb: 60.0,
     };
-    Pool {
+    ModelPool {
         slots: 64,
         weights_mb: 220_000.0,
         adapter_slots: 2,
@@ -31,7 +31,7 @@
     }
 }
 
-const ALL: Allowed = Allowed { store: true, drop: true };
+const ALL: AllowedActions = AllowedActions { load_from_store: true, evict: true };
 
 fn all(engines: &Engines) -> Vec<&Engine> {
     engines.iter().collect()
@@ -49,16 +49,16 @@
     rates
 }
 
-fn step(engines: &Engines, models: &[&str], demand: &[(&str, f64)]) -> Option<ModelStep> {
+fn step(engines: &Engines, models: &[&str], demand: &[(&str, f64)]) -> Option<ModelLoad> {
     let pool = pool(models);
-    next_model_step(&all(engines), &pool, &rates(demand), &Pending::new(), ALL, 1_000)
+    next_model_load(&all(engines), &pool, &rates(demand), &PendingLoads::new(), ALL, 1_000)
 }
 
 #[test]
 fn model_that_is_nowhere_is_loaded_first() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     let step = step(&engines, &["m", "n"], &[("m", 500.0)]);
-    assert_matches!(step, Some(ModelStep { load, drop, .. }) if load == "n" && drop.is_empty());
+    assert_matches!(step, Some(ModelLoad { model: load, evict: drop, .. }) if load == "n" && drop.is_empty());
 }
 
 #[test]
@@ -67,7 +67,7 @@
     // One copy with 64 slots serves 6.4 requests per second.
     assert_eq!(step(&engines, &["m", "n"], &[("m", 12.0), ("n", 6.0)]), None);
     let step = step(&engines, &["m", "n"], &[("m", 18.0), ("n", 0.5)]);
-    assert_matches!(step, Some(ModelStep { engine, load, .. }) if engine.0 == "e3" && load == "m");
+    assert_matches!(step, Some(ModelLoad { engine, model: load, .. }) if engine.0 == "e3" && load == "m");
 }
 
 /// Guards against idle engines while copies of busy models share others.
@@ -77,7 +77,7 @@
         engines(&[("e1", "a", &["m", "n"]), ("e2", "a", &["m", "n"]), ("e3", "a", &["x", "y"])]);
     let models = ["m", "n", "x", "y"];
     let uneven = step(&engines, &models, &[("m", 30.0), ("n", 30.0)]);
-    assert_matches!(uneven, Some(ModelStep { engine, drop, .. }) if engine.0 == "e3" && drop.is_empty());
+    assert_matches!(uneven, Some(ModelLoad { engine, evict: drop, .. }) if engine.0 == "e3" && drop.is_empty());
     assert_eq!(step(&engines, &models, &[("m", 6.0), ("n", 6.0)]), None, "there is little to do");
 }
 
@@ -94,13 +94,13 @@
         &[&[("e1", "a", &busy as &[&str]), ("e2", "a", &["m", "old", "a"])], &last[..]].concat(),
     );
     let first = step(&before, &models, &demand);
-    assert_matches!(first, Some(ModelStep { engine, drop, load, .. })
+    assert_matches!(first, Some(ModelLoad { engine, evict: drop, model: load, .. })
         if engine.0 != "e3" && drop.len() == 1 && ["x", "y", "z"].contains(&load.as_str()));
     let after = engines(
         &[&[("e1", "a", &moved as &[&str]), ("e2", "a", &["m", "old", "a"])], &last[..]].concat(),
     );
     let second = step(&after, &models, &demand);
-    assert_matches!(second, Some(ModelStep { engine, drop, load, .. })
+    assert_matches!(second, Some(ModelLoad { engine, evict: drop, model: load, .. })
         if engine.0 == "e3" && drop == ["x"] && load == "m");
 }
 
@@ -109,7 +109,7 @@
 fn model_that_is_hardly_asked_for_goes_to_a_busy_engine() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["n"])]);
     let step = step(&engines, &["m", "n", "x"], &[("m", 6.2), ("n", 5.0)]);
-    assert_matches!(step, Some(ModelStep { engine, load, .. }) if engine.0 == "e1" && load == "x");
+    assert_matches!(step, Some(ModelLoad { engine, model: load, .. }) if engine.0 == "e1" && load == "x");
 }
 
 /// Guards against evicting a model that is in use, when a load elsewhere is complete sooner.
@@ -120,16 +120,16 @@
         ("e2", "a", &["old", "y", "z"]),
         ("e3", "a", &["old", "gone", "w"]),
     ]);
-    engines.get_mut(&"e2".into()).unwrap().listed.at_hand.on_disk = vec!["m".to_owned()];
+    engines.get_mut(&"e2".into()).unwrap().info.cached.on_disk = vec!["m".to_owned()];
     let pool = pool(&["gone", "m", "old", "w", "x", "y", "z"]);
     let mut rates = rates(&[("m", 60.0)]);
     let plan = |rates: &Rates| {
-        next_model_step(&all(&engines), &pool, rates, &Pending::new(), ALL, 1_000).unwrap()
+        next_model_load(&all(&engines), &pool, rates, &PendingLoads::new(), ALL, 1_000).unwrap()
     };
     assert_eq!(plan(&rates).engine.0, "e2", "nothing runs there");
     rates.recent.insert("old".to_owned(), 30.0);
     let step = plan(&rates);
-    assert_eq!((step.engine.0.as_str(), step.drop.as_slice()), ("e3", &["gone".to_owned()][..]));
+    assert_eq!((step.engine.0.as_str(), step.evict.as_slice()), ("e3", &["gone".to_owned()][..]));
 }
 
 /// Guards against evicting both copies of a model in one plan.
@@ -143,12 +143,12 @@
     ]);
     let pool = pool(&["a", "b", "c", "d", "m", "n", "old", "w", "x", "y", "z"]);
     let rates = rates(&[("m", 40.0), ("n", 40.0)]);
-    let mut pending = Pending::new();
+    let mut pending = PendingLoads::new();
     let mut dropped = 0;
-    while let Some(step) = next_model_step(&all(&engines), &pool, &rates, &pending, ALL, 1_000) {
-        dropped += step.drop.iter().filter(|model| *model == "old").count();
-        step.make_way(&mut engines);
-        pending.insert(step.engine, step.load);
+    while let Some(step) = next_model_load(&all(&engines), &pool, &rates, &pending, ALL, 1_000) {
+        dropped += step.evict.iter().filter(|model| *model == "old").count();
+        step.apply_evictions(&mut engines);
+        pending.insert(step.engine, step.model);
     }
     assert_eq!(dropped, 1);
 }
@@ -158,7 +158,7 @@
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"]), ("e3", "a", &["n"])]);
     let demand = [("m/a", 1.3), ("m/b", 1.3), ("m/c", 1.3), ("m/d", 1.3), ("m/e", 1.3)];
     let step = step(&engines, &["m", "n"], &demand);
-    assert_matches!(step, Some(ModelStep { engine, load, .. }) if engine.0 == "e3" && load == "m");
+    assert_matches!(step, Some(ModelLoad { engine, model: load, .. }) if engine.0 == "e3" && load == "m");
 }
 
 #[test]
@@ -166,9 +166,9 @@
     let full = ["a", "b", "c"];
     let engines = engines(&[("e1", "a", &full), ("e2", "a", &full)]);
     let first = step(&engines, &["a", "b", "c", "d"], &[("a", 20.0)]);
-    assert_matches!(first, Some(ModelStep { drop, load, .. }) if load == "d" && (drop == ["b"] || drop == ["c"]));
+    assert_matches!(first, Some(ModelLoad { evict: drop, model: load, .. }) if load == "d" && (drop == ["b"] || drop == ["c"]));
     let mut single = Engines::default();
-    single.list(support::listed("e1", "a", &full));
+    single.upsert(support::listed("e1", "a", &full));
     assert_eq!(step(&single, &["a", "b", "c", "d"], &[("d", 20.0)]), None);
 }
 
@@ -180,15 +180,15 @@
     let models = ["a", "b", "c", "x", "y", "z"];
     assert_eq!(step(&engines, &models, &[("a", 15.0)]), None);
     let silent = step(&engines, &models, &[]);
-    assert_matches!(silent, Some(ModelStep { drop, load, .. }) if load == "z" && drop == ["a"]);
+    assert_matches!(silent, Some(ModelLoad { evict: drop, model: load, .. }) if load == "z" && drop == ["a"]);
 }
 
 #[test]
 fn engine_with_an_order_under_way_gets_no_other() {
     let engines = engines(&[("e1", "a", &["m"])]);
-    let pending = Pending::from_iter([("e1".into(), "n".to_owned())]);
+    let pending = PendingLoads::from_iter([("e1".into(), "n".to_owned())]);
     let pool = pool(&["m", "n", "o"]);
-    let step = next_model_step(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0);
+    let step = next_model_load(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0);
     assert_eq!(step, None);
 }
 
@@ -198,11 +198,11 @@
     let full = ["a", "b", "c"];
     let engines = engines(&[("e1", "a", &full), ("e2", "a", &full), ("e3", "a", &full)]);
     let pool = pool(&["a", "b", "c", "d"]);
-    let mut pending = Pending::new();
+    let mut pending = PendingLoads::new();
     let first =
-        next_model_step(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0).unwrap();
-    pending.insert(first.engine, first.load);
-    assert_eq!(next_model_step(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0), None);
+        next_model_load(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0).unwrap();
+    pending.insert(first.engine, first.model);
+    assert_eq!(next_model_load(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0), None);
 }
 
 /// Guards against loading from the weight store when an engine has the weights on its disk.
@@ -211,13 +211,14 @@
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["n"]), ("e3", "a", &["n"])]);
     let pool = pool(&["m", "n"]);
     let demand = rates(&[("m", 15.0), ("n", 8.0)]);
-    engines.get_mut(&"e3".into()).unwrap().listed.at_hand.on_disk = vec!["m".to_owned()];
-    let plan =
-        |allowed| next_model_step(&all(&engines), &pool, &demand, &Pending::new(), allowed, 1_000);
+    engines.get_mut(&"e3".into()).unwrap().info.cached.on_disk = vec!["m".to_owned()];
+    let plan = |allowed| {
+        next_model_load(&all(&engines), &pool, &demand, &PendingLoads::new(), allowed, 1_000)
+    };
     let step = plan(ALL).unwrap();
-    assert_eq!((step.engine.0.as_str(), step.source), ("e3", Source::Disk));
-    let without_store = plan(Allowed { store: false, drop: true }).unwrap();
-    assert_eq!(without_store.source, Source::Disk);
+    assert_eq!((step.engine.0.as_str(), step.source), ("e3", WeightSource::Disk));
+    let without_store = plan(AllowedActions { load_from_store: false, evict: true }).unwrap();
+    assert_eq!(without_store.source, WeightSource::Disk);
 }
 
 /// Guards against a new leader that evicts busy models because it has not observed demand yet.
@@ -226,9 +227,9 @@
     let full = ["a", "b", "c"];
     let engines = engines(&[("e1", "a", &full), ("e2", "a", &full)]);
     let pool = pool(&["a", "b", "c", "d"]);
-    let allowed = Allowed { store: true, drop: false };
+    let allowed = AllowedActions { load_from_store: true, evict: false };
     let step =
-        next_model_step(&all(&engines), &pool, &Rates::default(), &Pending::new(), allowed, 0);
+        next_model_load(&all(&engines), &pool, &Rates::default(), &PendingLoads::new(), allowed, 0);
     assert_eq!(step, None);
 }
 
@@ -244,7 +245,7 @@
         "a",
         0,
     );
-    assert_eq!(step, AdapterStep::Load { engine: "e2".into(), instead_of: None });
+    assert_eq!(step, AdapterAction::Load { engine: "e2".into(), evict: None });
 }
 
 /// Guards against waiting for an adapter in use while an idle one could be evicted.
@@ -253,15 +254,15 @@
     let engines = engines(&[("e1", "a", &["m/x", "m/y"])]);
     let mut demand = Demand::default();
     for at in (0..9_000).step_by(100) {
-        demand.saw(at, &wanted("m/y"), 1.0);
+        demand.record(at, &wanted("m/y"), 1.0);
     }
-    demand.saw(9_900, &wanted("m/x"), 0.1);
+    demand.record(9_900, &wanted("m/x"), 0.1);
     let pool = pool(&["m"]);
     let step = place_adapter(&all(&engines), &pool, &demand, &wanted("m/z"), "a", 10_500);
-    assert_eq!(step, AdapterStep::Load { engine: "e1".into(), instead_of: Some(wanted("m/x")) });
-    demand.saw(10_400, &wanted("m/x"), 0.1);
+    assert_eq!(step, AdapterAction::Load { engine: "e1".into(), evict: Some(wanted("m/x")) });
+    demand.record(10_400, &wanted("m/x"), 0.1);
     let step = place_adapter(&all(&engines), &pool, &demand, &wanted("m/z"), "a", 13_000);
-    assert_matches!(step, AdapterStep::Load { instead_of: Some(_), .. });
+    assert_matches!(step, AdapterAction::Load { evict: Some(_), .. });
 }
 
 #[test]
@@ -269,7 +270,7 @@
     let engines = engines(&[("e1", "a", &["n"])]);
     let pool = pool(&["m", "n"]);
     let step = place_adapter(&all(&engines), &pool, &Demand::default(), &wanted("m/z"), "a", 0);
-    assert_eq!(step, AdapterStep::Nowhere);
+    assert_eq!(step, AdapterAction::NotPossible);
 }
 
 /// Guards against exceeding an engine's adapter slots after the response to an order was lost.
@@ -278,21 +279,21 @@
     let mut engines = engines(&[("e1", "a", &["m/x"])]);
     let pool = pool(&["m"]);
     let engine = engines.get_mut(&"e1".into()).unwrap();
-    assert_eq!(free_places(engine, &pool), 1);
-    engine.expect(&wanted("m/y"));
-    assert_eq!(free_places(engine, &pool), 0);
-    engine.add_held(&wanted("m/y"));
-    assert_eq!(free_places(engine, &pool), 0);
+    assert_eq!(free_adapter_slots(engine, &pool), 1);
+    engine.expect_adapter(&wanted("m/y"));
+    assert_eq!(free_adapter_slots(engine, &pool), 0);
+    engine.add_loaded(&wanted("m/y"));
+    assert_eq!(free_adapter_slots(engine, &pool), 0);
 }
 
 #[test]
 fn ceiling_holds_over_a_window_and_a_takeover() {
-    let limits = CeilingLimits { loads_per_s: 1.6, window: 5_000 };
-    let mut ceiling = Ceiling::default();
-    let begin = |ceiling: &mut Ceiling, now| {
+    let limits = LoadRateLimits { loads_per_s: 1.6, window: 5_000 };
+    let mut ceiling = LoadRateLimiter::default();
+    let begin = |ceiling: &mut LoadRateLimiter, now| {
         let mut begun = 0;
         while ceiling.allows(now, &limits) {
-            ceiling.begin(now);
+            ceiling.record_load(now);
             begun += 1;
         }
         begun
@@ -300,7 +301,7 @@
     assert_eq!(begin(&mut ceiling, 0), 10);
     assert_eq!(begin(&mut ceiling, 4_900), 0);
     assert_eq!(begin(&mut ceiling, 5_001), 10);
-    let mut successor = Ceiling::default();
+    let mut successor = LoadRateLimiter::default();
     successor.assume_full(0, &limits, 1);
     assert_eq!(begin(&mut successor, 0), 1);
 }
@@ -308,22 +309,22 @@
 /// Guards against blocked placement after engines disappear while they load.
 #[test]
 fn engine_that_vanished_while_loading_makes_no_room() {
-    let pending = Pending::from_iter([("e1".into(), "m".to_owned())]);
+    let pending = PendingLoads::from_iter([("e1".into(), "m".to_owned())]);
     let loading = [("e2".into(), 9_000), ("e3".into(), 9_000)].into_iter().collect();
-    assert_eq!(making_room(&pending, &loading), 1);
+    assert_eq!(count_evicting(&pending, &loading), 1);
 }
 
 /// Guards against a new leader that waits for a whole window before it loads models.
 #[test]
 fn successor_goes_on_from_the_loads_that_were_told() {
-    let limits = CeilingLimits { loads_per_s: 1.0, window: 5_000 };
-    let (mut known, mut unknown) = (Ceiling::default(), Ceiling::default());
-    known.go_on_from(10_000, &[8_000], 2);
+    let limits = LoadRateLimits { loads_per_s: 1.0, window: 5_000 };
+    let (mut known, mut unknown) = (LoadRateLimiter::default(), LoadRateLimiter::default());
+    known.restore(10_000, &[8_000], 2);
     unknown.assume_full(10_000, &limits, 1);
-    let loads = |ceiling: &mut Ceiling, at| {
+    let loads = |ceiling: &mut LoadRateLimiter, at| {
         let mut loads = 0;
         while ceiling.allows(at, &limits) {
-            ceiling.begin(at);
+            ceiling.record_load(at);
             loads += 1;
         }
         loads
@@ -331,7 +332,7 @@
     assert_eq!((loads(&mut known, 10_000), loads(&mut unknown, 10_000)), (4, 1));
     // The window contains the loads of the previous leader, whether reported or assumed.
     assert_eq!(loads(&mut known, 13_001), 1);
-    assert_eq!(known.ages(13_001), [3_001, 3_001, 3_001, 3_001, 3_001, 3_001, 0]);
+    assert_eq!(known.load_ages(13_001), [3_001, 3_001, 3_001, 3_001, 3_001, 3_001, 0]);
 }
 
 /// Guards against giving all copies to the most requested model while another has only one.
@@ -346,16 +347,16 @@
         ("e6", "a", &[]),
     ]);
     let step = step(&engines, &["m", "n"], &[("m", 600.0), ("n", 250.0)]);
-    assert_matches!(step, Some(ModelStep { load, .. }) if load == "n");
+    assert_matches!(step, Some(ModelLoad { model: load, .. }) if load == "n");
 }
 
 /// Guards against a slow load that takes the engine on which another urgent model is cached.
 #[test]
 fn of_two_urgent_models_the_quicker_goes_first() {
     let mut engines = engines(&[("e1", "a", &["m", "n"]), ("e2", "a", &[])]);
-    let at_hand = &mut engines.get_mut(&"e2".into()).unwrap().listed.at_hand;
+    let at_hand = &mut engines.get_mut(&"e2".into()).unwrap().info.cached;
     at_hand.on_disk = vec!["n".to_owned()];
     let step = step(&engines, &["m", "n"], &[("m", 120.0), ("n", 100.0)]);
-    let expected = (Source::Disk, "n".to_owned());
-    assert_eq!(step.map(|s| (s.source, s.load)), Some(expected));
+    let expected = (WeightSource::Disk, "n".to_owned());
+    assert_eq!(step.map(|s| (s.source, s.model)), Some(expected));
 }
--- a/crates/direct/tests/quota.rs
+++ b/crates/direct/tests/quota.rs
@@ -5,8 +5,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::quota::{Account, Alone, Grant, Issuer, Lot, Terms, Waiting, Want};
-use hgw_direct::{CustomerId, Millis, Quota, QuotaBounds, Unit};
+use hgw_direct::quota::{
+    Account, Allowance, AllowanceRequest, FallbackIssuer, Grant, IssuanceParams, Issuer, Waiter,
+};
+use hgw_direct::{CustomerId, Millis, Quota, QuotaBounds, QuotaUnit};
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
 
 /// Interval of requests for allowances.
@@ -16,14 +18,14 @@
 const WAY: Millis = 5;
 
 const BOUNDS: QuotaBounds =
-    QuotaBounds { window: Duration::from_secs(8), over: 0.1, slack: 7_400.0 };
+    QuotaBounds { window: Duration::from_secs(8), overshoot_ratio: 0.1, slack: 7_400.0 };
 
 fn customer() -> CustomerId {
     "c".into()
 }
 
 fn quota(rate: f64) -> Quota {
-    Quota { unit: Unit::Tokens { plain: 200 }, rate, burst: rate }
+    Quota { unit: QuotaUnit::Tokens { default_tokens: 200 }, rate, burst: rate }
 }
 
 fn addr(node: usize) -> SocketAddr {
@@ -34,7 +36,7 @@
 #[derive(Debug, Default)]
 struct Node {
     account: Account,
-    alone: Alone,
+    alone: FallbackIssuer,
     answered: Millis,
     /// Whether it cannot reach nodes of other domains.
     cut: bool,
@@ -77,7 +79,7 @@
         World {
             nodes: (0..nodes).map(|_| Node::default()).collect(),
             domain,
-            issuer: Some((0, Issuer::begin(0))),
+            issuer: Some((0, Issuer::new(0))),
             quota,
             bounds: BOUNDS,
             cost,
@@ -89,8 +91,8 @@
         }
     }
 
-    fn terms(&self) -> Terms {
-        Terms::of(self.quota, &self.bounds)
+    fn terms(&self) -> IssuanceParams {
+        IssuanceParams::new(self.quota, &self.bounds)
     }
 
     /// Distributes a load, in units per second, over some of the nodes.
@@ -127,7 +129,7 @@
     }
 
     /// The issuer's response to a node, if it can be reached.
-    fn ask(&mut self, node: usize, want: &Want, nodes: u32) -> Option<Answered> {
+    fn ask(&mut self, node: usize, want: &AllowanceRequest, nodes: u32) -> Option<Answered> {
         let (terms, now, all) = (self.terms(), self.now, self.nodes.len() as u32);
         let (at, _) = self.issuer.as_ref()?;
         let apart = node / self.domain != at / self.domain;
@@ -135,64 +137,64 @@
         if !self.runs(at) || apart && (self.nodes[node].cut || self.nodes[at].cut) {
             return None;
         }
-        let used = self.nodes[node].alone.take_used(now);
+        let used = self.nodes[node].alone.take_usage(now);
         let used: f64 = used.iter().map(|used| used.amount).sum();
-        self.nodes[node].alone.end();
+        self.nodes[node].alone.issuer_responded();
         self.nodes[node].answered = now;
         let (_, issuer) = self.issuer.as_mut()?;
         if nodes > 0 {
-            issuer.hear(addr(node), nodes, now);
+            issuer.record_contact(addr(node), nodes, now);
         }
         let silent = issuer.silent_share(all, now);
-        let part = Issuer::part_of(nodes, all);
-        let answer = issuer.give(addr(node), &customer(), &terms, want, (used, silent, part), now);
-        let grants = vec![Grant { amount: answer.amount, for_ms: terms.life() }];
-        Some((grants, answer.room_in))
+        let part = Issuer::max_share(nodes, all);
+        let answer = issuer.grant(addr(node), &customer(), &terms, want, (used, silent, part), now);
+        let grants = vec![Grant { amount: answer.amount, ttl_ms: terms.allowance_ttl() }];
+        Some((grants, answer.available_in))
     }
 
     fn fill(&mut self, node: usize) {
         let issues = self.issuer.as_ref().is_some_and(|(at, _)| *at == node);
         let (now, asked) = (self.now, self.now.saturating_sub(2 * WAY));
         let head = self.head(node);
-        let want = self.nodes[node].account.want(now);
+        let want = self.nodes[node].account.next_request(now);
         let grants = if issues {
             self.ask(node, &want, 0)
         } else if head == node {
             let nodes = self.behind(node);
             let given = self.ask(node, &want, nodes);
             given.or_else(|| self.alone(node, &want, nodes))
-        } else if self.runs(head) && want.most > 0.0 {
+        } else if self.runs(head) && want.max > 0.0 {
             let account = &mut self.nodes[head].account;
-            account.count_want(now, &want);
-            let waiting = Waiting { most: want.most, least: want.least };
-            account.wait(waiting);
+            account.record_peer_request(now, &want);
+            let waiting = Waiter { max: want.max, min: want.min };
+            account.add_waiter(waiting);
             self.fill(head);
             let account = &mut self.nodes[head].account;
-            account.wait_over(waiting);
-            let there = account.purse.balance(now);
-            let lots = account.purse.take(now, want.of(there));
-            let grant = |lot: Lot| Grant { amount: lot.amount, for_ms: lot.until - now };
-            Some((lots.into_iter().map(grant).collect(), account.room_in(now)))
+            account.remove_waiter(waiting);
+            let there = account.allowances.balance(now);
+            let lots = account.allowances.take(now, want.grantable(there));
+            let grant = |lot: Allowance| Grant { amount: lot.amount, ttl_ms: lot.expires_at - now };
+            Some((lots.into_iter().map(grant).collect(), account.available_in(now)))
         } else {
             None
         };
         let Some((grants, room_in)) = grants else { return };
-        self.nodes[node].account.answered(now, &want, room_in);
+        self.nodes[node].account.record_response(now, &want, room_in);
         for grant in grants {
-            let lot = Lot { amount: grant.amount, until: asked + grant.for_ms };
-            self.nodes[node].account.purse.add(lot);
+            let lot = Allowance { amount: grant.amount, expires_at: asked + grant.ttl_ms };
+            self.nodes[node].account.allowances.add(lot);
         }
     }
 
-    fn alone(&mut self, node: usize, want: &Want, nodes: u32) -> Option<Answered> {
+    fn alone(&mut self, node: usize, want: &AllowanceRequest, nodes: u32) -> Option<Answered> {
         if self.now < self.nodes[node].answered + 250 {
             return None;
         }
         let share = f64::from(nodes) / self.nodes.len() as f64;
         let (terms, now) = (self.terms(), self.now);
-        let answer = self.nodes[node].alone.give(&customer(), &terms, want, share, now);
-        let grants = vec![Grant { amount: answer.amount, for_ms: terms.life() }];
-        Some((grants, answer.room_in))
+        let answer = self.nodes[node].alone.grant(&customer(), &terms, want, share, now);
+        let grants = vec![Grant { amount: answer.amount, ttl_ms: terms.allowance_ttl() }];
+        Some((grants, answer.available_in))
     }
 
     fn tick(&mut self) {
@@ -222,18 +224,18 @@
             node.due -= 1.0;
             node.came += 1;
             let cost = self.cost * self.sizes[node.came % self.sizes.len()];
-            node.account.count(now, cost);
-            node.account.wait(Waiting { most: cost, least: cost });
+            node.account.record_request(now, cost);
+            node.account.add_waiter(Waiter { max: cost, min: cost });
             node.waiting.push_back((now + PATIENCE, cost));
         }
         // Any request that an allowance suffices for is served.
         for (until, cost) in std::mem::take(&mut node.waiting) {
-            let spent = node.account.purse.spend(now, cost).is_some();
+            let spent = node.account.allowances.spend(now, cost).is_some();
             if !spent && now < until {
                 node.waiting.push_back((until, cost));
                 continue;
             }
-            node.account.wait_over(Waiting { most: cost, least: cost });
+            node.account.remove_waiter(Waiter { max: cost, min: cost });
             if spent {
                 self.used.push_back((now, cost));
                 self.total += cost;
@@ -251,7 +253,7 @@
     fn allowed(&self) -> f64 {
         let window = self.bounds.window.as_secs_f64();
         let limit = self.quota.rate * window + self.quota.burst;
-        limit * (1.0 + self.bounds.over) + self.bounds.slack
+        limit * (1.0 + self.bounds.overshoot_ratio) + self.bounds.slack
     }
 
     fn keeps(&self) -> bool {
@@ -372,7 +374,7 @@
     world.run(400);
     let share = world.share_used(3_600);
     assert!(share >= 0.7, "{share}");
-    world.issuer = Some((16, Issuer::begin(world.now)));
+    world.issuer = Some((16, Issuer::new(world.now)));
     world.run(10_000);
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
 }
@@ -401,7 +403,7 @@
         world.run(2_500);
         let load = world.nodes[0].load;
         world.nodes = (0..62).map(|_| Node { load, ..Node::default() }).collect();
-        world.issuer = Some((1, Issuer::begin(world.now)));
+        world.issuer = Some((1, Issuer::new(world.now)));
     }
     world.run(10_000);
     assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
@@ -425,7 +427,7 @@
 /// Bounds without tolerance, with and without a burst.
 #[test]
 fn stricter_accounting_holds_too() {
-    let strict = QuotaBounds { window: Duration::from_secs(8), over: 0.0, slack: 0.0 };
+    let strict = QuotaBounds { window: Duration::from_secs(8), overshoot_ratio: 0.0, slack: 0.0 };
     for burst in [250_000.0, 0.0] {
         let mut world = World::new(62, 15, Quota { burst, ..quota(250_000.0) }, 1_000.0);
         world.bounds = strict;
@@ -443,34 +445,46 @@
 #[test]
 fn what_was_not_used_is_given_back() {
     let mut account = Account::default();
-    account.purse.add(Lot { amount: 900.0, until: 500 });
-    account.purse.add(Lot { amount: 900.0, until: 300 });
-    let lots = account.purse.spend(100, 1_000.0).unwrap();
-    assert_eq!(lots, [Lot { amount: 900.0, until: 300 }, Lot { amount: 100.0, until: 500 }]);
-    assert!(account.purse.spend(100, 1_000.0).is_none());
-    lots.into_iter().for_each(|lot| account.purse.add(lot));
-    assert_eq!(account.purse.balance(100), 1_800.0);
-    assert_eq!(account.purse.balance(300), 900.0);
-    assert_eq!(account.purse.balance(500), 0.0);
+    account.allowances.add(Allowance { amount: 900.0, expires_at: 500 });
+    account.allowances.add(Allowance { amount: 900.0, expires_at: 300 });
+    let lots = account.allowances.spend(100, 1_000.0).unwrap();
+    assert_eq!(
+        lots,
+        [
+            Allowance { amount: 900.0, expires_at: 300 },
+            Allowance { amount: 100.0, expires_at: 500 }
+        ]
+    );
+    assert!(account.allowances.spend(100, 1_000.0).is_none());
+    lots.into_iter().for_each(|lot| account.allowances.add(lot));
+    assert_eq!(account.allowances.balance(100), 1_800.0);
+    assert_eq!(account.allowances.balance(300), 900.0);
+    assert_eq!(account.allowances.balance(500), 0.0);
 }
 
 /// Guards against a new advance each time that the issuer responds.
 #[test]
 fn share_is_drawn_ahead_once_however_often_the_issuer_is_heard() {
-    let mut alone = Alone::default();
+    let mut alone = FallbackIssuer::default();
     let customers: [CustomerId; 2] = ["large".into(), "small".into()];
     let rates = [400_000.0, 4_000.0];
     let mut used = [0.0; 2];
     for round in 0..20_u64 {
         for (n, customer) in customers.iter().enumerate() {
-            let terms = Terms::of(quota(rates[n]), &BOUNDS);
-            let want = Want { most: 1e6, needed: 1e6, least: 100.0, step: 100.0, new: 0.0 };
-            used[n] += alone.give(customer, &terms, &want, 0.25, 50 * round).amount;
+            let terms = IssuanceParams::new(quota(rates[n]), &BOUNDS);
+            let want = AllowanceRequest {
+                max: 1e6,
+                needed: 1e6,
+                min: 100.0,
+                unit_cost: 100.0,
+                new_demand: 0.0,
+            };
+            used[n] += alone.grant(customer, &terms, &want, 0.25, 50 * round).amount;
         }
-        alone.end();
+        alone.issuer_responded();
     }
     for (used, rate) in used.into_iter().zip(rates) {
-        let room = BOUNDS.over * 9.0 * rate + BOUNDS.slack;
+        let room = BOUNDS.overshoot_ratio * 9.0 * rate + BOUNDS.slack;
         // A quarter of the tolerance, plus one second of a quarter of the quota.
         assert!(used <= 0.25 * 0.25 * room + 0.25 * rate, "{used} of {rate}");
     }
@@ -495,7 +509,7 @@
                     // A new leader waits until the previous lease has expired.
                     world.issuer = None;
                     world.run(3_000);
-                    world.issuer = Some((node, Issuer::begin(world.now)));
+                    world.issuer = Some((node, Issuer::new(world.now)));
                 }
                 3 => {
                     let load = world.nodes[node].load;
--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/at_engine.rs
@@ -1,7 +1,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::{EngineId, Load, SendId, Start, Verdict};
+use hgw_direct::{AttemptOutcome, EngineId, Load, SendId, StartTime};
 use hgw_http1::Conn;
 
 use crate::peers::Word;
@@ -12,7 +12,7 @@
     node: Node,
     engine: EngineId,
     /// The engine's start that it was sent to.
-    start: Start,
+    start: StartTime,
     /// The request, while the engine has not read its prompt.
     unread: Option<SendId>,
 }
@@ -22,12 +22,12 @@
     pub(crate) fn begin(node: &Node, engine: &EngineId, request: &str, tokens: u32) -> AtEngine {
         let now = node.now();
         let unread = (tokens > 0).then(|| SendId::of(request));
-        let mut start = Start::default();
+        let mut start = StartTime::default();
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-            start = engine.listed.start;
-            engine.own += 1;
+            start = engine.info.started_at;
+            engine.own_requests += 1;
             if let Some(id) = unread {
-                engine.unread.send(id, tokens, now);
+                engine.prefill_backlog.add_own(id, tokens, now);
             }
         }
         if let Some(id) = unread {
@@ -43,11 +43,11 @@
 
     /// Whether the engine has started anew since: what it ran then has ended.
     pub(crate) fn has_ended(&self) -> bool {
-        self.node.engine(&self.engine, |e| self.start.is_before(e.listed.start)).unwrap_or(false)
+        self.node.engine(&self.engine, |e| self.start.is_before(e.info.started_at)).unwrap_or(false)
     }
 
     /// Takes in what became of the request, unless the engine has started anew since.
-    pub(crate) fn saw(&self, verdict: Verdict) {
+    pub(crate) fn saw(&self, verdict: AttemptOutcome) {
         if !self.has_ended() {
             self.node.saw(&self.engine, verdict);
         }
@@ -55,7 +55,7 @@
 
     /// Keeps a connection whose answer was whole, unless the engine has started anew since.
     pub(crate) fn keep(&self, conn: Conn) {
-        let addr = self.node.engine(&self.engine, |e| e.listed.addr);
+        let addr = self.node.engine(&self.engine, |e| e.info.addr);
         if let Some(addr) = addr.filter(|_| !self.has_ended()) {
             self.node.pool.put(addr, conn);
         }
@@ -68,7 +68,7 @@
         }
         let now = self.node.now();
         if let Some(engine) = self.node.state.borrow_mut().engines.get_mut(&self.engine) {
-            engine.told = Some((load, now, engine.own));
+            engine.reported_load = Some((load, now, engine.own_requests));
         }
     }
 
@@ -80,8 +80,8 @@
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let Some(engine) = state.engines.get_mut(&self.engine) else { return };
-        if let Some((tokens, took)) = engine.unread.read(id, now) {
-            engine.reading.saw(tokens, took);
+        if let Some((tokens, took)) = engine.prefill_backlog.finish(id, now) {
+            engine.prefill_rate.record(tokens, took);
         }
         drop(state);
         self.node.turns.next.notify_waiters();
@@ -93,7 +93,7 @@
             return;
         }
         if let Some(engine) = self.node.state.borrow_mut().engines.get_mut(&self.engine) {
-            engine.saw_events(mean.as_secs_f64() * 1_000.0);
+            engine.record_event_interval(mean.as_secs_f64() * 1_000.0);
         }
     }
 }
@@ -106,9 +106,9 @@
             return;
         }
         if let Some(engine) = self.node.state.borrow_mut().engines.get_mut(&self.engine) {
-            engine.own = engine.own.saturating_sub(1);
+            engine.own_requests = engine.own_requests.saturating_sub(1);
             if let Some(id) = unread {
-                engine.unread.read(id, now);
+                engine.prefill_backlog.finish(id, now);
             }
         }
         if let Some(id) = unread {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -6,10 +6,11 @@
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use futures_util::future::LocalBoxFuture;
+pub use hgw_direct::{BadEra, Cursor, Era};
 use hgw_direct::{
-    AtHand, Catalog, CustomerId, EngineId, Held, Listed, Load, Prompt, Shown, Start, Wanted,
+    CachedWeights, Catalog, Credentials, CustomerId, EngineId, EngineInfo, Load, LoadedModel,
+    ModelRef, Prompt, StartTime,
 };
-pub use hgw_direct::{BadEra, Cursor, Era};
 use hgw_http1::{Head, Request};
 use http::HeaderMap;
 use http::request::Parts;
@@ -30,7 +31,7 @@
     fn read(&self, head: &Parts) -> Result<Call, BadCall>;
 
     /// What a request shows of who sends it.
-    fn shown(&self, head: &Parts) -> Shown;
+    fn shown(&self, head: &Parts) -> Credentials;
 
     /// Says that a key is needed.
     fn ask_for_key(&self, headers: &mut HeaderMap);
@@ -154,7 +155,7 @@
     /// What to do.
     pub kind: OrderKind,
     /// With what.
-    pub wanted: &'a Wanted,
+    pub wanted: &'a ModelRef,
     /// Orders that the engine had accepted when this one was decided on; it refuses another count.
     pub seq: u64,
     /// The machine that gives it.
@@ -167,17 +168,17 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
     /// What it holds.
-    pub held: Vec<Held>,
+    pub held: Vec<LoadedModel>,
     /// What it need not fetch to load.
-    pub at_hand: AtHand,
+    pub at_hand: CachedWeights,
     /// Adapters that are on their way to it.
-    pub coming: Vec<Wanted>,
+    pub coming: Vec<ModelRef>,
     /// Whether an order for a model is under way.
     pub busy: bool,
     /// Orders that it has accepted.
     pub seq: u64,
     /// When the engine was started.
-    pub start: Start,
+    pub start: StartTime,
     /// Its load.
     pub load: Load,
 }
@@ -276,7 +277,7 @@
     /// An engine, with the time until it is gone where it leaves.
     Listed {
         /// The engine.
-        listed: Box<Listed>,
+        listed: Box<EngineInfo>,
         /// Time that is left to it.
         left: Option<Duration>,
     },
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -22,7 +22,7 @@
 /// What this node tells another: its era, and for how many milliseconds that has lasted at least; nothing in the first.
 pub(crate) fn told(node: &Shared) -> Option<(Era, u64)> {
     let known = node.era.get();
-    let lasted = known.lasted(boot_time()).as_millis() as u64;
+    let lasted = known.min_age(boot_time()).as_millis() as u64;
     (known.era() > Era::FIRST).then_some((known.era(), lasted))
 }
 
@@ -35,7 +35,7 @@
 
 fn learn(node: &Shared, era: Era, lasted: Duration, by: &str) {
     let mut known = node.era.get();
-    let is_new = known.hear(era, lasted, boot_time());
+    let is_new = known.observe(era, lasted, boot_time());
     node.era.set(known);
     // A node that has just started finds the era that there is.
     if is_new && node.state.borrow().listed {
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hgw_direct::{Era, ListPlace, Listed, Seen, Standing};
+use hgw_direct::{EngineInfo, EngineState, Era, ListVersion, VersionCheck};
 use hgw_events::{Event, emit};
 use tokio::time::{sleep, timeout};
 
@@ -118,7 +118,7 @@
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
                 if let Some(newest) = newest {
-                    proof::read(&node, Seen { newest, asked });
+                    proof::read(&node, VersionCheck { newest, asked_at: asked });
                     node.catalog_at.set(cursor.map(|at| (newest, at)));
                 }
                 if nothing && node.state.borrow().catalog.is_none() {
@@ -272,7 +272,7 @@
     }
     let mut state = node.state.borrow_mut();
     if news.whole && news.cursor.era > Era::FIRST {
-        state.engines.copy_ends(news.cursor);
+        state.engines.set_backup_end(news.cursor);
     }
     let mut whole = Vec::new();
     for EngineChange { at, entry } in news.entries {
@@ -280,45 +280,46 @@
             EngineEntry::Listed { mut listed, left } => {
                 if let Some(left) = left {
                     let gone_at = Some(now + left.as_millis() as u64);
-                    listed.standing = Standing::Leaving { gone_at };
+                    listed.state = EngineState::Leaving { terminates_at: gone_at };
                 }
-                listed.at = at;
+                listed.position = at;
                 keep_newer(&state.engines, &mut listed);
                 if news.whole {
                     whole.push(*listed);
                 } else {
-                    state.engines.list(*listed);
+                    state.engines.upsert(*listed);
                 }
             }
             EngineEntry::Gone(id) => {
                 if !keep {
-                    state.engines.unlist(&id, at);
+                    state.engines.remove(&id, at);
                 }
             }
             EngineEntry::Unreadable(id) => {
-                state.engines.spoil(&id, at);
+                state.engines.mark_unreadable(&id, at);
                 if news.whole {
-                    whole.extend(state.engines.get(&id).map(|engine| engine.listed.clone()));
+                    whole.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
             }
         }
     }
     if news.whole {
-        state.engines.replace(whole, news.cursor, keep);
+        state.engines.apply_snapshot(whole, news.cursor, keep);
     }
     drop(state);
     node.look_for_starts();
-    node.listed_to(ListPlace::read(news.cursor), ListedBy::Store);
+    node.listed_to(ListVersion::at_position(news.cursor), ListedBy::Store);
     keeper::look_at_list(node);
     node.placed.notify_waiters();
 }
 
 /// What the keeper told of an engine goes before its heartbeats: these may be written before an order has
 /// ended, and none is written for an adapter. The keeper tells every change.
-fn keep_newer(engines: &hgw_direct::Engines, listed: &mut Listed) {
+fn keep_newer(engines: &hgw_direct::Engines, listed: &mut EngineInfo) {
     let Some(known) = engines.get(&listed.id) else { return };
-    if known.told_at.is_some() && !known.listed.start.is_before(listed.start) {
-        listed.held = known.listed.held.clone();
+    if known.placement_reported_at.is_some() && !known.info.started_at.is_before(listed.started_at)
+    {
+        listed.loaded = known.info.loaded.clone();
     }
 }
 
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -58,7 +58,7 @@
 async fn connection(node: &Node, stream: TcpStream) {
     let usage = Rc::new(Use { requests: Cell::new(0), since: Cell::new(node.now()) });
     let service = service_fn(|req| answer(Rc::clone(node), Rc::clone(&usage), req));
-    let limit = node.state.borrow().catalog.as_ref().map_or(16 << 10, |c| c.limits.head);
+    let limit = node.state.borrow().catalog.as_ref().map_or(16 << 10, |c| c.limits.max_head_bytes);
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
@@ -74,7 +74,7 @@
             () = node.stop.changed.notified() => {}
         }
         let idle = node.now().saturating_sub(usage.since.get());
-        let longest = node.state.borrow().catalog.as_ref().map(|c| c.limits.idle);
+        let longest = node.state.borrow().catalog.as_ref().map(|c| c.limits.idle_timeout);
         let longest = longest.unwrap_or(Duration::from_secs(60)).as_millis() as Millis;
         let unused = usage.requests.get() == 0 && idle > longest;
         if !told && (unused || node.stop.closing.get()) {
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::Silence;
+use hgw_direct::LeaderLiveness;
 use serde::{Deserialize, Serialize};
 
 use crate::clock::boot_time;
@@ -39,7 +39,7 @@
     /// Where the log ended after it.
     renewed_at: Option<Cursor>,
     /// Whether the holder answers this node, and when it last renewed.
-    pub(crate) silence: Silence,
+    pub(crate) silence: LeaderLiveness,
     /// When a renewal was last tried.
     tried: Duration,
 }
@@ -54,14 +54,14 @@
         let now = boot_time();
         let renewed = now.saturating_sub(self.renewed) < lease;
         let awake = now.saturating_sub(self.tried) < lease / 2;
-        self.mine.filter(|_| awake && (renewed || engines_fence)).and_then(Cursor::fence)
+        self.mine.filter(|_| awake && (renewed || engines_fence)).and_then(Cursor::fencing_token)
     }
 
     /// The fencing number under which this node alone may do what no other may do at the same time, where it is sure of
     /// its claim: a successor waits its whole lease.
     pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
         let is_sure = boot_time().saturating_sub(self.renewed) < lease;
-        self.mine.filter(|_| is_sure).and_then(Cursor::fence)
+        self.mine.filter(|_| is_sure).and_then(Cursor::fencing_token)
     }
 
     /// The holder's last renewal, for the other nodes.
--- a/crates/gateway/src/holder/reader.rs
+++ b/crates/gateway/src/holder/reader.rs
@@ -145,7 +145,7 @@
             return Ok(());
         }
         let now = self.node.now();
-        let since = |end| self.node.holding.borrow().silence.since(end, now);
+        let since = |end| self.node.holding.borrow().silence.unrenewed_since(end, now);
         let unrenewed_since = self.end.map_or(now, since);
         let quiet_since = self.quiet_since.unwrap_or(now).min(unrenewed_since);
         self.quiet_since = Some(quiet_since);
@@ -201,7 +201,7 @@
         let Some(before) = node.holding.borrow().sure(lease) else {
             let name = node.settings.borrow().node.clone();
             let lost = node.holding.borrow_mut().mine.take();
-            if let Some(fence) = lost.and_then(Cursor::fence) {
+            if let Some(fence) = lost.and_then(Cursor::fencing_token) {
                 emit(Event::KeeperLost, &[("node", &name), ("term", &fence)]);
             }
             return Ok(());
@@ -215,7 +215,7 @@
 
     /// Claims where the log ends; gives the fencing number where that succeeded, and the one of the claim before.
     async fn claim_at(&mut self, end: Cursor) -> Result<Option<(u64, Option<u64>)>, StoreError> {
-        let Some(fence) = end.fence() else {
+        let Some(fence) = end.fencing_token() else {
             let why = format!("{end} is beyond all fencing numbers");
             return Err(StoreError::Malformed(Malformed { what: "place of a claim", why }));
         };
@@ -291,7 +291,7 @@
         let lost = holding.mine.filter(|mine| {
             entry.node != me || (entry.kind == EntryKind::Claim && record.at != *mine)
         });
-        if let Some(fence) = lost.and_then(Cursor::fence) {
+        if let Some(fence) = lost.and_then(Cursor::fencing_token) {
             emit(Event::KeeperLost, &[("node", &me), ("term", &fence)]);
             holding.mine = None;
         }
@@ -299,7 +299,7 @@
             holding.renewed = began;
         }
         let Entry { kind, node, addr, .. } = entry;
-        let Some(fence) = record.at.fence() else { return };
+        let Some(fence) = record.at.fencing_token() else { return };
         let known = holding.keeper.as_ref().filter(|k| k.node == node).map(|k| k.fence);
         if kind == EntryKind::Claim {
             holding.newest = Some(fence);
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::place::{AdapterStep, place_adapter, spread_adapters};
-use hgw_direct::{Engine, EngineId, ServiceId, Wanted};
+use hgw_direct::placement::{AdapterAction, next_missing_adapter, place_adapter};
+use hgw_direct::{Engine, EngineId, ModelRef, ServiceId};
 use hgw_events::{Event, emit};
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
@@ -34,7 +34,7 @@
 /// Places a model or an adapter that a request waits for.
 pub(crate) async fn want(
     node: &Node,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     domain: &str,
     refuted: Option<&EngineId>,
 ) -> Placement {
@@ -46,8 +46,8 @@
     }
     // Its node tells of the request only with the next exchange; until then it must not look unwanted.
     let now = node.now();
-    node.keeper.borrow_mut().demand.touch(now, wanted);
-    let model = Wanted { model: wanted.model.clone(), adapter: None };
+    node.keeper.borrow_mut().demand.mark_requested(now, wanted);
+    let model = ModelRef { model: wanted.model.clone(), adapter: None };
     if wanted.adapter.is_none() || !is_placed(node, &model) {
         return Placement::Coming(models::coming_in(node, &wanted.model));
     }
@@ -59,17 +59,19 @@
 }
 
 /// An engine has answered that it does not hold what the books say.
-fn disbelieve(node: &Node, wanted: &Wanted, engine: &EngineId) {
+fn disbelieve(node: &Node, wanted: &ModelRef, engine: &EngineId) {
     let mut state = node.state.borrow_mut();
-    let Some(known) = state.engines.get_mut(engine).filter(|e| e.holds(wanted)) else { return };
-    known.drop_held(wanted);
+    let Some(known) = state.engines.get_mut(engine).filter(|e| e.has_loaded(wanted)) else {
+        return;
+    };
+    known.remove_loaded(wanted);
     drop(state);
     node.keeper.borrow_mut().surveyed.shift_remove(engine);
     changed(node, engine);
 }
 
 /// Begins to place an adapter, unless that is under way; tells by what its end is known.
-fn begin_placing(node: &Node, wanted: &Wanted, domain: &str) -> Rc<Notify> {
+fn begin_placing(node: &Node, wanted: &ModelRef, domain: &str) -> Rc<Notify> {
     let mut keeper = node.keeper.borrow_mut();
     if let Some(under_way) = keeper.placing.get(wanted) {
         return Rc::clone(under_way);
@@ -95,20 +97,21 @@
             return;
         }
         let state = node.state.borrow();
-        let engines: Vec<&Engine> = state.engines.of(service).filter(|e| e.takes_work()).collect();
-        spread_adapters(&engines, &keeper.demand, node.now())
+        let engines: Vec<&Engine> =
+            state.engines.of_service(service).filter(|e| e.accepts_requests()).collect();
+        next_missing_adapter(&engines, &keeper.demand, node.now())
     };
     let Some(wanted) = wanted else { return };
     begin_placing(node, &wanted, "");
 }
 
-fn is_placed(node: &Node, wanted: &Wanted) -> bool {
+fn is_placed(node: &Node, wanted: &ModelRef) -> bool {
     let now = node.now();
-    let reached = |e: &Engine| e.takes_work() && !e.judge.is_dark(now);
-    node.state.borrow().engines.iter().any(|e| reached(e) && e.holds(wanted))
+    let reached = |e: &Engine| e.accepts_requests() && !e.health.is_reported_unreachable(now);
+    node.state.borrow().engines.iter().any(|e| reached(e) && e.has_loaded(wanted))
 }
 
-async fn place(node: &Node, wanted: &Wanted, domain: &str) {
+async fn place(node: &Node, wanted: &ModelRef, domain: &str) {
     // As with models: what makes way leaves the books before the order.
     if !may_give(node) {
         return;
@@ -123,21 +126,21 @@
     }
 }
 
-fn choose(node: &Node, wanted: &Wanted, domain: &str) -> Option<(EngineId, Option<Wanted>)> {
+fn choose(node: &Node, wanted: &ModelRef, domain: &str) -> Option<(EngineId, Option<ModelRef>)> {
     let now = node.now();
     for (service, pool) in pools(node) {
         let state = node.state.borrow();
         let keeper = node.keeper.borrow();
         let engines: Vec<&Engine> = state
             .engines
-            .of(&service)
-            .filter(|e| e.takes_work() && keeper.surveyed.contains_key(&e.listed.id))
+            .of_service(&service)
+            .filter(|e| e.accepts_requests() && keeper.surveyed.contains_key(&e.info.id))
             // One that carries out an order for a model takes no other.
-            .filter(|e| !keeper.pending.contains_key(&e.listed.id))
-            .filter(|e| !keeper.emptying.contains(&e.listed.id))
+            .filter(|e| !keeper.pending.contains_key(&e.info.id))
+            .filter(|e| !keeper.emptying.contains(&e.info.id))
             .collect();
         let step = place_adapter(&engines, &pool, &keeper.demand, wanted, domain, now);
-        if let AdapterStep::Load { engine, instead_of } = step {
+        if let AdapterAction::Load { engine, evict: instead_of } = step {
             return Some((engine, instead_of));
         }
     }
@@ -147,14 +150,16 @@
 /// Whether what was chosen is still right: there is a place, or what makes way is still there.
 fn choose_again(
     node: &Node,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     engine: &EngineId,
-    instead_of: Option<&Wanted>,
+    instead_of: Option<&ModelRef>,
 ) -> bool {
     let slots = pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
     let fits = node.engine(engine, |e| {
-        let freed = usize::from(instead_of.is_some_and(|w| e.holds(w)));
-        e.holds_model(&wanted.model) && !e.holds(wanted) && e.places_taken() - freed < slots
+        let freed = usize::from(instead_of.is_some_and(|w| e.has_loaded(w)));
+        e.has_model(&wanted.model)
+            && !e.has_loaded(wanted)
+            && e.adapter_slots_used() - freed < slots
     });
     let keeper = node.keeper.borrow();
     let known = keeper.surveyed.contains_key(engine) && !keeper.pending.contains_key(engine);
@@ -162,9 +167,9 @@
 }
 
 /// Logs what is to be done, with what decided it.
-fn tell(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<&Wanted>) {
+fn tell(node: &Node, engine: &EngineId, wanted: &ModelRef, instead_of: Option<&ModelRef>) {
     let rate = format!("{:.1}", node.keeper.borrow().demand.rate(node.now(), wanted));
-    let drop = instead_of.map(Wanted::to_string).unwrap_or_default();
+    let drop = instead_of.map(ModelRef::to_string).unwrap_or_default();
     emit(
         Event::AdapterPlanned,
         &[
@@ -177,11 +182,16 @@
     );
 }
 
-async fn carry_out(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<Wanted>) {
+async fn carry_out(
+    node: &Node,
+    engine: &EngineId,
+    wanted: &ModelRef,
+    instead_of: Option<ModelRef>,
+) {
     tell(node, engine, wanted, instead_of.as_ref());
     if let Some(victim) = instead_of {
         if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
-            e.drop_held(&victim);
+            e.remove_loaded(&victim);
         }
         changed(node, engine);
         node.keeper.borrow_mut().emptying.insert(engine.clone());
@@ -195,7 +205,7 @@
 }
 
 /// Gives an order until it holds; tells whether it does.
-async fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) -> bool {
+async fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &ModelRef) -> bool {
     // An adapter that requests still use is dropped with the last of them.
     let longest = if kind == OrderKind::Unload { LONGEST_UNLOAD } else { LONGEST };
     let until = Instant::now() + longest;
@@ -203,7 +213,7 @@
     if kind == OrderKind::Load
         && let Some(e) = node.state.borrow_mut().engines.get_mut(engine)
     {
-        e.expect(wanted);
+        e.expect_adapter(wanted);
     }
     let mut accepted = false;
     while Instant::now() < until {
@@ -215,8 +225,8 @@
                 }
                 if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
                     match kind {
-                        OrderKind::Load => e.add_held(wanted),
-                        OrderKind::Unload => e.drop_held(wanted),
+                        OrderKind::Load => e.add_loaded(wanted),
+                        OrderKind::Unload => e.remove_loaded(wanted),
                     }
                 }
                 changed(node, engine);
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hgw_direct::{EngineId, Wanted, is_long};
+use hgw_direct::{EngineId, ModelRef, is_large_list};
 use hgw_events::{Event, emit};
 use hgw_http1::{Body, Request};
 use tokio::time::timeout;
@@ -53,17 +53,18 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &Wanted,
+    wanted: &ModelRef,
 ) -> Given {
     let holder = node.settings.borrow().node.clone();
     let Some(fence) = fence(node) else { return Given::Superseded };
-    let known = node.engine(engine, |e| (e.listed.addr, e.orders, e.listed.start));
+    let known = node.engine(engine, |e| (e.info.addr, e.accepted_orders, e.info.started_at));
     let Some((addr, seq, start)) = known else { return Given::Refused };
     let order = Order { addr, engine, kind, wanted, seq, holder: &holder, fence };
     let req = node.dialects.upstreams.order(&order);
     let given = match exchange(node, engine, &req).await {
         Exchanged::Answered(status, body) => {
-            let still = node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
+            let still =
+                node.engine(engine, |e| !start.is_before(e.info.started_at)).unwrap_or(false);
             // An answer of an earlier start says nothing of this one.
             let given = if still { said(status) } else { Given::Conflict };
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
@@ -124,7 +125,7 @@
 /// accepted too, and does not count.
 pub(super) fn count(node: &Node, engine: &EngineId) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-        engine.orders += 1;
+        engine.accepted_orders += 1;
     }
 }
 
@@ -144,7 +145,7 @@
 
 /// Asks an engine what it holds, where it answers.
 pub(super) async fn ask(node: &Node, engine: &EngineId) -> Option<Free> {
-    let addr = node.engine(engine, |e| e.listed.addr)?;
+    let addr = node.engine(engine, |e| e.info.addr)?;
     let req = node.dialects.upstreams.ask_report(addr, engine);
     let Exchanged::Answered(200, body) = exchange(node, engine, &req).await else { return None };
     match node.dialects.upstreams.report(&body) {
@@ -163,21 +164,21 @@
 fn take_in(node: &Node, engine: &EngineId, report: Report) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let Some(known) = state.engines.meet(engine, report.start) else { return false };
+    let Some(known) = state.engines.observe_start(engine, report.start) else { return false };
     // Its values are some hundred milliseconds old.
-    if report.seq < known.orders {
+    if report.seq < known.accepted_orders {
         return false;
     }
-    known.orders = report.seq;
-    let changes = known.listed.held != report.held;
-    known.listed.held = report.held;
-    known.listed.at_hand = report.at_hand;
-    known.coming = report.coming;
-    known.told = Some((report.load, now, known.own));
-    known.told_at = Some(now);
+    known.accepted_orders = report.seq;
+    let changes = known.info.loaded != report.held;
+    known.info.loaded = report.held;
+    known.info.cached = report.at_hand;
+    known.loading_adapters = report.coming;
+    known.reported_load = Some((report.load, now, known.own_requests));
+    known.placement_reported_at = Some(now);
     // A node may have missed its predecessor's last word, so that what is found out is told even where it is no
     // news here. Of thousands of engines nodes know by the list.
-    let tells = changes || !is_long(&state.engines);
+    let tells = changes || !is_large_list(&state.engines);
     drop(state);
     node.look_for_starts();
     if tells {
@@ -193,7 +194,7 @@
 }
 
 async fn exchange(node: &Node, engine: &EngineId, req: &Request) -> Exchanged {
-    let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return Exchanged::NotSent };
+    let Some(addr) = node.engine(engine, |e| e.info.addr) else { return Exchanged::NotSent };
     let connected = timeout(PATIENCE, node.pool.get(addr, node.connect_limits())).await;
     let Ok(Ok(mut conn)) = connected else { return Exchanged::NotSent };
     let answered = async {
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::place::{Ceiling, CeilingLimits, Pending};
-use hgw_direct::{Demand, EngineId, ListPlace, Millis, Pool, Start, Wanted};
+use hgw_direct::placement::{LoadRateLimiter, LoadRateLimits, PendingLoads};
+use hgw_direct::{Demand, EngineId, ListVersion, Millis, ModelPool, ModelRef, StartTime};
 use indexmap::{IndexMap, IndexSet};
 use tokio::sync::{Mutex, Notify, Semaphore};
 use tokio::time::sleep;
@@ -53,14 +53,14 @@
     /// When the duty was taken up.
     begun: Millis,
     demand: Demand,
-    ceiling: Ceiling,
-    pending: Pending,
+    ceiling: LoadRateLimiter,
+    pending: PendingLoads,
     /// Engines that load a model, and when that is probably done.
     loading: IndexMap<EngineId, Millis>,
     /// Engines whose state was asked for under this claim, and the start that this holds for.
-    surveyed: IndexMap<EngineId, Start>,
+    surveyed: IndexMap<EngineId, StartTime>,
     /// Engines that were met under this claim, and the start in which they were.
-    met: IndexMap<EngineId, Start>,
+    met: IndexMap<EngineId, StartTime>,
     /// Engines that are being asked, or soon will.
     surveying: IndexSet<EngineId>,
     asking: Rc<Asking>,
@@ -69,11 +69,11 @@
     /// One order at a time for each engine.
     desks: IndexMap<EngineId, Rc<Mutex<()>>>,
     /// Adapters that are being placed.
-    placing: IndexMap<Wanted, Rc<Notify>>,
+    placing: IndexMap<ModelRef, Rc<Notify>>,
     /// Nodes that have told what they had been asked for before they knew of these books.
     introduced: IndexSet<SocketAddr>,
     /// As far as the list was told.
-    list_told: ListPlace,
+    list_told: ListVersion,
 }
 
 /// Bounds how many engines are asked at a time.
@@ -95,11 +95,11 @@
         let mut state = node.state.borrow_mut();
         // What this node was asked for and has told nobody yet is in its own count.
         state.asked.clear();
-        keeper.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
+        keeper.demand.merge(now, state.demand.since(), &state.demand.snapshot(now));
     }
     for (_, pool) in pools(node) {
         match &begun {
-            Some(begun) => keeper.ceiling.go_on_from(now, begun, UNHEARD_LOADS),
+            Some(begun) => keeper.ceiling.restore(now, begun, UNHEARD_LOADS),
             None => keeper.ceiling.assume_full(now, &ceiling_limits(node, &pool), FIRST_LOADS),
         }
     }
@@ -121,7 +121,7 @@
     let keeper = node.keeper.borrow();
     if keeper.fence == claim && keeper.begun > 0 {
         let now = node.now();
-        return Some(keeper.ceiling.ages(now).iter().map(|age| now - age).collect());
+        return Some(keeper.ceiling.load_ages(now).iter().map(|age| now - age).collect());
     }
     let told = node.state.borrow().begun.clone();
     told.filter(|(fence, _)| *fence == claim).map(|(_, begun)| begun)
@@ -129,7 +129,7 @@
 
 /// A load from the weight store begins; the nodes are told at once, as one of them may be the successor.
 fn begin_load(node: &Node) {
-    node.keeper.borrow_mut().ceiling.begin(node.now());
+    node.keeper.borrow_mut().ceiling.record_load(node.now());
     node.news.notify_waiters();
 }
 
@@ -151,12 +151,12 @@
 fn survey(node: &Node) {
     let services: Vec<_> = pools(node).into_iter().map(|(service, _)| service).collect();
     let state = node.state.borrow();
-    let engines = state.engines.iter().filter(|e| services.contains(&e.listed.service));
-    let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
+    let engines = state.engines.iter().filter(|e| services.contains(&e.info.service));
+    let ids: Vec<EngineId> = engines.map(|e| e.info.id.clone()).collect();
     let mut keeper = node.keeper.borrow_mut();
     keeper.surveyed.retain(|id, start| {
         let engine = state.engines.get(id).filter(|_| ids.contains(id));
-        engine.is_some_and(|e| !start.is_before(e.listed.start))
+        engine.is_some_and(|e| !start.is_before(e.info.started_at))
     });
     drop(state);
     node.placements.borrow_mut().retain(|id| ids.contains(id));
@@ -181,7 +181,7 @@
     }
     let asking = Rc::clone(&node.keeper.borrow().asking);
     while node.keeper.borrow().fence == fence
-        && let Some(start) = node.engine(id, |e| e.listed.start)
+        && let Some(start) = node.engine(id, |e| e.info.started_at)
     {
         let state = {
             let _asks = asking.0.acquire().await;
@@ -203,7 +203,7 @@
 /// engine that comes back empty takes its first order so much sooner.
 fn is_new(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
-    let Some(start) = node.engine(id, |e| e.listed.start) else { return false };
+    let Some(start) = node.engine(id, |e| e.info.started_at) else { return false };
     let mut keeper = node.keeper.borrow_mut();
     let held_for = node.now().saturating_sub(keeper.begun);
     let known = keeper.met.insert(id.clone(), start);
@@ -211,16 +211,16 @@
 }
 
 /// Services whose engines hold models.
-fn pools(node: &Node) -> Vec<(hgw_direct::ServiceId, Pool)> {
+fn pools(node: &Node) -> Vec<(hgw_direct::ServiceId, ModelPool)> {
     let state = node.state.borrow();
     let Some(catalog) = &state.catalog else { return Vec::new() };
     let pools = catalog.services.iter();
     pools.filter_map(|(id, s)| Some((id.clone(), s.pool.clone()?))).collect()
 }
 
-fn ceiling_limits(node: &Node, pool: &Pool) -> CeilingLimits {
+fn ceiling_limits(node: &Node, pool: &ModelPool) -> LoadRateLimits {
     let window = node.settings.borrow().load_window.as_millis() as Millis;
-    CeilingLimits { loads_per_s: pool.loads_per_s, window }
+    LoadRateLimits { loads_per_s: pool.loads_per_s, window }
 }
 
 fn desk(node: &Node, engine: &EngineId) -> Rc<Mutex<()>> {
@@ -239,7 +239,7 @@
     let mut keeper = node.keeper.borrow_mut();
     for one in asked {
         let (wanted, count) = one.clone().parts();
-        keeper.demand.saw(now, &wanted, count);
+        keeper.demand.record(now, &wanted, count);
     }
 }
 
@@ -250,7 +250,7 @@
         return;
     }
     let since = past.for_ms.map(|for_ms| now.saturating_sub(for_ms));
-    node.keeper.borrow_mut().demand.go_on_from(now, since, &past.models);
+    node.keeper.borrow_mut().demand.merge(now, since, &past.models);
 }
 
 /// Tells those who wait where the list of engines has changed.
@@ -267,14 +267,14 @@
 
 /// How long ago loads from the weight store began that this node gave.
 pub(crate) fn begun_ages(node: &Node) -> Vec<u64> {
-    node.keeper.borrow().ceiling.ages(node.now())
+    node.keeper.borrow().ceiling.load_ages(node.now())
 }
 
 /// What the engines that hold something hold.
-pub(crate) fn told_of(node: &Node, wanted: &Wanted) -> Vec<Told> {
+pub(crate) fn told_of(node: &Node, wanted: &ModelRef) -> Vec<Told> {
     let state = node.state.borrow();
-    let holders = state.engines.iter().filter(|e| e.holds(wanted));
-    let ids: Vec<EngineId> = holders.map(|e| e.listed.id.clone()).collect();
+    let holders = state.engines.iter().filter(|e| e.has_loaded(wanted));
+    let ids: Vec<EngineId> = holders.map(|e| e.info.id.clone()).collect();
     drop(state);
     ids.iter().filter_map(|id| told(node, id)).collect()
 }
@@ -283,9 +283,9 @@
 pub(crate) fn told(node: &Node, id: &EngineId) -> Option<Told> {
     node.engine(id, |e| Told {
         engine: id.clone(),
-        start: e.listed.start,
-        orders: e.orders,
-        held: e.listed.held.clone(),
+        start: e.info.started_at,
+        orders: e.accepted_orders,
+        held: e.info.loaded.clone(),
     })
 }
 
@@ -293,7 +293,7 @@
 fn changed(node: &Node, engine: &EngineId) {
     let now = node.now();
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-        engine.told_at = Some(now);
+        engine.placement_reported_at = Some(now);
     }
     node.placements.borrow_mut().changed(engine);
     node.news.notify_waiters();
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -3,8 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::place::{Allowed, ModelStep, Source, making_room, next_model_step};
-use hgw_direct::{Engine, EngineId, Pool, Rates, ServiceId, Start, Wanted};
+use hgw_direct::placement::{
+    AllowedActions, ModelLoad, WeightSource, count_evicting, next_model_load,
+};
+use hgw_direct::{Engine, EngineId, ModelPool, ModelRef, Rates, ServiceId, StartTime};
 use hgw_events::{Event, emit};
 use tokio::time::{Instant, sleep, timeout_at};
 
@@ -39,37 +41,38 @@
 const CEILING_CHECK: Duration = Duration::from_millis(50);
 
 /// Begins what helps most, as far as the weight store takes loads.
-pub(super) fn step(node: &Node, service: &ServiceId, pool: &Pool) {
+pub(super) fn step(node: &Node, service: &ServiceId, pool: &ModelPool) {
     // What makes way leaves the books before the order. Where none may be given, as the claim could not be renewed,
     // nothing would be dropped, and nobody would be sent to a copy that is there.
     while may_give(node) {
         let now = node.now();
         let mut keeper = node.keeper.borrow_mut();
-        if making_room(&keeper.pending, &keeper.loading) >= MOST_MAKING_ROOM {
+        if count_evicting(&keeper.pending, &keeper.loading) >= MOST_MAKING_ROOM {
             return;
         }
         let seen_for = keeper.demand.since().map_or(0, |since| now.saturating_sub(since));
         let told = now.saturating_sub(keeper.begun) >= NODES_TELL.as_millis() as u64;
-        let allowed = Allowed {
-            store: keeper.ceiling.allows(now, &ceiling_limits(node, pool)),
-            drop: told && seen_for >= SEEN_FOR.as_millis() as u64,
+        let allowed = AllowedActions {
+            load_from_store: keeper.ceiling.allows(now, &ceiling_limits(node, pool)),
+            evict: told && seen_for >= SEEN_FOR.as_millis() as u64,
         };
         let state = node.state.borrow();
         // What engines hold that cannot be reached is nowhere, long before their entries lapse.
-        let engines = state.engines.of(service).filter(|e| e.takes_work());
-        let engines: Vec<&Engine> = engines.filter(|e| !e.judge.is_dark(now)).collect();
+        let engines = state.engines.of_service(service).filter(|e| e.accepts_requests());
+        let engines: Vec<&Engine> =
+            engines.filter(|e| !e.health.is_reported_unreachable(now)).collect();
         let rates = keeper.demand.rates(now);
         let mut taken = keeper.pending.clone();
-        for engine in engines.iter().filter(|e| !keeper.surveyed.contains_key(&e.listed.id)) {
+        for engine in engines.iter().filter(|e| !keeper.surveyed.contains_key(&e.info.id)) {
             // What it holds counts, but what else is under way there is not known yet.
-            taken.entry(engine.listed.id.clone()).or_default();
+            taken.entry(engine.info.id.clone()).or_default();
         }
-        let step = next_model_step(&engines, pool, &rates, &taken, allowed, now);
+        let step = next_model_load(&engines, pool, &rates, &taken, allowed, now);
         let Some(step) = step else { return };
         tell(node, &step, &engines, &rates);
         drop(state);
-        step.make_way(&mut node.state.borrow_mut().engines);
-        keeper.pending.insert(step.engine.clone(), step.load.clone());
+        step.apply_evictions(&mut node.state.borrow_mut().engines);
+        keeper.pending.insert(step.engine.clone(), step.model.clone());
         drop(keeper);
         let (node, pool) = (Rc::clone(node), pool.clone());
         tokio::task::spawn_local(async move {
@@ -83,22 +86,22 @@
 }
 
 /// Logs what is to be done, with what decided it.
-fn tell(node: &Node, step: &ModelStep, engines: &[&Engine], rates: &Rates) {
-    let copies = |model: &str| engines.iter().filter(|e| e.holds_model(model)).count().to_string();
+fn tell(node: &Node, step: &ModelLoad, engines: &[&Engine], rates: &Rates) {
+    let copies = |model: &str| engines.iter().filter(|e| e.has_model(model)).count().to_string();
     let rate = |model: &str| format!("{:.1}", rates.of_model(model));
     let of_dropped = |of: &dyn Fn(&str) -> String| {
-        step.drop.iter().map(|model| of(model)).collect::<Vec<_>>().join(",")
+        step.evict.iter().map(|model| of(model)).collect::<Vec<_>>().join(",")
     };
     emit(
         Event::PlacementPlanned,
         &[
             ("node", &node.settings.borrow().node),
             ("upstream", &step.engine),
-            ("load", &step.load),
-            ("load_rate", &rate(&step.load)),
-            ("load_copies", &copies(&step.load)),
+            ("load", &step.model),
+            ("load_rate", &rate(&step.model)),
+            ("load_copies", &copies(&step.model)),
             ("source", &step.source),
-            ("drop", &step.drop.join(",")),
+            ("drop", &step.evict.join(",")),
             ("drop_rate", &of_dropped(&rate)),
             ("drop_copies", &of_dropped(&copies)),
         ],
@@ -106,29 +109,30 @@
 }
 
 /// Makes room at an engine and has a model loaded there.
-async fn put(node: &Node, pool: &Pool, step: ModelStep) {
-    let ModelStep { engine, drop, load, source } = step;
+async fn put(node: &Node, pool: &ModelPool, step: ModelLoad) {
+    let ModelLoad { engine, evict: drop, model: load, source } = step;
     for model in drop {
-        let victim = Wanted { model, adapter: None };
+        let victim = ModelRef { model, adapter: None };
         if !carry_out(node, &engine, OrderKind::Unload, &victim, Duration::ZERO).await {
             return;
         }
     }
-    if source == Source::Store {
+    if source == WeightSource::Store {
         while !node.keeper.borrow_mut().ceiling.allows(node.now(), &ceiling_limits(node, pool)) {
             sleep(CEILING_CHECK).await;
         }
         begin_load(node);
     }
-    let usual = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.time(m));
+    let usual = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.load_time(m));
     node.keeper.borrow_mut().loading.insert(engine.clone(), node.now() + usual.as_millis() as u64);
-    let wanted = Wanted { model: load, adapter: None };
+    let wanted = ModelRef { model: load, adapter: None };
     carry_out(node, &engine, OrderKind::Load, &wanted, usual).await;
 }
 
 /// Milliseconds until a model that is nowhere is probably there.
 pub(super) fn coming_in(node: &Node, model: &str) -> u64 {
-    let usual = pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
+    let usual =
+        pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.store_load_time));
     let usual = usual.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
     let keeper = node.keeper.borrow();
     let on_its_way = keeper.pending.iter().filter(|(_, m)| *m == model);
@@ -144,15 +148,15 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     usual: Duration,
 ) -> bool {
     let turn = desk(node, engine);
-    let Some(start) = node.engine(engine, |e| e.listed.start) else { return false };
+    let Some(start) = node.engine(engine, |e| e.info.started_at) else { return false };
     if kind == OrderKind::Unload {
         // Nobody sends to it any more.
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-            engine.drop_held(wanted);
+            engine.remove_loaded(wanted);
         }
         changed(node, engine);
         sleep(WORD_AHEAD).await;
@@ -195,12 +199,12 @@
 }
 
 /// Whether an engine has not started anew: an order given before tells nothing of what it holds now.
-fn is_still(node: &Node, engine: &EngineId, start: Start) -> bool {
-    node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false)
+fn is_still(node: &Node, engine: &EngineId, start: StartTime) -> bool {
+    node.engine(engine, |e| !start.is_before(e.info.started_at)).unwrap_or(false)
 }
 
 /// Sleeps, but not for an engine that starts anew meanwhile.
-async fn sleep_while(node: &Node, engine: &EngineId, start: Start, pause: Duration) {
+async fn sleep_while(node: &Node, engine: &EngineId, start: StartTime, pause: Duration) {
     let until = Instant::now() + pause;
     while Instant::now() < until {
         let started_anew = node.started_anew.notified();
@@ -210,11 +214,11 @@
     }
 }
 
-fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) {
+fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &ModelRef) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         match kind {
-            OrderKind::Load => engine.add_held(wanted),
-            OrderKind::Unload => engine.drop_held(wanted),
+            OrderKind::Load => engine.add_loaded(wanted),
+            OrderKind::Unload => engine.remove_loaded(wanted),
         }
     }
     changed(node, engine);
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hgw_direct::heads::{Member, candidates};
-use hgw_direct::{Millis, tells_sends};
+use hgw_direct::hubs::{Member, candidates};
+use hgw_direct::{Millis, broadcasts_sends};
 use tokio::time::sleep;
 
 use crate::backoff::after_failure;
@@ -70,7 +70,7 @@
             node: settings.node.clone(),
             addr: settings.peers,
             domain: settings.domain.clone(),
-            processor: settings.processor,
+            cpu_share: settings.processor,
         }
     };
     let entry = serde_json::to_vec(&me).expect("a member can be written as JSON");
@@ -84,11 +84,11 @@
     let members = nodes.iter().filter_map(|(_, entry)| serde_json::from_slice(entry).ok());
     let members: Vec<Member> = members.collect();
     node.state.borrow_mut().nodes = count.max(1);
-    if tells_sends(count) {
+    if broadcasts_sends(count) {
         node.sends.know(members.iter().map(|m| m.addr).collect());
     }
     let own = candidates(&members, &node.settings.borrow().domain);
-    node.heads.borrow_mut().know(own);
+    node.heads.borrow_mut().set_candidates(own);
     *node.members.borrow_mut() = members;
     true
 }
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -100,13 +100,13 @@
     let now = node.now();
     let limits = node.budget_limits();
     for (service, budget) in &mut node.state.borrow_mut().budgets {
-        let left = budget.left(now, &limits).max(0.0);
+        let left = budget.remaining(now, &limits).max(0.0);
         gauge!("hgw_second_tries_left", "service" => service.to_string()).set(left);
     }
     let state = node.state.borrow();
     let (mut ready, mut leaving, mut silent) = (0.0, 0.0, 0.0);
     for engine in state.engines.iter() {
-        match (engine.takes_work(), engine.judge.is_left_alone(now)) {
+        match (engine.accepts_requests(), engine.health.is_ejected(now)) {
             (false, _) => leaving += 1.0,
             (true, true) => silent += 1.0,
             (true, false) => ready += 1.0,
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/dark.rs
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::flights::EngineKey;
-use hgw_direct::heads::Parent;
-use hgw_direct::sums::{Circle, Relation};
-use hgw_direct::{Millis, tells_sends};
+use hgw_direct::aggregation::{Neighbors, Relation};
+use hgw_direct::hubs::Parent;
+use hgw_direct::in_flight::EngineKey;
+use hgw_direct::{Millis, broadcasts_sends};
 use hgw_events::{Event, emit};
 use hgw_http1::Conn;
 use tokio::time::sleep;
@@ -34,11 +34,11 @@
 
 /// An engine could not be reached, or was silent on all connections: the head of this node's domain is told.
 pub(crate) fn lost(node: &Node, key: EngineKey) {
-    if tells_sends(node.state.borrow().nodes) {
+    if broadcasts_sends(node.state.borrow().nodes) {
         return;
     }
     match node.parent() {
-        Some((Parent::Head(head), _)) => {
+        Some((Parent::Hub(head), _)) => {
             node.sends.tell_to([&head].into_iter(), &Word::Lost(key));
         }
         _ => watch(node, key),
@@ -68,11 +68,11 @@
     match relation(node, from) {
         // One of its nodes hears an engine that this one holds for dark.
         Relation::Child if !dark => tell(node, key, false),
-        Relation::Child | Relation::Stranger => {}
+        Relation::Child | Relation::Unrelated => {}
         relation => {
             if believe(node, key, dark) {
                 tell_children(node, &circle(node), key, dark);
-            } else if relation == Relation::Head {
+            } else if relation == Relation::Hub {
                 node.sends.tell_to([&from].into_iter(), &word(node, key, false));
             }
         }
@@ -105,7 +105,7 @@
 }
 
 fn addr_of(node: &Node, key: EngineKey) -> Option<SocketAddr> {
-    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.addr)
+    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.info.addr)
 }
 
 /// Believes it, and tells those that ask this node, and the other heads.
@@ -115,15 +115,15 @@
     }
     let circle = circle(node);
     tell_children(node, &circle, key, dark);
-    node.sends.tell_to(circle.heads.iter(), &word(node, key, dark));
+    node.sends.tell_to(circle.hubs.iter(), &word(node, key, dark));
 }
 
 /// The failure domain of an engine.
 fn domain_of(node: &Node, key: EngineKey) -> Option<String> {
-    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.domain.clone())
+    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.info.domain.clone())
 }
 
-fn tell_children(node: &Node, circle: &Circle, key: EngineKey, dark: bool) {
+fn tell_children(node: &Node, circle: &Neighbors, key: EngineKey, dark: bool) {
     node.sends.tell_to(circle.children.iter(), &word(node, key, dark));
 }
 
@@ -137,18 +137,18 @@
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(engine) = state.engines.by_key(key) else { return false };
-    if dark && now.saturating_sub(engine.heard) < HEARD_LATELY {
+    if dark && now.saturating_sub(engine.last_heard) < HEARD_LATELY {
         return false;
     }
-    let was_dark = engine.judge.is_dark(now);
+    let was_dark = engine.health.is_reported_unreachable(now);
     if dark {
-        engine.judge.told_dark(now + DARK_FOR.as_millis() as Millis);
+        engine.health.report_unreachable(now + DARK_FOR.as_millis() as Millis);
     } else {
-        engine.judge.told_back();
+        engine.health.report_reachable();
     }
     if was_dark != dark {
-        let opinion = engine.judge.opinion(now);
-        let (name, engine) = (&node.settings.borrow().node, engine.listed.id.clone());
+        let opinion = engine.health.health(now);
+        let (name, engine) = (&node.settings.borrow().node, engine.info.id.clone());
         emit(
             Event::EngineJudged,
             &[("node", name), ("upstream", &engine), ("opinion", &opinion), ("told", &true)],
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::heads::{Parent, PassedOver, crowd, digest};
-use hgw_direct::{Millis, Wanted};
+use hgw_direct::hubs::{Parent, SkipReason, digest, poll_interval_factor};
+use hgw_direct::{Millis, ModelRef};
 use hgw_events::{Event, emit};
 use indexmap::IndexMap;
 use tokio::time::sleep;
@@ -38,7 +38,9 @@
             continue;
         };
         let pause = match asking.ask(&node, parent, addr).await {
-            Some(children) => EXCHANGE_LEAST * crowd(children, node.state.borrow().nodes),
+            Some(children) => {
+                EXCHANGE_LEAST * poll_interval_factor(children, node.state.borrow().nodes)
+            }
             None => NO_KEEPER,
         };
         sleep(pause).await;
@@ -61,7 +63,7 @@
     async fn ask(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
         let fence = node.holding.borrow().keeper.as_ref().map_or(0, |k| k.fence);
         let mut asked = take_asked(node);
-        let introduces = parent == Parent::Holder && self.introduced != Some(fence);
+        let introduces = parent == Parent::Leader && self.introduced != Some(fence);
         let past = introduces.then(|| counted_before(node));
         if introduces {
             // It is in there.
@@ -75,7 +77,7 @@
             Err(why) => {
                 self.is_silent(node, parent, addr);
                 // Who gives the orders no more says so at once; its successor need not wait until its word is old.
-                node.keeper_refuses.set(parent == Parent::Holder && why == Unanswered::Refused);
+                node.keeper_refuses.set(parent == Parent::Leader && why == Unanswered::Refused);
                 give_back(node, tell.asked);
                 return None;
             }
@@ -93,7 +95,7 @@
         let children = news.children;
         node.backoff.siblings(children);
         if news.age_ms > longest_age(node) {
-            node.heads.borrow_mut().pass_over(addr, PassedOver::Stale, node.now());
+            node.heads.borrow_mut().skip(addr, SkipReason::Stale, node.now());
         }
         take_in_news(node, now, news);
         Some(children)
@@ -123,10 +125,10 @@
 
     fn is_silent(&mut self, node: &Node, parent: Parent, addr: SocketAddr) {
         self.links.entry(addr).or_default().is_silent(node, addr);
-        if parent == Parent::Holder {
-            node.holding.borrow_mut().silence.is_silent();
+        if parent == Parent::Leader {
+            node.holding.borrow_mut().silence.mark_unresponsive();
         }
-        node.heads.borrow_mut().pass_over(addr, PassedOver::Silent, node.now());
+        node.heads.borrow_mut().skip(addr, SkipReason::Unresponsive, node.now());
     }
 }
 
@@ -144,9 +146,9 @@
         node.holding.borrow_mut().hear_of(keeper);
     }
     let renewed = news.renewed.map(|(end, age)| (end, arrived.saturating_sub(age)));
-    node.holding.borrow_mut().silence.answers(renewed);
+    node.holding.borrow_mut().silence.record_response(renewed);
     if let Some(heads) = news.heads {
-        node.heads.borrow_mut().know(heads);
+        node.heads.borrow_mut().set_candidates(heads);
     }
     take_in_list(node, news.list);
     // By the time of the question: the answer may have been long on its way.
@@ -202,7 +204,7 @@
 
 fn take_asked(node: &Node) -> Vec<Asked> {
     let asked = std::mem::take(&mut node.state.borrow_mut().asked);
-    let one = |(w, count): (Wanted, f64)| Asked { model: w.model, adapter: w.adapter, count };
+    let one = |(w, count): (ModelRef, f64)| Asked { model: w.model, adapter: w.adapter, count };
     asked.into_iter().map(one).collect()
 }
 
@@ -210,7 +212,7 @@
     let now = node.now();
     let demand = &node.state.borrow().demand;
     let for_ms = demand.since().map(|since| now.saturating_sub(since));
-    CountedBefore { for_ms, models: demand.past(now) }
+    CountedBefore { for_ms, models: demand.snapshot(now) }
 }
 
 fn give_back(node: &Node, asked: Vec<Asked>) {
--- a/crates/gateway/src/peers/flights.rs
+++ b/crates/gateway/src/peers/flights.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::flights::{EngineKey, Flight, Told};
-use hgw_direct::heads::{Parent, candidates};
-use hgw_direct::sums::{Circle, Relation, Scope};
-use hgw_direct::tells_sends;
+use hgw_direct::aggregation::{Neighbors, Relation, ReportScope};
+use hgw_direct::broadcasts_sends;
+use hgw_direct::hubs::{Parent, candidates};
+use hgw_direct::in_flight::{EngineKey, InFlightLoad, InFlightUpdate};
 use indexmap::IndexMap;
 use tokio::time::sleep;
 
@@ -28,13 +28,13 @@
 const MOST_HEADS: usize = 40;
 
 /// The nodes that this one listens to, and those that it tells.
-pub(super) fn circle(node: &Node) -> Circle {
+pub(super) fn circle(node: &Node) -> Neighbors {
     let (me, view) = (node.settings.borrow().peers, View::of(node));
     let is = |relation| move |addr: &SocketAddr| view.relation(node, *addr) == relation;
     let others = node.sends.others().into_iter().filter(|addr| *addr != me);
-    let heads = others.filter(is(Relation::OtherHead)).collect();
+    let heads = others.filter(is(Relation::OtherHub)).collect();
     let children = node.children.all().into_iter().filter(is(Relation::Child)).collect();
-    Circle { head: view.head, heads, children }
+    Neighbors { hub: view.head, hubs: heads, children }
 }
 
 /// By what a node tells what others are to it.
@@ -48,7 +48,7 @@
 impl View {
     fn of(node: &Node) -> View {
         let head = match node.parent() {
-            Some((Parent::Head(addr), _)) => Some(addr),
+            Some((Parent::Hub(addr), _)) => Some(addr),
             _ => None,
         };
         let me = node.settings.borrow().peers;
@@ -58,13 +58,13 @@
 
     fn relation(self, node: &Node, other: SocketAddr) -> Relation {
         if self.head == Some(other) {
-            Relation::Head
+            Relation::Hub
         } else if self.tells_heads && node.sends.knows(other) {
-            Relation::OtherHead
+            Relation::OtherHub
         } else if node.children.has(other) {
             Relation::Child
         } else {
-            Relation::Stranger
+            Relation::Unrelated
         }
     }
 }
@@ -77,7 +77,7 @@
 /// Tells other nodes what is at engines, until the process ends.
 pub(crate) async fn tell(node: Node) {
     loop {
-        if tells_sends(node.state.borrow().nodes) || node.state.borrow().nodes < 2 {
+        if broadcasts_sends(node.state.borrow().nodes) || node.state.borrow().nodes < 2 {
             sleep(IDLE).await;
             continue;
         }
@@ -90,9 +90,9 @@
     if node.holding.borrow().is_mine() {
         know_heads(node);
     }
-    let said = node.sums.borrow_mut().next(node.now(), own(node), &circle(node));
+    let said = node.sums.borrow_mut().next_updates(node.now(), own(node), &circle(node));
     for saying in said {
-        node.sends.tell_to(saying.to.iter(), &Word::Flights(saying.scope, saying.told));
+        node.sends.tell_to(saying.to.iter(), &Word::Flights(saying.scope, saying.update));
     }
     apply_to_all(node);
 }
@@ -117,24 +117,24 @@
 }
 
 /// What this node has at engines.
-fn own(node: &Node) -> IndexMap<EngineKey, Flight> {
+fn own(node: &Node) -> IndexMap<EngineKey, InFlightLoad> {
     let state = node.state.borrow();
-    let used = state.engines.iter().filter(|e| e.own > 0);
-    used.map(|e| (e.key(), e.own_flight())).collect()
+    let used = state.engines.iter().filter(|e| e.own_requests > 0);
+    used.map(|e| (e.key(), e.own_in_flight())).collect()
 }
 
 /// Another node tells. What comes from elsewhere changes nothing: only those count that ask this node or that it asks,
 /// and heads that the keeper has named.
-pub(super) fn take_in(node: &Node, from: SocketAddr, scope: Scope, told: &Told) {
+pub(super) fn take_in(node: &Node, from: SocketAddr, scope: ReportScope, told: &InFlightUpdate) {
     let mut sums = node.sums.borrow_mut();
-    let concerned = sums.take(from, relation(node, from), scope, told, node.now());
-    if !sums.are_fresh() {
+    let concerned = sums.apply(from, relation(node, from), scope, told, node.now());
+    if !sums.is_fresh() {
         return;
     }
     let mut state = node.state.borrow_mut();
     for key in concerned {
         if let Some(engine) = state.engines.by_key(key) {
-            engine.elsewhere = Some(sums.elsewhere(key));
+            engine.in_flight_elsewhere = Some(sums.in_flight_elsewhere(key));
         }
     }
 }
@@ -142,7 +142,8 @@
 fn apply_to_all(node: &Node) {
     let sums = node.sums.borrow();
     for engine in node.state.borrow_mut().engines.iter_mut() {
-        engine.elsewhere = sums.are_fresh().then(|| sums.elsewhere(engine.key()));
+        engine.in_flight_elsewhere =
+            sums.is_fresh().then(|| sums.in_flight_elsewhere(engine.key()));
     }
     node.turns.next.notify_waiters();
 }
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -1,64 +1,70 @@
 //! What the keeper tells of engines: the list, and what they hold.
 
-use hgw_direct::{AtHand, Engines, ListNews, ListPart, Listed, Passed, Standing};
+use hgw_direct::{
+    CachedWeights, EngineInfo, EngineRecord, EngineState, Engines, ListUpdate, ListUpdateKind,
+};
 
 use crate::shared::{ListedBy, Node};
 
 use super::message::Told;
 
 /// Takes the list of engines in that another node tells.
-pub(super) fn take_in_list(node: &Node, news: ListNews) {
+pub(super) fn take_in_list(node: &Node, news: ListUpdate) {
     let mut state = node.state.borrow_mut();
-    if news.part == ListPart::Unknown {
+    if news.kind == ListUpdateKind::Unknown {
         return;
     }
-    if news.part == ListPart::ReadAnew {
+    if news.kind == ListUpdateKind::RereadStore {
         state.list_at = None;
         node.reads_list.set(true);
         return;
     }
-    let changes = news.part == ListPart::Whole || !news.engines.is_empty() || !news.gone.is_empty();
+    let changes =
+        news.kind == ListUpdateKind::Full || !news.engines.is_empty() || !news.removed.is_empty();
     let engines = &mut state.engines;
-    engines.copy_ends(news.copy_end);
-    let entries: Vec<Listed> =
+    engines.set_backup_end(news.backup_end);
+    let entries: Vec<EngineInfo> =
         news.engines.into_iter().map(|passed| listed_as(engines, passed)).collect();
-    if news.part == ListPart::Whole {
-        engines.replace(entries, news.place.cursor(), false);
+    if news.kind == ListUpdateKind::Full {
+        engines.apply_snapshot(entries, news.version.position(), false);
     } else {
         for entry in entries {
-            engines.list(entry);
+            engines.upsert(entry);
         }
-        for (gone, at) in &news.gone {
-            engines.unlist(gone, *at);
+        for (gone, at) in &news.removed {
+            engines.remove(gone, *at);
         }
     }
     drop(state);
     node.look_for_starts();
-    node.listed_to(news.place, ListedBy::Peer);
+    node.listed_to(news.version, ListedBy::Peer);
     if changes {
         node.news.notify_waiters();
     }
 }
 
-fn listed_as(engines: &Engines, passed: Passed) -> Listed {
-    let known = engines.get(&passed.engine).filter(|k| !k.listed.start.is_before(passed.start));
+fn listed_as(engines: &Engines, passed: EngineRecord) -> EngineInfo {
+    let known =
+        engines.get(&passed.engine).filter(|k| !k.info.started_at.is_before(passed.started_at));
     let standing = match (passed.leaving, passed.unreadable) {
-        (_, true) => Standing::Unreadable,
-        (true, false) => Standing::Leaving { gone_at: None },
-        (false, false) => Standing::Ready,
+        (_, true) => EngineState::Unreadable,
+        (true, false) => EngineState::Leaving { terminates_at: None },
+        (false, false) => EngineState::Ready,
     };
-    Listed {
+    EngineInfo {
         id: passed.engine,
-        at: passed.at,
-        start: passed.start,
+        position: passed.position,
+        started_at: passed.started_at,
         service: passed.service.into(),
         addr: passed.addr,
         domain: passed.domain,
         slots: passed.slots,
-        standing,
-        held: known.filter(|k| k.told_at.is_some()).map_or(passed.held, |k| k.listed.held.clone()),
-        at_hand: AtHand::default(),
-        cold_ms: u64::from(passed.cold),
+        state: standing,
+        loaded: known
+            .filter(|k| k.placement_reported_at.is_some())
+            .map_or(passed.loaded, |k| k.info.loaded.clone()),
+        cached: CachedWeights::default(),
+        warmup_ms_left: u64::from(passed.warming_up),
     }
 }
 
@@ -70,15 +76,15 @@
     let mut state = node.state.borrow_mut();
     let mut placements = node.placements.borrow_mut();
     for told in engines {
-        let Some(engine) = state.engines.meet(&told.engine, told.start) else { continue };
-        if told.orders >= engine.orders {
-            let known = engine.told_at.is_some() && engine.listed.held == told.held;
-            if !known || engine.orders != told.orders {
+        let Some(engine) = state.engines.observe_start(&told.engine, told.start) else { continue };
+        if told.orders >= engine.accepted_orders {
+            let known = engine.placement_reported_at.is_some() && engine.info.loaded == told.held;
+            if !known || engine.accepted_orders != told.orders {
                 placements.changed(&told.engine);
             }
-            engine.orders = told.orders;
-            engine.listed.held = told.held;
-            engine.told_at = Some(now);
+            engine.accepted_orders = told.orders;
+            engine.info.loaded = told.held;
+            engine.placement_reported_at = Some(now);
         }
     }
     placements.retain(|id| state.engines.get(id).is_some());
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,7 +1,10 @@
 use std::net::SocketAddr;
 
-use hgw_direct::heads::Member;
-use hgw_direct::{Cursor, EngineId, Era, Held, ListNews, ListPlace, Past, Start, Wanted};
+use hgw_direct::hubs::Member;
+use hgw_direct::{
+    Cursor, DemandSnapshot, EngineId, Era, ListUpdate, ListVersion, LoadedModel, ModelRef,
+    StartTime,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::holder::Keeper;
@@ -13,10 +16,10 @@
 pub(crate) struct Told {
     pub(crate) engine: EngineId,
     /// The start of it that this holds for.
-    pub(crate) start: Start,
+    pub(crate) start: StartTime,
     /// Orders that it has accepted.
     pub(crate) orders: u64,
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<LoadedModel>,
 }
 
 /// How often something was asked for since the last exchange.
@@ -37,7 +40,7 @@
     /// How far it has heard of what engines hold, by the node that it asks.
     pub(crate) heard: Heard,
     /// How far its list of engines goes; the first place where it has none.
-    pub(crate) list: ListPlace,
+    pub(crate) list: ListVersion,
     /// The era of the store that it knows, and for how long that has lasted, in milliseconds; nothing in the first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
@@ -59,7 +62,7 @@
 pub(crate) struct CountedBefore {
     /// For how long it has counted, if there was anything.
     pub(crate) for_ms: Option<u64>,
-    pub(crate) models: Vec<Past>,
+    pub(crate) models: Vec<DemandSnapshot>,
 }
 
 /// What the keeper tells, or a node that passes it on.
@@ -70,7 +73,7 @@
     pub(crate) heard: Heard,
     pub(crate) engines: Vec<Told>,
     /// The list of engines.
-    pub(crate) list: ListNews,
+    pub(crate) list: ListUpdate,
     /// The era of the store that it knows, and for how long that has lasted, in milliseconds; nothing in the first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
@@ -107,7 +110,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HeardLoad(
     pub(super) EngineId,
-    pub(super) Start,
+    pub(super) StartTime,
     pub(super) u32,
     pub(super) u32,
     pub(super) u64,
@@ -143,7 +146,7 @@
 }
 
 impl Asked {
-    pub(crate) fn parts(self) -> (Wanted, f64) {
-        (Wanted { model: self.model, adapter: self.adapter }, self.count)
+    pub(crate) fn parts(self) -> (ModelRef, f64) {
+        (ModelRef { model: self.model, adapter: self.adapter }, self.count)
     }
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hgw_direct::heads::PassedOver;
-use hgw_direct::{EngineId, Wanted};
+use hgw_direct::hubs::SkipReason;
+use hgw_direct::{EngineId, ModelRef};
 use hgw_http1::{Body, Request};
 use http::{Method, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -59,7 +59,7 @@
 const MOST: usize = 1 << 20;
 
 /// Asks that a model or an adapter be placed.
-pub(crate) async fn want(node: &Node, wanted: &Wanted, refuted: Option<&EngineId>) -> Placement {
+pub(crate) async fn want(node: &Node, wanted: &ModelRef, refuted: Option<&EngineId>) -> Placement {
     let keeper = node.holding.borrow().keeper.clone();
     let domain = node.settings.borrow().domain.clone();
     if node.holding.borrow().is_mine() {
@@ -108,7 +108,7 @@
 
 /// A node that passes on does not answer: the next is asked for a while.
 pub(crate) fn is_silent(node: &Node, head: SocketAddr) {
-    node.heads.borrow_mut().pass_over(head, PassedOver::Silent, node.now());
+    node.heads.borrow_mut().skip(head, SkipReason::Unresponsive, node.now());
 }
 
 pub(crate) async fn call<T: Serialize, R: for<'a> Deserialize<'a>>(
@@ -229,7 +229,7 @@
     if !is_keeper(node, want.fence) {
         return own(StatusCode::CONFLICT, "not the keeper");
     }
-    let wanted = Wanted { model: want.model, adapter: want.adapter };
+    let wanted = ModelRef { model: want.model, adapter: want.adapter };
     let placement = keeper::want(node, &wanted, &want.domain, want.refuted.as_ref()).await;
     json(&Wish { placement, engines: keeper::told_of(node, &wanted) })
 }
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -1,7 +1,7 @@
 //! What a node tells those that ask it for what is new: the keeper all others, or a head the nodes of its domain.
 
-use hgw_direct::heads::{Member, candidates, digest};
-use hgw_direct::tells_sends;
+use hgw_direct::broadcasts_sends;
+use hgw_direct::hubs::{Member, candidates, digest};
 use tokio::time::timeout;
 
 use crate::eras;
@@ -27,7 +27,7 @@
     let engines = changed.iter().filter_map(|id| keeper::told(node, id)).collect();
     let (list, catalog, nodes) = {
         let state = node.state.borrow();
-        let list = state.listing.since(&state.engines, Some(tell.list));
+        let list = state.listing.changes_since(&state.engines, Some(tell.list));
         (list, version(node), state.nodes)
     };
     News {
@@ -52,7 +52,7 @@
 }
 
 fn has_nothing(node: &Node, tell: &Tell) -> bool {
-    let same_list = node.state.borrow().listing.has_nothing_since(Some(tell.list));
+    let same_list = node.state.borrow().listing.is_up_to_date(Some(tell.list));
     let same_placements = node.placements.borrow().has_nothing_since(tell.heard);
     same_list && same_placements && version(node) <= tell.catalog
 }
@@ -74,7 +74,7 @@
 
 /// The addresses of the nodes that tell each other, where one knows others: all, or the heads.
 fn others(node: &Node, tell: &Tell) -> Option<Vec<std::net::SocketAddr>> {
-    let tells = tells_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
+    let tells = broadcasts_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
     let wanted = tells && tell.others != node.sends.digest();
     wanted.then(|| node.sends.others()).filter(|others| others.len() <= MOST_OTHERS)
 }
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/sends.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hgw_direct::flights::{EngineKey, Told};
-use hgw_direct::sums::Scope;
-use hgw_direct::{EngineId, Load, SendId, Start, tells_sends};
+use hgw_direct::aggregation::ReportScope;
+use hgw_direct::in_flight::{EngineKey, InFlightUpdate};
+use hgw_direct::{EngineId, Load, SendId, StartTime, broadcasts_sends};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
@@ -27,13 +27,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Word {
     /// It was sent there, with a prompt of so many tokens.
-    Sent(EngineId, Start, SendId, u32),
+    Sent(EngineId, StartTime, SendId, u32),
     /// Its answer begins, and says how many requests run and wait there.
-    Answers(EngineId, Start, SendId, Option<(u32, u32)>),
+    Answers(EngineId, StartTime, SendId, Option<(u32, u32)>),
     /// It has ended without an answer.
-    Ended(EngineId, Start, SendId),
+    Ended(EngineId, StartTime, SendId),
     /// What a node, a domain, or all together have at engines.
-    Flights(Scope, Told),
+    Flights(ReportScope, InFlightUpdate),
     /// A node could not reach an engine.
     Lost(EngineKey),
     /// An engine cannot be reached from a domain.
@@ -90,7 +90,7 @@
     pub(crate) fn tell(&self, node: &Node, word: &Word) {
         let nodes = node.state.borrow().nodes;
         let me = node.settings.borrow().peers;
-        if tells_sends(nodes) {
+        if broadcasts_sends(nodes) {
             let others = self.others.borrow();
             self.tell_to(others.iter().filter(|other| **other != me), word);
         }
@@ -136,20 +136,20 @@
     let engines = &mut state.engines;
     match word {
         Word::Sent(engine, start, id, tokens) => {
-            let Some(engine) = engines.meet(&engine, start) else { return };
-            engine.unread.told(id, tokens, now);
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.add_from_peer(id, tokens, now);
         }
         Word::Answers(engine, start, id, load) => {
-            let Some(engine) = engines.meet(&engine, start) else { return };
-            engine.unread.read(id, now);
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.finish(id, now);
             if let Some((running, waiting)) = load {
-                engine.hear(Load { running, waiting, slots: engine.listed.slots }, now);
+                engine.record_peer_load(Load { running, waiting, slots: engine.info.slots }, now);
             }
         }
         Word::Flights(..) | Word::Lost(_) | Word::Dark(..) | Word::Back(..) => {}
         Word::Ended(engine, start, id) => {
-            let Some(engine) = engines.meet(&engine, start) else { return };
-            engine.unread.read(id, now);
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.finish(id, now);
         }
     }
     drop(state);
--- a/crates/gateway/src/proof.rs
+++ b/crates/gateway/src/proof.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use hgw_direct::{Era, Proof, Seen};
+use hgw_direct::{Era, FreshnessProof, VersionCheck};
 use hgw_events::{Event, emit};
 
 use crate::clock::boot_time;
@@ -29,7 +29,7 @@
 /// What this node has learnt, and whether it was enough when it last looked.
 #[derive(Debug, Default)]
 pub(crate) struct Proofs {
-    learnt: RefCell<Proof>,
+    learnt: RefCell<FreshnessProof>,
     held: Cell<bool>,
 }
 
@@ -37,23 +37,23 @@
 ///
 /// A store that has come back from a copy may lack versions that it had acknowledged, with the keys that they take away:
 /// it shows nothing until the operators have written them again, and nothing while it has an older one than is known here.
-pub(crate) fn read(node: &Shared, seen: Seen) {
+pub(crate) fn read(node: &Shared, seen: VersionCheck) {
     let known = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
     let lacks = node.era.get().era() > Era::FIRST && seen.newest < known;
-    if !lacks && seen.asked >= eras::written_again_at(node) {
+    if !lacks && seen.asked_at >= eras::written_again_at(node) {
         learn(node, seen);
     }
 }
 
-fn learn(node: &Shared, seen: Seen) {
-    node.proofs.learnt.borrow_mut().learn(seen);
+fn learn(node: &Shared, seen: VersionCheck) {
+    node.proofs.learnt.borrow_mut().record(seen);
 }
 
 /// What this node can tell others: the newest version that it knows not to be followed by another, and how long ago.
 pub(crate) fn told(node: &Shared) -> Option<(u64, u64)> {
     let version = node.state.borrow().catalog.as_ref()?.version;
-    let seen = node.proofs.learnt.borrow().of(version)?;
-    let age = boot_time().saturating_sub(seen.asked);
+    let seen = node.proofs.learnt.borrow().latest_check(version)?;
+    let age = boot_time().saturating_sub(seen.asked_at);
     Some((seen.newest, age.as_millis() as u64))
 }
 
@@ -61,7 +61,7 @@
 pub(crate) fn hear(node: &Shared, asked: Duration, held_ms: u64, told: Option<(u64, u64)>) {
     let Some((newest, age_ms)) = told else { return };
     let at = (asked + Duration::from_millis(held_ms)).saturating_sub(Duration::from_millis(age_ms));
-    learn(node, Seen { newest, asked: at });
+    learn(node, VersionCheck { newest, asked_at: at });
 }
 
 /// How long ago it was last known that there is no newer configuration.
--- a/crates/gateway/src/quotas/fill.rs
+++ b/crates/gateway/src/quotas/fill.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::heads::Parent;
-use hgw_direct::quota::{Account, Grant, Lot, Used, Want};
+use hgw_direct::hubs::Parent;
+use hgw_direct::quota::{Account, Allowance, AllowanceRequest, Grant, Usage};
 use hgw_direct::{CustomerId, Millis};
 use hgw_events::{Event, emit};
 use indexmap::IndexMap;
@@ -56,7 +56,7 @@
         if !has_limits(&node) {
             continue;
         }
-        let waits = node.quotas.accounts.borrow().values().any(Account::has_waiting);
+        let waits = node.quotas.accounts.borrow().values().any(Account::has_waiters);
         let pause = if waits { ASKS_LEAST } else { ASKS_AHEAD };
         sleep(pause.saturating_sub(last.elapsed())).await;
         last = Instant::now();
@@ -76,15 +76,17 @@
     customers.is_some_and(|c| c.all().any(|(_, customer)| customer.quota.is_some()))
 }
 
-fn wants(node: &Node) -> Vec<(CustomerId, Want)> {
+fn wants(node: &Node) -> Vec<(CustomerId, AllowanceRequest)> {
     let now = now();
     let mut accounts = node.quotas.accounts.borrow_mut();
-    let all = accounts.iter_mut().map(|(customer, account)| (customer.clone(), account.want(now)));
-    all.filter(|(_, want)| want.most > 0.0).collect()
+    let all = accounts
+        .iter_mut()
+        .map(|(customer, account)| (customer.clone(), account.next_request(now)));
+    all.filter(|(_, want)| want.max > 0.0).collect()
 }
 
 /// Fills the purses from where this node gets allowances.
-async fn fill(node: &Node, wants: Vec<(CustomerId, Want)>) {
+async fn fill(node: &Node, wants: Vec<(CustomerId, AllowanceRequest)>) {
     match source(node) {
         Source::Itself => {
             let me = node.settings.borrow().peers;
@@ -96,29 +98,33 @@
                 take_in(node, asked, &wants, given);
             }
         }
-        Source::Node(Parent::Holder, addr) if node.quotas.is_alone.get() => {
+        Source::Node(Parent::Leader, addr) if node.quotas.is_alone.get() => {
             go_on_alone(node, &wants);
             probe(node, addr);
         }
-        Source::Node(Parent::Holder, addr) => {
+        Source::Node(Parent::Leader, addr) => {
             if !ask_issuer(node, addr, &wants).await {
                 go_on_alone(node, &wants);
             }
         }
-        Source::Node(Parent::Head(_), addr) => ask_head(node, addr, &wants).await,
+        Source::Node(Parent::Hub(_), addr) => ask_head(node, addr, &wants).await,
         Source::Nobody => go_on_alone(node, &wants),
     }
 }
 
 /// Asks the issuer, and tells it what was used without it; whether it answered.
-async fn ask_issuer(node: &Node, addr: SocketAddr, wants: &[(CustomerId, Want)]) -> bool {
+async fn ask_issuer(
+    node: &Node,
+    addr: SocketAddr,
+    wants: &[(CustomerId, AllowanceRequest)],
+) -> bool {
     let quotas = &node.quotas;
-    let used = quotas.alone.borrow_mut().take_used(now());
+    let used = quotas.alone.borrow_mut().take_usage(now());
     let Some((asked, given)) = ask(node, addr, wants, &used, true).await else {
-        quotas.alone.borrow_mut().give_back(used);
+        quotas.alone.borrow_mut().restore_usage(used);
         return false;
     };
-    quotas.alone.borrow_mut().end();
+    quotas.alone.borrow_mut().issuer_responded();
     is_alone(node, false);
     quotas.answered.set(now());
     take_in(node, asked, wants, given);
@@ -126,7 +132,7 @@
 }
 
 /// Asks the head of this node's domain.
-async fn ask_head(node: &Node, addr: SocketAddr, wants: &[(CustomerId, Want)]) {
+async fn ask_head(node: &Node, addr: SocketAddr, wants: &[(CustomerId, AllowanceRequest)]) {
     let quotas = &node.quotas;
     match ask(node, addr, wants, &[], false).await {
         Some((asked, given)) => {
@@ -161,12 +167,12 @@
 async fn ask(
     node: &Node,
     addr: SocketAddr,
-    wants: &[(CustomerId, Want)],
-    used: &[Used],
+    wants: &[(CustomerId, AllowanceRequest)],
+    used: &[Usage],
     of_issuer: bool,
 ) -> Option<(Millis, Given)> {
     let patience = if of_issuer { PATIENCE } else { HEAD_PATIENCE };
-    let mut rows: IndexMap<CustomerId, (Want, f64)> =
+    let mut rows: IndexMap<CustomerId, (AllowanceRequest, f64)> =
         wants.iter().map(|(customer, want)| (customer.clone(), (*want, 0.0))).collect();
     for used in used {
         rows.entry(used.customer.clone()).or_default().1 += used.amount;
@@ -181,22 +187,24 @@
 }
 
 /// Takes in the answer to a question of this time: an allowance lives from then, whatever its answer took.
-fn take_in(node: &Node, asked: Millis, wants: &[(CustomerId, Want)], given: Given) {
+fn take_in(node: &Node, asked: Millis, wants: &[(CustomerId, AllowanceRequest)], given: Given) {
     let rows = given.rows.into_iter().map(|(customer, grants, room)| (customer, (grants, room)));
     let mut given: IndexMap<CustomerId, (Vec<Grant>, Option<Millis>)> = rows.collect();
     for (customer, want) in wants {
         let (grants, room_in) = given.swap_remove(customer).unwrap_or_default();
         with(node, customer, |account| {
-            account.answered(now(), want, room_in);
+            account.record_response(now(), want, room_in);
             for grant in grants {
-                account.purse.add(Lot { amount: grant.amount, until: asked + grant.for_ms });
+                account
+                    .allowances
+                    .add(Allowance { amount: grant.amount, expires_at: asked + grant.ttl_ms });
             }
         });
     }
 }
 
 /// Uses this domain's own share, where the issuer has been silent for a while.
-fn go_on_alone(node: &Node, wants: &[(CustomerId, Want)]) {
+fn go_on_alone(node: &Node, wants: &[(CustomerId, AllowanceRequest)]) {
     let now = now();
     let counted = !node.members.borrow().is_empty() || node.was_followed();
     let lately = now.saturating_sub(node.quotas.answered.get()) < ALONE_AFTER;
@@ -209,10 +217,12 @@
     let share = (f64::from(with_it) / f64::from(nodes)).min(1.0);
     for (customer, want) in wants {
         let Some((terms, _)) = limit(node, customer, None) else { continue };
-        let given = node.quotas.alone.borrow_mut().give(customer, &terms, want, share, now);
+        let given = node.quotas.alone.borrow_mut().grant(customer, &terms, want, share, now);
         with(node, customer, |account| {
-            account.answered(now, want, given.room_in);
-            account.purse.add(Lot { amount: given.amount, until: now + terms.life() });
+            account.record_response(now, want, given.available_in);
+            account
+                .allowances
+                .add(Allowance { amount: given.amount, expires_at: now + terms.allowance_ttl() });
         });
     }
 }
--- a/crates/gateway/src/quotas/give.rs
+++ b/crates/gateway/src/quotas/give.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hgw_direct::heads::Parent;
-use hgw_direct::quota::{Grant, Issuer, Lot, Waiting};
+use hgw_direct::hubs::Parent;
+use hgw_direct::quota::{Allowance, Grant, Issuer, Waiter};
 use tokio::time::timeout;
 
 use crate::shared::Node;
@@ -21,20 +21,20 @@
     let (now, nodes) = (now(), node.state.borrow().nodes);
     let mut issuer = node.quotas.issuer.borrow_mut();
     if issuer.as_ref().is_none_or(|(known, _)| *known != fence) {
-        *issuer = Some((fence, Issuer::begin(now)));
+        *issuer = Some((fence, Issuer::new(now)));
     }
     let (_, issuer) = issuer.as_mut()?;
     if ask.nodes > 0 {
-        issuer.hear(ask.from, ask.nodes, now);
+        issuer.record_contact(ask.from, ask.nodes, now);
     }
     let silent = issuer.silent_share(nodes, now);
     let mut given = Given::default();
     for (customer, want, alone) in &ask.rows {
         let Some((terms, _)) = limit(node, customer, None) else { continue };
-        let part = Issuer::part_of(ask.nodes, nodes);
-        let answer = issuer.give(ask.from, customer, &terms, want, (*alone, silent, part), now);
-        let grant = Grant { amount: answer.amount, for_ms: terms.life() };
-        given.rows.push((customer.clone(), vec![grant], answer.room_in));
+        let part = Issuer::max_share(ask.nodes, nodes);
+        let answer = issuer.grant(ask.from, customer, &terms, want, (*alone, silent, part), now);
+        let grant = Grant { amount: answer.amount, ttl_ms: terms.allowance_ttl() };
+        given.rows.push((customer.clone(), vec![grant], answer.available_in));
     }
     Some(given)
 }
@@ -55,8 +55,8 @@
         Source::Itself => issue(node, &ask),
         _ if ask.of_issuer => None,
         // Two levels and no more: a head passes on what the issuer gives.
-        Source::Node(Parent::Head(_), _) => None,
-        Source::Node(Parent::Holder, _) | Source::Nobody => Some(pass_on(node, &ask).await),
+        Source::Node(Parent::Hub(_), _) => None,
+        Source::Node(Parent::Leader, _) | Source::Nobody => Some(pass_on(node, &ask).await),
     };
     given.map(|given| serde_json::to_vec(&given)).transpose()
 }
@@ -65,13 +65,13 @@
     let mut waits = Vec::new();
     for (customer, want, _) in &ask.rows {
         let lacks = with(node, customer, |account| {
-            account.count_want(now(), want);
-            let lacks = want.most > account.purse.balance(now());
-            lacks && account.room_in(now()).is_none()
+            account.record_peer_request(now(), want);
+            let lacks = want.max > account.allowances.balance(now());
+            lacks && account.available_in(now()).is_none()
         });
         if lacks {
-            let waiting = Waiting { most: want.most, least: want.least };
-            with(node, customer, |account| account.wait(waiting));
+            let waiting = Waiter { max: want.max, min: want.min };
+            with(node, customer, |account| account.add_waiter(waiting));
             waits.push(Waits { node, customer, waiting });
         }
     }
@@ -86,11 +86,14 @@
     for (customer, want, _) in &ask.rows {
         let now = now();
         let (lots, room_in) = with(node, customer, |account| {
-            let there = account.purse.balance(now);
-            let lots = account.purse.take(now, want.of(there));
-            (lots, account.room_in(now))
+            let there = account.allowances.balance(now);
+            let lots = account.allowances.take(now, want.grantable(there));
+            (lots, account.available_in(now))
         });
-        let grant = |lot: Lot| Grant { amount: lot.amount, for_ms: lot.until.saturating_sub(now) };
+        let grant = |lot: Allowance| Grant {
+            amount: lot.amount,
+            ttl_ms: lot.expires_at.saturating_sub(now),
+        };
         let grants: Vec<Grant> = lots.into_iter().map(grant).collect();
         given.rows.push((customer.clone(), grants, room_in));
     }
--- a/crates/gateway/src/quotas/message.rs
+++ b/crates/gateway/src/quotas/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use hgw_direct::quota::{Grant, Want};
+use hgw_direct::quota::{AllowanceRequest, Grant};
 use hgw_direct::{CustomerId, Millis};
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     /// Nodes for which it asks.
     pub(super) nodes: u32,
     /// What is wanted of each customer's limit, and what was used of it without the issuer.
-    pub(super) rows: Vec<(CustomerId, Want, f64)>,
+    pub(super) rows: Vec<(CustomerId, AllowanceRequest, f64)>,
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::heads::Parent;
-use hgw_direct::quota::{Account, Alone, Issuer, Lot, Terms, Waiting};
+use hgw_direct::hubs::Parent;
+use hgw_direct::quota::{Account, Allowance, FallbackIssuer, IssuanceParams, Issuer, Waiter};
 use hgw_direct::{CustomerId, Millis};
 use indexmap::IndexMap;
 use tokio::sync::Notify;
@@ -42,7 +42,7 @@
     accounts: RefCell<IndexMap<CustomerId, Account>>,
     /// While this node issues, and under which claim.
     issuer: RefCell<Option<(u64, Issuer)>>,
-    alone: RefCell<Alone>,
+    alone: RefCell<FallbackIssuer>,
     /// When the issuer last answered, itself or through a head.
     answered: Cell<Millis>,
     is_alone: Cell<bool>,
@@ -67,7 +67,7 @@
 pub(crate) struct Spent {
     node: Node,
     customer: CustomerId,
-    lots: Vec<Lot>,
+    lots: Vec<Allowance>,
     /// Whether an engine may run the request, or did.
     used: Cell<bool>,
 }
@@ -86,7 +86,7 @@
         }
         let mut accounts = self.node.quotas.accounts.borrow_mut();
         let account = accounts.entry(self.customer.clone()).or_default();
-        self.lots.drain(..).for_each(|lot| account.purse.add(lot));
+        self.lots.drain(..).for_each(|lot| account.allowances.add(lot));
     }
 }
 
@@ -96,11 +96,11 @@
 }
 
 /// The limit of a customer, and what a request that tells so many tokens takes of it.
-fn limit(node: &Node, customer: &CustomerId, tokens: Option<u64>) -> Option<(Terms, f64)> {
+fn limit(node: &Node, customer: &CustomerId, tokens: Option<u64>) -> Option<(IssuanceParams, f64)> {
     let state = node.state.borrow();
     let quota = state.catalog.as_ref()?.customers.as_ref()?.get(customer)?.quota?;
-    let terms = Terms::of(quota, &node.settings.borrow().quotas);
-    Some((terms, quota.unit.of(tokens)))
+    let terms = IssuanceParams::new(quota, &node.settings.borrow().quotas);
+    Some((terms, quota.unit.cost(tokens)))
 }
 
 /// Takes what a request needs of its customer's limit; nothing where that has none.
@@ -113,12 +113,12 @@
     let Some((_, cost)) = limit(node, customer, tokens) else { return Ok(None) };
     let until = Instant::now() + longest.min(LONGEST_WAIT);
     let quotas = &node.quotas;
-    with(node, customer, |account| account.count(now(), cost));
+    with(node, customer, |account| account.record_request(now(), cost));
     loop {
         let filled = quotas.filled.notified();
         let (spent, low, short) = with(node, customer, |account| {
-            let spent = account.purse.spend(now(), cost);
-            (spent, account.is_low(now()), account.room_in(now()))
+            let spent = account.allowances.spend(now(), cost);
+            (spent, account.needs_refill(now()), account.available_in(now()))
         });
         if low {
             quotas.wake.notify_one();
@@ -134,8 +134,8 @@
         if Instant::now() >= until {
             return Err(NoAllowance::NoWord(NO_WORD));
         }
-        let waiting = Waiting { most: cost, least: cost };
-        with(node, customer, |account| account.wait(waiting));
+        let waiting = Waiter { max: cost, min: cost };
+        with(node, customer, |account| account.add_waiter(waiting));
         quotas.wake.notify_one();
         // Dropped here or run out: what waits is told by the guard.
         let waits = Waits { node, customer, waiting };
@@ -148,12 +148,12 @@
 struct Waits<'a> {
     node: &'a Node,
     customer: &'a CustomerId,
-    waiting: Waiting,
+    waiting: Waiter,
 }
 
 impl Drop for Waits<'_> {
     fn drop(&mut self) {
-        with(self.node, self.customer, |account| account.wait_over(self.waiting));
+        with(self.node, self.customer, |account| account.remove_waiter(self.waiting));
     }
 }
 
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -1,7 +1,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::{Engine, EngineId, Verdict};
+use hgw_direct::{AttemptOutcome, Engine, EngineId};
 use hgw_http1::{Conn, Error, Head, Request};
 use tokio::time::{Instant, sleep_until};
 
@@ -98,9 +98,9 @@
 
     async fn send_once(&mut self, engine: &EngineId, last_event: Option<u64>) -> Tried {
         let node = Rc::clone(&self.node);
-        let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return Tried::NotSent };
+        let Some(addr) = node.engine(engine, |e| e.info.addr) else { return Tried::NotSent };
         self.tried.push(engine.clone());
-        let tokens = self.prompt().map_or(0, |prompt| prompt.tokens_in);
+        let tokens = self.prompt().map_or(0, |prompt| prompt.prompt_tokens);
         let at_engine = AtEngine::begin(&node, engine, &self.call.id, tokens);
         let connected = node.pool.get(addr, node.connect_limits());
         let connected = tokio::select! {
@@ -142,8 +142,8 @@
             }
             Waited::Done(Err(e)) => {
                 let verdict = match e {
-                    Error::Connect { .. } => Verdict::Silent,
-                    Error::Io(_) | Error::Ended | Error::Malformed { .. } => Verdict::Failed,
+                    Error::Connect { .. } => AttemptOutcome::Unreachable,
+                    Error::Io(_) | Error::Ended | Error::Malformed { .. } => AttemptOutcome::Failed,
                 };
                 at_engine.saw(verdict);
                 node.broke(engine);
@@ -160,7 +160,7 @@
                 Tried::Stalled
             }
             Waited::TimeOver => {
-                at_engine.saw(Verdict::Failed);
+                at_engine.saw(AttemptOutcome::Failed);
                 self.runs += 1;
                 Tried::TimeOver
             }
@@ -169,7 +169,7 @@
 
     /// An engine could not be reached, or was silent.
     pub(super) fn lost(&self, engine: &EngineId) {
-        self.node.saw(engine, Verdict::Silent);
+        self.node.saw(engine, AttemptOutcome::Unreachable);
         self.node.broke(engine);
         if let Some(key) = self.node.engine(engine, Engine::key) {
             peers::lost(&self.node, key);
@@ -222,7 +222,7 @@
             if marks.misdirected {
                 self.correct(engine, &marks);
             } else {
-                at_engine.saw(Verdict::Full);
+                at_engine.saw(AttemptOutcome::Rejected);
             }
             let body = hgw_http1::Body::new(head.framing);
             if let Waited::Done(Ok(_)) = self.bounded(conn.collect(body, 64 << 10)).await {
@@ -236,7 +236,7 @@
         let ours = marks.id.is_some();
         let success = (200..300).contains(&head.status);
         if !ours || (success && !marks.sealed) {
-            at_engine.saw(Verdict::Failed);
+            at_engine.saw(AttemptOutcome::Failed);
             return Tried::Lost;
         }
         at_engine.answers(marks.load);
@@ -250,14 +250,14 @@
         let wanted = self.wanted().cloned();
         let mut state = self.node.state.borrow_mut();
         if marks.engine.as_ref().is_some_and(|answered| answered != engine) {
-            let at = state.engines.get(engine).map(|e| e.listed.at).unwrap_or_default();
-            state.engines.unlist(engine, at);
+            let at = state.engines.get(engine).map(|e| e.info.position).unwrap_or_default();
+            state.engines.remove(engine, at);
             return;
         }
         let (Some(wanted), Some(engine)) = (&wanted, state.engines.get_mut(engine)) else {
             return;
         };
-        engine.drop_held(wanted);
+        engine.remove_loaded(wanted);
         drop(state);
         self.refuted = Some(refuted);
     }
@@ -290,10 +290,10 @@
     /// Waits for a first byte, and gives up early on an engine that is silent, where the request may be
     /// sent to another.
     async fn watched<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
-        if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.attempts {
+        if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.max_attempts {
             return self.at(at_engine, work).await;
         }
-        let hung = (self.route.objective * HUNG_OBJECTIVES).clamp(HUNG_LEAST, HUNG_MOST);
+        let hung = (self.route.first_byte_objective * HUNG_OBJECTIVES).clamp(HUNG_LEAST, HUNG_MOST);
         let work = std::pin::pin!(work);
         self.unless_silent(at_engine, hung, work).await
     }
@@ -324,7 +324,7 @@
         mut work: std::pin::Pin<&mut F>,
     ) -> Waited<F::Output> {
         let (began, engine) = (Instant::now(), at_engine.engine());
-        let few = self.node.engine(engine, |e| e.own).unwrap_or(0) < FEW;
+        let few = self.node.engine(engine, |e| e.own_requests).unwrap_or(0) < FEW;
         let usual = if few { DARK_AFTER_FEW } else { DARK_AFTER };
         loop {
             let dark_after = if self.node.is_dark(engine) { DARK_AFTER_WORD } else { usual };
--- a/crates/gateway/src/relay/identify.rs
+++ b/crates/gateway/src/relay/identify.rs
@@ -1,6 +1,6 @@
 //! Who sends a request, and whether it may run.
 
-use hgw_direct::{Catalog, Customer, CustomerId, Refusal, Route, Sender, Shown};
+use hgw_direct::{CallerIdentity, Catalog, Credentials, Customer, CustomerId, Refusal, Route};
 use hgw_events::{Event, emit};
 use http::StatusCode;
 
@@ -15,7 +15,7 @@
 /// Who sends a request, as it showed when it came.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Identity {
-    shown: Shown,
+    shown: Credentials,
     /// Whether only customers and open routes are served.
     is_guarded: bool,
     pub(super) customer: Option<CustomerId>,
@@ -36,16 +36,18 @@
         node: &Node,
         catalog: &Catalog,
         route: &Route,
-        shown: Shown,
+        shown: Credentials,
     ) -> Result<(Identity, Option<Customer>), Denied> {
         let Some(customers) = &catalog.customers else { return Ok((Identity::default(), None)) };
-        let has_key = shown != Shown::Nothing;
-        let (customer, settings) = match customers.sender(&shown, route.is_open) {
-            Sender::Customer(name, customer) => (Some(name.clone()), Some(customer.clone())),
-            Sender::Anybody => (None, None),
+        let has_key = shown != Credentials::None;
+        let (customer, settings) = match customers.identify(&shown, route.is_public) {
+            CallerIdentity::Customer(name, customer) => {
+                (Some(name.clone()), Some(customer.clone()))
+            }
+            CallerIdentity::Anonymous => (None, None),
             // A node that cannot tell whether it has the newest keys does not know strangers either.
-            Sender::Stranger if proof::holds(node) => return Err(Denied::Stranger),
-            Sender::Stranger => return Err(Denied::NoProof),
+            CallerIdentity::Unauthorized if proof::holds(node) => return Err(Denied::Stranger),
+            CallerIdentity::Unauthorized => return Err(Denied::NoProof),
         };
         if has_key && !proof::holds(node) {
             return Err(Denied::NoProof);
@@ -75,9 +77,9 @@
 pub(super) fn deny(node: &Node, id: &str, route: &Route, why: Denied) -> Answer {
     match why {
         Denied::NoProof => {
-            meter::refused(route, Refusal::NoProof);
-            tell(node, id, route, &Refusal::NoProof);
-            super::refuse(node, Refusal::NoProof, super::NOT_READY)
+            meter::refused(route, Refusal::StaleConfig);
+            tell(node, id, route, &Refusal::StaleConfig);
+            super::refuse(node, Refusal::StaleConfig, super::NOT_READY)
         }
         Denied::Stranger => {
             meter::failed(route, "no valid key");
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hgw_direct::{Catalog, Refusal, come_back};
+use hgw_direct::{Catalog, Refusal, retry_after};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -58,7 +58,7 @@
         return own(StatusCode::NOT_FOUND, "no route");
     };
     let (mut route, service) = (found.route.clone(), found.service.clone());
-    let body = match Limited::new(body, catalog.limits.body).collect().await {
+    let body = match Limited::new(body, catalog.limits.max_body_bytes).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<LengthLimitError>() => {
             return own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
@@ -82,8 +82,8 @@
         Relayed::new(node, active, head, body, call, route, service, identity, arrived);
     if let Err(none) = relayed.spend().await {
         return match none {
-            NoAllowance::OverLimit(wait) => relayed.refuse(Refusal::OverLimit, wait),
-            NoAllowance::NoWord(wait) => relayed.refuse(Refusal::NoAllowance, wait),
+            NoAllowance::OverLimit(wait) => relayed.refuse(Refusal::QuotaExceeded, wait),
+            NoAllowance::NoWord(wait) => relayed.refuse(Refusal::QuotaUnknown, wait),
         };
     }
     if relayed.route.kind.is_stream() {
@@ -96,10 +96,10 @@
 /// Refuses a request that has not run, with a time to come back.
 fn refuse(node: &Node, why: Refusal, wait: Duration) -> Answer {
     let status = match why {
-        Refusal::OverLimit => StatusCode::TOO_MANY_REQUESTS,
+        Refusal::QuotaExceeded => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
     let mut answer = own(status, &why.to_string());
-    node.dialects.callers.come_back(answer.headers_mut(), come_back(wait, random()));
+    node.dialects.callers.come_back(answer.headers_mut(), retry_after(wait, random()));
     answer
 }
--- a/crates/gateway/src/relay/plain.rs
+++ b/crates/gateway/src/relay/plain.rs
@@ -1,6 +1,6 @@
 //! Answers that are given whole.
 
-use hgw_direct::{NoEngine, Verdict};
+use hgw_direct::{AttemptOutcome, NoEngine};
 use hgw_http1::Body;
 use http::{Response, StatusCode};
 
@@ -34,7 +34,7 @@
                 if req.may_reach_on() {
                     continue;
                 }
-                return ended(&req, failure, NoEngine::None);
+                return ended(&req, failure, NoEngine::NoneAvailable);
             }
             Tried::NotRun => {
                 if req.may_go_on() {
@@ -51,7 +51,7 @@
             Tried::TimeOver => return req.fail(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
         }
         if !req.route.kind.may_repeat() || !req.may_go_on() {
-            return ended(&req, failure, NoEngine::None);
+            return ended(&req, failure, NoEngine::NoneAvailable);
         }
     }
 }
@@ -83,11 +83,11 @@
     let body = Body::new(head.framing);
     let collected = req.at(&at_engine, conn.collect(body, MOST)).await;
     let Waited::Done(Ok(body)) = collected else {
-        at_engine.saw(Verdict::Failed);
+        at_engine.saw(AttemptOutcome::Failed);
         return None;
     };
     let failed = head.status >= 500;
-    at_engine.saw(if failed { Verdict::Failed } else { Verdict::Good });
+    at_engine.saw(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success });
     req.node.heard(&engine);
     at_engine.keep(conn);
     drop(at_engine);
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use hgw_direct::{
-    Ask, Choice, Deadline, EngineId, LEAST_TO_SEND, NoEngine, Policy, Prompt, Refusal, Route,
-    ServiceId, Wanted, choose,
+    Choice, ChoiceParams, CostWeights, Deadline, EngineId, MIN_TIME_TO_SEND, ModelRef, NoEngine,
+    Prompt, Refusal, Route, ServiceId, choose_engine,
 };
 use http::request::Parts;
 use rand::random;
@@ -124,7 +124,7 @@
             identity,
             arrived,
             arrived_by_boot: boot_time().saturating_sub(arrived.elapsed()),
-            deadline: Deadline { longest },
+            deadline: Deadline { timeout: longest },
             end: arrived + longest,
             tried: Vec::new(),
             runs: 0,
@@ -146,7 +146,7 @@
     /// Takes what it needs of its customer's limit.
     pub(super) async fn spend(&mut self) -> Result<(), NoAllowance> {
         let Some(customer) = self.identity.customer.clone() else { return Ok(()) };
-        let longest = self.route.objective.mul_f64(ALLOWANCE_SHARE);
+        let longest = self.route.first_byte_objective.mul_f64(ALLOWANCE_SHARE);
         self.spent = quotas::spend(&self.node, &customer, self.call.tokens, longest).await?;
         Ok(())
     }
@@ -162,7 +162,7 @@
     fn count(&self) {
         let (now, limits) = (self.node.now(), self.node.budget_limits());
         let mut state = self.node.state.borrow_mut();
-        state.budgets.entry(self.service.clone()).or_default().first(now, &limits);
+        state.budgets.entry(self.service.clone()).or_default().record_request(now, &limits);
         let Some(wanted) = self.wanted() else { return };
         state.asked_for(now, wanted, 1.0);
     }
@@ -171,24 +171,24 @@
         self.call.prompt.as_ref()
     }
 
-    pub(super) fn wanted(&self) -> Option<&Wanted> {
-        self.prompt().and_then(|p| p.wanted.as_ref())
+    pub(super) fn wanted(&self) -> Option<&ModelRef> {
+        self.prompt().and_then(|p| p.model_ref.as_ref())
     }
 
     pub(super) fn left(&self) -> Duration {
         let by_boot = boot_time().saturating_sub(self.arrived_by_boot);
-        self.deadline.left(self.arrived.elapsed(), by_boot)
+        self.deadline.remaining(self.arrived.elapsed(), by_boot)
     }
 
     /// Whether there is time enough for an engine to begin.
     pub(super) fn can_be_sent(&self) -> bool {
-        self.left() >= LEAST_TO_SEND
+        self.left() >= MIN_TIME_TO_SEND
     }
 
     /// Whether it may be sent once more, after an engine has rejected it or may have run it. Takes from
     /// the budget that all nodes share.
     pub(super) fn may_go_on(&self) -> bool {
-        if self.runs >= self.route.attempts || self.rejected > MORE_REJECTED {
+        if self.runs >= self.route.max_attempts || self.rejected > MORE_REJECTED {
             return false;
         }
         if !self.can_be_sent() {
@@ -197,7 +197,7 @@
         let (now, limits) = (self.node.now(), self.node.budget_limits());
         let mut state = self.node.state.borrow_mut();
         let budget = state.budgets.entry(self.service.clone()).or_default();
-        budget.take(now, &limits, self.route.priority <= 1)
+        budget.try_take(now, &limits, self.route.priority <= 1)
     }
 
     /// Whether another engine may be looked for after one could not be reached.
@@ -213,11 +213,11 @@
             self.waited += began.elapsed();
             meter::waited(&self.route, self.waited);
         }
-        let longest = (self.route.objective * PATIENT_OBJECTIVES).max(PATIENT_LEAST);
+        let longest = (self.route.first_byte_objective * PATIENT_OBJECTIVES).max(PATIENT_LEAST);
         let give_up = Instant::now() + self.left().mul_f64(WAIT_SHARE).min(longest);
         loop {
             let found = self.choose_now();
-            let (Err(NoEngine::NotPlaced(_)), Some(wanted)) = (&found, self.wanted()) else {
+            let (Err(NoEngine::NotLoaded(_)), Some(wanted)) = (&found, self.wanted()) else {
                 return found;
             };
             let want = peers::want(&self.node, wanted, self.refuted.as_ref());
@@ -231,7 +231,7 @@
                     // Not in time: its caller is told when.
                     let wait = Duration::from_millis(ms);
                     if Instant::now() + wait > give_up {
-                        return Err(NoEngine::NotPlaced(wait));
+                        return Err(NoEngine::NotLoaded(wait));
                     }
                 }
                 // Cut off from the engines that hold it and from the keeper: another node may not be.
@@ -251,10 +251,12 @@
     /// Waits until an engine has read so much that one more prompt makes no stream there pause for too long, while the
     /// request's own first event can still be on time; tells whether it waited. What was sent before does not wait.
     async fn until_read(&self) -> bool {
-        let Some(gap) = self.route.gap.filter(|_| self.tried.is_empty()) else { return false };
-        let left = gap.mul_f64(Policy::default().gap_share);
-        let until = self.arrived + self.route.objective.saturating_sub(left);
-        let reads = |choice: Result<Choice, NoEngine>| choice == Err(NoEngine::Reading);
+        let Some(gap) = self.route.max_event_gap.filter(|_| self.tried.is_empty()) else {
+            return false;
+        };
+        let left = gap.mul_f64(CostWeights::default().gap_share);
+        let until = self.arrived + self.route.first_byte_objective.saturating_sub(left);
+        let reads = |choice: Result<Choice, NoEngine>| choice == Err(NoEngine::PrefillBusy);
         if Instant::now() >= until || !reads(self.choose_at(until)) {
             return false;
         }
@@ -277,9 +279,10 @@
     fn is_out_of_reach(&self) -> bool {
         let (now, state) = (self.node.now(), self.node.state.borrow());
         let Some(wanted) = self.wanted() else { return false };
-        let mut holders = state.engines.iter().filter(|e| e.takes_work() && e.holds(wanted));
-        holders.next().is_some_and(|e| e.judge.is_dark(now))
-            && holders.all(|e| e.judge.is_dark(now))
+        let mut holders =
+            state.engines.iter().filter(|e| e.accepts_requests() && e.has_loaded(wanted));
+        holders.next().is_some_and(|e| e.health.is_reported_unreachable(now))
+            && holders.all(|e| e.health.is_reported_unreachable(now))
     }
 
     /// Waits a while for what the keeper tells of engines. Asked at each change, it would get many more
@@ -304,28 +307,30 @@
         let settings = self.node.settings.borrow();
         let most = state.catalog.as_ref().and_then(|c| c.services.get(&self.service));
         let conns = most.map_or(u32::MAX, |s| (s.max_conns / state.nodes.max(1)).max(1));
-        let ask = Ask {
+        let ask = ChoiceParams {
             service: &self.service,
             prompt: self.prompt(),
             domain: &settings.domain,
             tried: &self.tried,
             nodes: state.nodes,
-            conns,
-            goes_first: self.goes_first,
-            gap: self.route.gap,
-            waits: Instant::now() < waits_until,
-            draw: random(),
-            policy: Policy::default(),
+            max_conns: conns,
+            has_precedence: self.goes_first,
+            max_event_gap: self.route.max_event_gap,
+            can_wait: Instant::now() < waits_until,
+            random: random(),
+            weights: CostWeights::default(),
         };
-        choose(&state.engines, &ask, self.node.now())
+        choose_engine(&state.engines, &ask, self.node.now())
     }
 
     /// The answer to a request that has not run and finds no engine.
     pub(super) fn refuse_for(&self, why: NoEngine) -> Answer {
         match why {
-            NoEngine::None | NoEngine::Reading => self.refuse(Refusal::NoEngine, NO_ENGINE),
-            NoEngine::NotPlaced(wait) => self.refuse(Refusal::NotPlaced, wait),
-            NoEngine::Full(wait) => self.refuse(Refusal::Full, wait),
+            NoEngine::NoneAvailable | NoEngine::PrefillBusy => {
+                self.refuse(Refusal::NoEngine, NO_ENGINE)
+            }
+            NoEngine::NotLoaded(wait) => self.refuse(Refusal::ModelNotLoaded, wait),
+            NoEngine::Full(wait) => self.refuse(Refusal::EnginesFull, wait),
         }
     }
 }
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures_util::stream::unfold;
-use hgw_direct::{EngineId, NoEngine, Verdict};
+use hgw_direct::{AttemptOutcome, EngineId, NoEngine};
 use hgw_http1::{Body, Conn, Framing, Head};
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
@@ -57,7 +57,7 @@
                 if !failed && (!goes_on || begun.head.status == 200) {
                     return Ok(*begun);
                 }
-                begun.at_engine.saw(Verdict::Failed);
+                begun.at_engine.saw(AttemptOutcome::Failed);
                 if !req.route.kind.may_repeat() || !req.may_go_on() {
                     return Ok(*begun);
                 }
@@ -65,7 +65,7 @@
             }
             Tried::NotSent => {
                 if !req.may_reach_on() {
-                    return Err(ended(req, failure, NoEngine::None));
+                    return Err(ended(req, failure, NoEngine::NoneAvailable));
                 }
             }
             Tried::NotRun => {
@@ -78,7 +78,7 @@
             Tried::Lost => {
                 failure = Some("the engine failed");
                 if !req.route.kind.may_repeat() || !req.may_go_on() {
-                    return Err(ended(req, failure, NoEngine::None));
+                    return Err(ended(req, failure, NoEngine::NoneAvailable));
                 }
             }
             Tried::TimeOver => {
@@ -162,7 +162,7 @@
                     }
                 }
                 Waited::StartedAnew | Waited::Done(Ok(None) | Err(_)) => {
-                    self.at_engine.saw(Verdict::Failed);
+                    self.at_engine.saw(AttemptOutcome::Failed);
                     self.req.node.broke(&self.engine);
                     if !self.go_on().await {
                         return Some(self.break_off());
@@ -176,11 +176,11 @@
         let req = &self.req;
         let Some(conn) = &mut self.conn else { return Waited::Done(Ok(None)) };
         let chunk = conn.chunk(&mut self.body);
-        let may_move = req.route.kind.may_repeat() && req.runs < req.route.attempts;
+        let may_move = req.route.kind.may_repeat() && req.runs < req.route.max_attempts;
         if !may_move || !self.is_events {
             return req.at(&self.at_engine, chunk).await;
         }
-        let hung = req.route.gap.map_or(HUNG, |gap| gap * HUNG_PAUSES);
+        let hung = req.route.max_event_gap.map_or(HUNG, |gap| gap * HUNG_PAUSES);
         let chunk = std::pin::pin!(chunk);
         req.unless_silent(&self.at_engine, hung, chunk).await
     }
@@ -215,7 +215,11 @@
 
     fn finish(&mut self) {
         self.over = true;
-        self.at_engine.saw(if self.is_events { Verdict::Good } else { Verdict::Failed });
+        self.at_engine.saw(if self.is_events {
+            AttemptOutcome::Success
+        } else {
+            AttemptOutcome::Failed
+        });
         if let Some(mean) = self.pace.mean() {
             self.at_engine.saw_events(mean);
         }
--- a/crates/gateway/src/relay/told.rs
+++ b/crates/gateway/src/relay/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hgw_direct::{EngineId, Refusal, Wanted};
+use hgw_direct::{EngineId, ModelRef, Refusal};
 use hgw_events::{Event, emit};
 use http::StatusCode;
 
@@ -63,7 +63,7 @@
     pub(super) fn failed(&self, status: u16, why: &str) {
         self.told.set(true);
         meter::failed(&self.route, why);
-        let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
+        let wanted = self.wanted().map(ModelRef::to_string).unwrap_or_default();
         emit(
             Event::RequestFailed,
             &[
@@ -85,7 +85,7 @@
     /// Logs that nobody waits for the answer any more.
     pub(super) fn caller_left(&self) {
         meter::left(&self.route);
-        let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
+        let wanted = self.wanted().map(ModelRef::to_string).unwrap_or_default();
         let upstream = self.tried.last().map(EngineId::to_string).unwrap_or_default();
         emit(
             Event::CallerLeft,
@@ -107,9 +107,11 @@
     pub(super) fn served(&self, engine: &EngineId, status: u16, pace: &Pace) {
         self.told.set(true);
         meter::served(&self.route, status, self.arrived.elapsed());
-        let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
-        let (estimate, own) =
-            self.node.engine(engine, |e| (e.estimate(self.node.now()), e.own)).unwrap_or_default();
+        let wanted = self.wanted().map(ModelRef::to_string).unwrap_or_default();
+        let (estimate, own) = self
+            .node
+            .engine(engine, |e| (e.estimate(self.node.now()), e.own_requests))
+            .unwrap_or_default();
         emit(
             Event::RequestServed,
             &[
@@ -136,11 +138,11 @@
     pub(super) fn refuse(&self, why: Refusal, wait: Duration) -> Answer {
         self.told.set(true);
         meter::refused(&self.route, why);
-        if matches!(why, Refusal::OverLimit | Refusal::NoAllowance) {
+        if matches!(why, Refusal::QuotaExceeded | Refusal::QuotaUnknown) {
             meter::limited(self.customer(), why);
         }
         let held = self.arrived.elapsed().as_millis();
-        let wanted = self.wanted().map(Wanted::to_string).unwrap_or_default();
+        let wanted = self.wanted().map(ModelRef::to_string).unwrap_or_default();
         emit(
             Event::RequestRefused,
             &[
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,11 +4,12 @@
 use std::time::Duration;
 
 use derive_more::Display;
-use hgw_direct::flights::EngineKey;
-use hgw_direct::heads::{Heads, Member, Parent, crowd};
-use hgw_direct::sums::Sums;
+use hgw_direct::aggregation::Aggregator;
+use hgw_direct::hubs::{Hubs, Member, Parent, poll_interval_factor};
+use hgw_direct::in_flight::EngineKey;
 use hgw_direct::{
-    BudgetLimits, Engine, EngineId, KnownEra, ListPlace, Millis, Verdict, is_cut_off, reads_on,
+    AttemptOutcome, Engine, EngineId, KnownEra, ListVersion, Millis, RetryBudgetLimits,
+    is_isolated, polls_store,
 };
 use hgw_events::{Event, emit};
 use hgw_http1::ConnectLimits;
@@ -54,7 +55,7 @@
     /// What customers may use.
     pub(crate) quotas: Quotas,
     /// What is at engines, as nodes tell each other.
-    pub(crate) sums: RefCell<Sums>,
+    pub(crate) sums: RefCell<Aggregator>,
     /// Engines that could not be reached, of which this node looks whether they are back.
     pub(crate) watched: RefCell<IndexSet<EngineKey>>,
     /// Told whenever another node says that an engine cannot be reached, or can be again.
@@ -64,7 +65,7 @@
     /// What is new of what engines hold.
     pub(crate) placements: RefCell<Placements>,
     /// Nodes of this one's domain that pass on what the keeper tells.
-    pub(crate) heads: RefCell<Heads>,
+    pub(crate) heads: RefCell<Hubs>,
     /// All nodes, where this one has read of them.
     pub(crate) members: RefCell<Vec<Member>>,
     /// Told whenever there is news for those that ask this node.
@@ -202,14 +203,14 @@
         let me = self.settings.borrow().peers;
         let parent = self.heads.borrow().parent(me, keeper, self.now());
         match parent {
-            Parent::Head(addr) => Some((parent, addr)),
-            Parent::Holder => keeper.map(|addr| (parent, addr)),
+            Parent::Hub(addr) => Some((parent, addr)),
+            Parent::Leader => keeper.map(|addr| (parent, addr)),
         }
     }
 
     /// Whether this node asks a head of its domain, and not the keeper itself.
     pub(crate) fn has_head(&self) -> bool {
-        matches!(self.parent(), Some((Parent::Head(_), _)))
+        matches!(self.parent(), Some((Parent::Hub(_), _)))
     }
 
     /// Whether the keeper has told this node anything yet.
@@ -245,12 +246,12 @@
     /// By how much nodes hold back, so that the keeper is asked as often by many as by ten.
     pub(crate) fn crowd(&self) -> u32 {
         let nodes = self.state.borrow().nodes;
-        crowd(nodes, nodes)
+        poll_interval_factor(nodes, nodes)
     }
 
     /// Whether this node reads the list when nobody reads it for all.
     pub(crate) fn reads_on(&self) -> bool {
-        reads_on(&self.state.borrow().engines, self.crowd(), self.draw)
+        polls_store(&self.state.borrow().engines, self.crowd(), self.draw)
     }
 
     /// Whether callers are better served by other nodes, to which their next connection leads them.
@@ -264,7 +265,7 @@
         let silent_for = now.saturating_sub(self.store_heard.get());
         let cut_off = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
-            is_cut_off(silent_for, &state.engines, &settings.domain, now)
+            is_isolated(silent_for, &state.engines, &settings.domain, now)
         };
         if cut_off != self.cut_off.replace(cut_off) {
             let node = self.settings.borrow().node.clone();
@@ -274,7 +275,7 @@
 
     /// Ends what was begun at engines that have started anew: their connections, and waits for their answers.
     pub(crate) fn look_for_starts(&self) {
-        let anew = self.state.borrow_mut().engines.take_anew();
+        let anew = self.state.borrow_mut().engines.take_restarted();
         for addr in &anew {
             self.pool.forget(*addr);
             let node = &self.settings.borrow().node;
@@ -286,13 +287,13 @@
     }
 
     /// The list of engines goes as far as this now, by the word of the store or of another node.
-    pub(crate) fn listed_to(&self, place: ListPlace, by: ListedBy) {
+    pub(crate) fn listed_to(&self, place: ListVersion, by: ListedBy) {
         let changes = {
             let mut state = self.state.borrow_mut();
             let State { engines, listing, list_at, listed, .. } = &mut *state;
             *listed = true;
             *list_at = (*list_at).max(Some(place));
-            listing.look(engines, place.cursor())
+            listing.update(engines, place.position())
         };
         let node = &self.settings.borrow().node;
         for change in &changes {
@@ -303,15 +304,15 @@
                     ("upstream", &change.engine),
                     ("standing", change),
                     ("by", &by),
-                    ("place", &place.cursor()),
+                    ("place", &place.position()),
                 ],
             );
         }
     }
 
-    pub(crate) fn budget_limits(&self) -> BudgetLimits {
+    pub(crate) fn budget_limits(&self) -> RetryBudgetLimits {
         let settings = self.settings.borrow();
-        BudgetLimits {
+        RetryBudgetLimits {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
             window: settings.retry_window.as_millis() as Millis,
@@ -324,12 +325,12 @@
     }
 
     /// Takes in what became of a request at an engine.
-    pub(crate) fn saw(&self, engine: &EngineId, verdict: Verdict) {
+    pub(crate) fn saw(&self, engine: &EngineId, verdict: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.engines.get_mut(engine) else { return };
-        let Some(opinion) = known.judge.saw(now, verdict) else { return };
-        let failing = format!("{:.2}", known.judge.failing(now));
+        let Some(opinion) = known.health.record(now, verdict) else { return };
+        let failing = format!("{:.2}", known.health.failure_rate(now));
         let node = &self.settings.borrow().node;
         emit(
             Event::EngineJudged,
@@ -340,28 +341,28 @@
     /// Whether another node could not reach an engine.
     pub(crate) fn is_dark(&self, engine: &EngineId) -> bool {
         let now = self.now();
-        self.engine(engine, |e| e.judge.is_dark(now)).unwrap_or(false)
+        self.engine(engine, |e| e.health.is_reported_unreachable(now)).unwrap_or(false)
     }
 
     /// A byte came from an engine.
     pub(crate) fn heard(&self, engine: &EngineId) {
         let now = self.now();
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
-            engine.heard = now;
+            engine.last_heard = now;
         }
     }
 
     /// A connection to an engine has broken: that it was heard a moment ago speaks no more for it.
     pub(crate) fn broke(&self, engine: &EngineId) {
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
-            engine.heard = 0;
+            engine.last_heard = 0;
         }
     }
 
     /// Time since the last byte came from an engine.
     pub(crate) fn silent_for(&self, engine: &EngineId) -> Duration {
         let state = self.state.borrow();
-        let heard = state.engines.get(engine).map_or(0, |e| e.heard);
+        let heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
         Duration::from_millis(self.now().saturating_sub(heard))
     }
 
--- a/crates/hibiscusgw/src/report/mod.rs
+++ b/crates/hibiscusgw/src/report/mod.rs
@@ -99,8 +99,8 @@
             count(Event::RequestServed),
             count(Event::RequestRefused),
             count(Event::RequestFailed),
-            why(Refusal::OverLimit),
-            why(Refusal::NoAllowance),
+            why(Refusal::QuotaExceeded),
+            why(Refusal::QuotaUnknown),
         )?;
     }
     Ok(())
--- a/crates/hibiscusgw/tests/platform/heads.rs
+++ b/crates/hibiscusgw/tests/platform/heads.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use hgw_direct::heads::{Member, candidates};
+use hgw_direct::hubs::{Member, candidates};
 use hgw_standins::Faults;
 use hgw_standins::client::Caller;
 use hgw_standins::fleet::deployment::{HOST, Node, configuration, holds, wait};
@@ -41,7 +41,7 @@
         node: n.name.clone(),
         addr: n.peers,
         domain: "a".into(),
-        processor: 1.0,
+        cpu_share: 1.0,
     };
     let members: Vec<Member> = fleet.nodes.iter().map(member).collect();
     let found = candidates(&members, "a").into_iter();
