--- a/crates/hibiscusgw/tests/platform/calls.rs
+++ b/crates/hibiscusgw/tests/platform/calls.rs
@@ -23,7 +23,7 @@
     assert_eq!(fleet.nodes[node].plain("/nowhere/", "call-1").unwrap().status, 404);
     let answer = fleet.nodes[node].call(Method::GET, "/look/", &[]).unwrap();
     assert_eq!(answer.status, 400);
-    assert_eq!(answer.body, r#"{"error":"X-Request-Id is ``: a name of this attempt"}"#);
+    assert_eq!(answer.body, r#"{"error":"X-Request-Id is ``: a unique id for this attempt"}"#);
 }
 
 /// An engine runs a call that may not be repeated, and its answer is lost on the way. The caller gets a
