--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,25 +1,25 @@
+//! The error of parsing a value from text.
+
 use derive_more::{Display, Error};
 
-/// Outcome of reading a value from text.
 pub type Result<T> = std::result::Result<T, ParseError>;
 
-/// Text that is not a valid value of the type asked for.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("`{value}` is no {kind}: {allowed}")]
+#[display("`{value}` is not a valid {kind}: expected {allowed}")]
 pub struct ParseError {
-    /// What was to be read, in words.
+    /// Name of the type, as shown to users.
     pub kind: &'static str,
-    /// The text as given, shortened.
+    /// The input, truncated.
     pub value: String,
-    /// What is allowed instead.
+    /// Description of valid input.
     pub allowed: &'static str,
 }
 
-/// Longest part of a wrong value that an error repeats, in characters.
+/// Length to which an error truncates the input, in characters.
 const SHOWN: usize = 64;
 
 impl ParseError {
-    /// Builds the error for `value`, of which at most 64 characters are kept.
+    /// Creates the error; `value` is truncated to 64 characters.
     pub fn new(kind: &'static str, value: &str, allowed: &'static str) -> Self {
         ParseError { kind, value: value.chars().take(SHOWN).collect(), allowed }
     }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of things. All are short texts that operators choose, except the ids a node makes itself.
+//! Ids: names that operators or callers choose, and unique ids that nodes generate.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,6 @@
 
 use crate::{ParseError, Result};
 
-/// Longest name, in bytes.
 const MAX_NAME: usize = 128;
 
 const NAME_RULE: &str = "1 to 128 of A-Z a-z 0-9 . _ : / @ + -";
@@ -25,7 +24,6 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -65,41 +63,37 @@
 }
 
 names! {
-    /// A process of the system, unique for as long as it runs.
+    /// A node: one process of the gateway. Unique among running nodes.
     NodeId = "node id";
-    /// A failure domain.
     DomainId = "failure domain id";
     /// A region: a group of failure domains.
     RegionId = "region id";
-    /// A service that operators configure.
+    /// A configured service.
     ServiceId = "service id";
-    /// A model of a service.
     ModelId = "model id";
     /// An adapter of a model.
     AdapterId = "adapter id";
     /// A version of a model or adapter.
     VersionId = "version id";
-    /// An upstream: a model engine or a plain service's back end.
+    /// An upstream: a model engine, or a server of a plain service.
     UpstreamId = "upstream id";
-    /// A priority class of a service.
     ClassId = "priority class id";
-    /// A caller's request, as the caller or the entry node names it.
+    /// A caller's request; chosen by the caller or by the node that received it.
     RequestId = "request id";
-    /// A caller's idempotency key.
     IdempotencyKey = "idempotency key";
-    /// What a claim is taken on, such as `keeper/stgo-a`.
+    /// What a lease is held on, such as `keeper/stgo-a`.
     Scope = "scope";
     /// A stream of the platform's log.
     StreamName = "stream name";
 }
 
 impl Scope {
-    /// The scope of a failure domain's keeper.
+    /// The scope of a failure domain's leader.
     pub fn keeper(domain: &DomainId) -> Scope {
         Scope(format!("keeper/{domain}").into())
     }
 
-    /// The scope of the planner of a region's residency floor.
+    /// The scope of the node that plans a region's minimum number of model replicas.
     pub fn planner(region: &RegionId) -> Scope {
         Scope(format!("planner/{region}").into())
     }
@@ -109,7 +103,7 @@
         Scope(format!("once/{shard}").into())
     }
 
-    /// The log stream that holds the records of this scope.
+    /// The log stream with the lease records of this scope.
     pub fn stream(&self) -> StreamName {
         StreamName(self.0.replace('/', ".").into())
     }
@@ -127,9 +121,9 @@
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         pub struct $name {
-            /// Random number that the node drew when it started.
+            /// Random number that the node generated at startup.
             pub boot: u64,
-            /// Counts up within the process.
+            /// Counter within the process.
             pub seq: u64,
         }
 
@@ -146,15 +140,15 @@
                 let parts = s.split_once('-').and_then(|(boot, seq)| {
                     Some($name { boot: u64::from_str_radix(boot, 16).ok()?, seq: seq.parse().ok()? })
                 });
-                parts.ok_or_else(|| ParseError::new($kind, s, "a hexadecimal number, `-`, a number"))
+                parts.ok_or_else(|| ParseError::new($kind, s, "a hexadecimal number, `-` and a decimal number"))
             }
         }
     )*};
 }
 
 made_ids! {
-    /// One try of one request at one upstream; unique over all nodes and restarts.
+    /// An attempt of a request at an upstream; unique across nodes and restarts.
     AttemptId = "attempt id";
-    /// A record of the log, by which duplicates and lost answers are recognised.
+    /// A log record. Identifies duplicates, and records whose append got no response.
     RecordId = "record id";
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,6 @@
 //! Newtypes for ids, sizes, rates and times.
 //!
-//! Every other library of the workspace speaks in these types. Each one prints with `Display` and
-//! reads back with `FromStr`; the text forms are what operators write and what logs show.
+//! Each type has a text form, used in configuration and logs, that `Display` writes and `FromStr` parses.
 
 mod error;
 mod id;
--- a/crates/types/src/quantity.rs
+++ b/crates/types/src/quantity.rs
@@ -7,7 +7,7 @@
 
 use crate::{ParseError, Result};
 
-/// Whole numbers that print as such; those that can be summed up say so by more derives.
+/// Defines integer newtypes; `[...]` lists additional derives.
 macro_rules! counts {
     ($($(#[$doc:meta])* $name:ident($inner:ty) [$($derive:ident),*] = $kind:literal;)*) => {$(
         $(#[$doc])*
@@ -29,32 +29,29 @@
 }
 
 counts! {
-    /// Position of a record in a stream of the log.
+    /// Position of a record in a log stream.
     Offset(u64) [] = "offset";
-    /// Offset of the claim that a holder acts under; also the fencing number of its orders.
+    /// Log offset of a lease holder's claim; used as the fencing token of its orders.
     Term(u64) [] = "term";
-    /// Counts the starts of an upstream: a change means that its memory was emptied.
+    /// Number of starts of an upstream. After a change, its memory is empty.
     Generation(u64) [] = "generation";
-    /// Accelerator memory, in the units that engines report.
+    /// Accelerator memory, in the unit that engines report.
     MemSize(u64) [Add, AddAssign, Sub, Sum] = "memory size";
-    /// Number of tokens.
     Tokens(u32) [Add, AddAssign, Sub, Sum] = "token count";
 }
 
 impl MemSize {
-    /// `self - other`, or zero where `other` is larger.
     pub fn saturating_sub(self, other: MemSize) -> MemSize {
         MemSize(self.0.saturating_sub(other.0))
     }
 }
 
-/// Events a second; finite and not negative.
+/// Events per second; finite and not negative.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd, Display, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Rate(f64);
 
 impl Rate {
-    /// Builds a rate from events a second.
     pub fn per_second(value: f64) -> Result<Rate> {
         if value.is_finite() && value >= 0.0 {
             Ok(Rate(value))
@@ -63,7 +60,6 @@
         }
     }
 
-    /// Events a second.
     pub fn as_per_second(self) -> f64 {
         self.0
     }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time as the decision code sees them: passed in, never read from a clock.
+//! Points in time, passed to the decision code as values so that it never reads a clock.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
@@ -7,34 +7,29 @@
 
 use crate::{ParseError, Result};
 
-/// Microseconds since the process started, or since the start of a test.
+/// Microseconds since the process (or the test) started.
 ///
-/// Times of different processes are not comparable: messages carry durations instead.
+/// Not comparable between processes, so messages carry durations instead.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
 impl Time {
-    /// The start of the process.
     pub const ZERO: Time = Time(0);
-    /// Later than any time that occurs.
     pub const MAX: Time = Time(u64::MAX);
 
-    /// Builds a time from microseconds since the start.
     pub fn from_micros(micros: u64) -> Time {
         Time(micros)
     }
 
-    /// Builds a time from milliseconds since the start.
     pub fn from_millis(millis: u64) -> Time {
         Time(millis.saturating_mul(1000))
     }
 
-    /// Microseconds since the start.
     pub fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Time from `earlier` to `self`, or zero where `earlier` is the later one.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
