--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,7 +1,7 @@
 //! Numbered log events.
 //!
-//! Every line that a process logs is one of these events: a number that never changes its meaning, a
-//! level, a fixed text and named fields. `docs/EVENTS.md` lists them all.
+//! Each log line is one of these events: a stable number, a level, a fixed text and named fields.
+//! `docs/EVENTS.md` lists all events.
 
 mod catalogue;
 
@@ -11,13 +11,13 @@
 
 pub use catalogue::Event;
 
-/// Target of all log records of the product.
+/// Target of all log records.
 pub const TARGET: &str = "hibiscusgw";
 
-/// Key of the event's number among a record's fields.
+/// Key of the event number in a record's fields.
 pub const NUMBER_KEY: &str = "event";
 
-/// Logs an event with its fields, in the order given.
+/// Logs an event with its fields, in this order.
 pub fn emit(event: Event, fields: &[(&str, &dyn Display)]) {
     let level = event.level();
     if level > log::max_level() {
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in `docs/EVENTS.md` says what the code logs.
+//! The events in the code match `docs/EVENTS.md`.
 
 use std::path::Path;
 
@@ -29,7 +29,7 @@
     line.split(" | ").take(4).collect::<Vec<_>>().join(" | ")
 }
 
-/// The page promises each of these lines, so each one must be logged by some part of the product.
+/// A documented event that no code emits would mislead operators.
 #[test]
 fn every_event_is_logged_somewhere() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
@@ -40,7 +40,7 @@
     assert!(silent.is_empty(), "never logged: {silent:?}");
 }
 
-/// Adds all sources below a folder but for tests and the catalogue itself.
+/// Appends all sources below `folder`, except tests and the catalogue itself.
 fn read_sources(folder: &Path, code: &mut String) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
