--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,15 +1,16 @@
+//! Decoding of response bodies.
+
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::head::Framing;
 use crate::{Error, Result};
 
-/// Longest line that tells the size of a chunk.
+/// Longest line of chunked framing: a chunk size or a trailer, in bytes.
 const MAX_CHUNK_LINE: usize = 256;
 
-/// Largest chunk that a peer may announce.
 const MAX_CHUNK: u64 = 1 << 30;
 
-/// How far the body of an answer has been read.
+/// Decoder of a response body: strips the framing and detects the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Body {
     state: State,
@@ -26,19 +27,15 @@
     Whole,
 }
 
-/// What the buffer gave.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Bytes of the body.
     Bytes(Bytes),
-    /// More bytes of the connection are needed.
+    /// The decoder needs more input.
     More,
-    /// The body is whole.
     Whole,
 }
 
 impl Body {
-    /// The body that follows a head with this framing.
     pub fn new(framing: Framing) -> Body {
         let state = match framing {
             Framing::Length(0) => State::Whole,
@@ -49,12 +46,11 @@
         Body { state }
     }
 
-    /// Whether all of it was read.
     pub fn is_whole(&self) -> bool {
         self.state == State::Whole
     }
 
-    /// The connection has ended: whole only where that is how the body ends.
+    /// Handles the end of the connection, which completes the body only if that is its framing.
     pub(crate) fn end(&mut self) -> Result<()> {
         match self.state {
             State::Whole | State::UntilClose => {
@@ -65,7 +61,7 @@
         }
     }
 
-    /// Takes what the buffer holds of the body.
+    /// Decodes the next bytes in `buf`.
     pub(crate) fn step(&mut self, buf: &mut BytesMut) -> Result<Step> {
         loop {
             match self.state {
@@ -90,7 +86,7 @@
                 State::ChunkEnd => {
                     let Some(line) = take_line(buf)? else { return Ok(Step::More) };
                     if !line.is_empty() {
-                        return Err(Error::Malformed { what: "end of a chunk" });
+                        return Err(Error::Malformed { what: "line after a chunk" });
                     }
                     self.state = State::ChunkSize;
                 }
@@ -113,7 +109,7 @@
 fn take_line(buf: &mut BytesMut) -> Result<Option<Bytes>> {
     let Some(end) = buf.iter().position(|b| *b == b'\n') else {
         if buf.len() > MAX_CHUNK_LINE {
-            return Err(Error::Malformed { what: "size of a chunk" });
+            return Err(Error::Malformed { what: "chunk size" });
         }
         return Ok(None);
     };
@@ -122,13 +118,13 @@
     if line.last() == Some(&b'\r') {
         line.truncate(end - 1);
     } else {
-        return Err(Error::Malformed { what: "end of a line" });
+        return Err(Error::Malformed { what: "line ending" });
     }
     Ok(Some(line.freeze()))
 }
 
 fn chunk_size(line: &Bytes) -> Result<u64> {
-    let bad = Error::Malformed { what: "size of a chunk" };
+    let bad = Error::Malformed { what: "chunk size" };
     let mut size = line.clone();
     if let Some(at) = line.iter().position(|b| *b == b';') {
         size.truncate(at);
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -1,3 +1,5 @@
+//! A client connection that sends one request at a time.
+
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,19 +14,18 @@
 use crate::body::Step;
 use crate::{Body, Error, Head, Request, Result, head};
 
-/// Room for one read of the socket.
+/// Buffer space for one read of the socket, in bytes.
 const READ: usize = 8 << 10;
 
-/// Informational answers before the real one; more are no answer.
+/// Most informational (1xx) responses accepted before the final one.
 const MAX_INFORMATIONAL: usize = 4;
 
-/// Limits of a connection.
+/// Timeouts of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectLimits {
-    /// Longest time to connect.
     pub connect: Duration,
-    /// Longest time that sent bytes may stay unacknowledged, and that a silent peer is believed to be
-    /// there: a machine that lost power answers nothing, and without this a connection to it hangs.
+    /// Longest time that sent bytes may stay unacknowledged, and idle time before keepalive probes. Without this, a
+    /// connection to a machine that lost power hangs.
     pub silence: Duration,
 }
 
@@ -34,37 +35,33 @@
     }
 }
 
-/// A connection to an upstream.
 #[derive(Debug)]
 pub struct Conn {
     stream: TcpStream,
     buf: BytesMut,
-    /// No request may follow: the last one was not answered whole, or the peer closes.
+    /// No further request may be sent: the last response is incomplete, or the peer closes the connection.
     spent: bool,
-    /// How long the peer keeps the connection without a request, as its last answer said.
+    /// How long the peer keeps an idle connection open, from the `Keep-Alive` header of its last response.
     kept_for: Option<Duration>,
+    /// When the last response was complete, or the connection was opened.
     since: Instant,
     answers: u32,
-    /// Whether a request was sent whose answer is not whole.
+    /// Whether a request has been sent whose response is not complete.
     awaits: bool,
 }
 
-/// A request that is given up takes its bytes along.
-///
-/// Load: the path to a peer is cut for some seconds while requests are sent to it. Their callers leave, and their
-/// connections are closed; the bytes still wait to be sent, and reach the peer once the path is back, which runs each of
-/// them for nobody. A reset drops them.
+/// Resets the connection if a request was cancelled: otherwise bytes still queued in the kernel would reach the peer
+/// after a network failure ends, and the peer would run a request that nobody waits for.
 impl Drop for Conn {
     fn drop(&mut self) {
         if self.awaits {
-            // Where it fails the connection has ended already.
+            // Fails only if the connection is already closed.
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
 impl Conn {
-    /// Connects.
     pub async fn connect(addr: SocketAddr, limits: ConnectLimits) -> Result<Conn> {
         let connected = timeout(limits.connect, TcpStream::connect(addr)).await;
         let timed_out = || Err(io::Error::from(io::ErrorKind::TimedOut));
@@ -75,18 +72,18 @@
         Ok(Conn { stream, buf, spent: false, kept_for: None, since, answers: 0, awaits: false })
     }
 
-    /// Whether a request was answered on it before.
+    /// Whether a complete response has been read on this connection.
     pub fn was_used(&self) -> bool {
         self.answers > 0
     }
 
-    /// When its last answer was whole, or it was made.
+    /// When the last response was complete, or the connection was opened.
     pub fn idle_since(&self) -> Instant {
         self.since
     }
 
-    /// Whether another request may be sent: nothing unexpected has come, the peer has not closed, and it
-    /// will not close while the request is on its way.
+    /// Whether another request may be sent: the connection is open, has no unexpected bytes, and the peer's keep-alive
+    /// timeout does not expire within `margin`.
     pub fn is_usable(&mut self, margin: Duration) -> bool {
         let idle = self.since.elapsed();
         let expires = self.kept_for.is_some_and(|kept| idle + margin >= kept);
@@ -94,18 +91,18 @@
             return false;
         }
         let mut one = [0; 1];
-        // Bytes without a request belong to no answer, and an end is an end.
+        // Both unsolicited bytes and the end of the stream make the connection unusable.
         matches!(self.stream.try_read(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and waits for the head of its answer. An answer may come before the request is
-    /// all sent; the connection then takes no other.
+    /// Sends a request and reads the head of the response. If the response starts before the request is completely
+    /// sent, the connection cannot be reused.
     pub async fn send(&mut self, req: &Request) -> Result<Head> {
         self.begin(req).await?;
         self.head(&req.method).await
     }
 
-    /// Sends a request, up to the point where its answer begins to come.
+    /// Sends a request; stops early if the response starts before all bytes are sent.
     pub async fn begin(&mut self, req: &Request) -> Result<()> {
         let bytes = req.encode();
         (self.spent, self.awaits) = (true, true);
@@ -118,7 +115,7 @@
                 self.spent = false;
                 Ok(())
             }
-            // The rest is not sent: the peer would take it for the next request's bytes.
+            // The rest of the request is not sent, so the connection cannot be reused.
             read = async { rd.ready(tokio::io::Interest::READABLE).await } => {
                 read?;
                 Ok(())
@@ -126,7 +123,7 @@
         }
     }
 
-    /// Waits for the head of the next answer.
+    /// Reads the head of the next response, skipping informational ones.
     pub async fn head(&mut self, method: &Method) -> Result<Head> {
         let reusable = !std::mem::replace(&mut self.spent, true);
         for _ in 0..=MAX_INFORMATIONAL {
@@ -145,10 +142,10 @@
             self.kept_for = kept_for(&head).or(self.kept_for);
             return Ok(head);
         }
-        Err(Error::Malformed { what: "informational answers without end" })
+        Err(Error::Malformed { what: "too many informational responses" })
     }
 
-    /// The next bytes of a body, or nothing where it is whole.
+    /// Reads the next bytes of a body, or `None` at its end.
     pub async fn chunk(&mut self, body: &mut Body) -> Result<Option<Bytes>> {
         loop {
             match body.step(&mut self.buf).inspect_err(|_| self.spent = true)? {
@@ -169,13 +166,13 @@
         }
     }
 
-    /// Collects a whole body of at most so many bytes.
+    /// Reads a complete body of at most `most` bytes.
     pub async fn collect(&mut self, mut body: Body, most: usize) -> Result<Bytes> {
         let mut whole = BytesMut::new();
         while let Some(bytes) = self.chunk(&mut body).await? {
             if whole.len() + bytes.len() > most {
                 self.spent = true;
-                return Err(Error::Malformed { what: "a body without end" });
+                return Err(Error::Malformed { what: "body too large" });
             }
             whole.extend_from_slice(&bytes);
         }
@@ -188,7 +185,7 @@
     }
 }
 
-/// `Keep-Alive: timeout=SECONDS`.
+/// Parses `Keep-Alive: timeout=SECONDS`.
 fn kept_for(head: &Head) -> Option<Duration> {
     let value = head.headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,31 +1,29 @@
+//! Errors of a connection.
+
 use std::io;
 
 use derive_more::{Display, Error, From};
 
-/// What went wrong on a connection.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// The connection could not be made in time or was refused: nothing was sent.
-    #[display("no connection: {source}")]
+    /// Connecting failed or timed out, so nothing was sent.
+    #[display("could not connect: {source}")]
     #[from(skip)]
     Connect {
-        /// Why.
         source: io::Error,
     },
-    /// The connection broke.
-    #[display("connection broke: {_0}")]
+    #[display("connection failed: {_0}")]
     Io(io::Error),
-    /// The peer closed the connection before the answer was whole.
-    #[display("connection ended before the answer was whole")]
+    /// The peer closed the connection before the response was complete.
+    #[display("connection closed before the response was complete")]
     Ended,
-    /// What came is no HTTP/1.1 answer.
-    #[display("not an HTTP/1.1 answer: {what}")]
+    /// The received bytes are not a valid HTTP/1.1 response.
+    #[display("invalid HTTP/1.1 response: {what}")]
     #[from(skip)]
     Malformed {
-        /// Which part of it.
+        /// The invalid part.
         what: &'static str,
     },
 }
 
-/// Result of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,47 +1,43 @@
+//! Parsing of response heads.
+
 use bytes::BytesMut;
 use http::header::{CONNECTION, CONTENT_LENGTH, HeaderName, TRANSFER_ENCODING};
 use http::{HeaderMap, HeaderValue, Method};
 
 use crate::{Error, Result};
 
-/// Most bytes of an answer's head; a longer one is not an answer of these upstreams.
+/// Largest accepted response head, in bytes.
 pub const MAX_HEAD: usize = 32 << 10;
 
-/// Most fields of an answer's head.
 const MAX_FIELDS: usize = 64;
 
-/// How the end of an answer's body is told.
+/// How the end of a response body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// Number of bytes.
     Length(u64),
-    /// In chunks, the last one empty.
     Chunked,
-    /// With the end of the connection.
     UntilClose,
 }
 
-/// The head of an answer.
+/// Status and headers of a response.
 #[derive(Debug, Clone)]
 pub struct Head {
-    /// The status.
     pub status: u16,
-    /// Its fields.
     pub headers: HeaderMap,
-    /// How its body ends.
     pub framing: Framing,
-    /// Whether the connection ends with the answer.
+    /// Whether the peer closes the connection after the response.
     pub closes: bool,
 }
 
-/// Takes a whole head from the buffer, or nothing where more bytes are needed.
+/// Removes a complete head from the buffer, or returns `None` if more bytes are needed.
 pub(crate) fn take(buf: &mut BytesMut, method: &Method) -> Result<Option<Head>> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
     let status = parsed.parse(buf).map_err(|_| Error::Malformed { what: "head" })?;
     let httparse::Status::Complete(len) = status else {
         if buf.len() > MAX_HEAD {
-            return Err(Error::Malformed { what: "a head without end" });
+            return Err(Error::Malformed { what: "head too large" });
         }
         return Ok(None);
     };
@@ -53,7 +49,7 @@
         let value = HeaderValue::from_bytes(field.value);
         match (name, value) {
             (Ok(name), Ok(value)) => headers.append(name, value),
-            _ => return Err(Error::Malformed { what: "field" }),
+            _ => return Err(Error::Malformed { what: "header" }),
         };
     }
     let framing = framing(code, &headers, method)?;
@@ -69,7 +65,7 @@
     }
     if headers.contains_key(TRANSFER_ENCODING) {
         let chunked = says(headers, TRANSFER_ENCODING, "chunked");
-        // Both at once is how one answer is made to look like two.
+        // With both headers the end of the response is ambiguous, which allows response smuggling.
         if !chunked || headers.contains_key(CONTENT_LENGTH) {
             return Err(Error::Malformed { what: "transfer-encoding" });
         }
@@ -82,7 +78,7 @@
             let length = length.to_str().ok().and_then(|l| l.parse().ok());
             length.map(Framing::Length).ok_or(Error::Malformed { what: "content-length" })
         }
-        (Some(_), Some(_)) => Err(Error::Malformed { what: "two lengths" }),
+        (Some(_), Some(_)) => Err(Error::Malformed { what: "more than one content-length" }),
     }
 }
 
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1.1 connection of a client.
+//! An HTTP/1.1 client connection that never retries.
 //!
-//! A pool of a general library repeats a request by itself where a kept connection has ended, which
-//! could run work twice. Here a request is sent once, on one connection, and what became of it is told:
-//! whether any byte left, what was answered, and whether the answer is whole.
+//! Pooling clients retry a request when a reused connection turns out to be closed, which could run work
+//! twice. A [`Conn`] sends a request once and reports whether it was sent, and whether the response is
+//! complete.
 
 mod body;
 mod conn;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,26 +1,24 @@
+//! Requests and their encoding.
+
 use bytes::{BufMut, Bytes, BytesMut};
 use http::{HeaderMap, Method};
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The method.
     pub method: Method,
-    /// Path and query, sent as they are.
+    /// Path and query, sent verbatim.
     pub target: String,
-    /// All fields but the body's length.
+    /// All headers except `Content-Length`, which is derived from the body.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A request without a body.
     pub fn get(target: impl Into<String>, host: &str) -> Request {
         Request::new(Method::GET, target, host, Bytes::new())
     }
 
-    /// A request with a body.
     pub fn post(target: impl Into<String>, host: &str, body: Bytes) -> Request {
         Request::new(Method::POST, target, host, body)
     }
@@ -33,7 +31,6 @@
         Request { method, target: target.into(), headers, body }
     }
 
-    /// The bytes on the wire.
     pub(crate) fn encode(&self) -> BytesMut {
         let mut buf = BytesMut::with_capacity(512 + self.body.len());
         buf.put_slice(self.method.as_str().as_bytes());
--- a/crates/http1/tests/conn.rs
+++ b/crates/http1/tests/conn.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, against scripted peers.
+//! A client connection against scripted peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// A peer that reads a request's head and then writes this and closes, or stays open.
+/// Starts a peer that reads a request, writes `answer` and then closes the connection, or keeps it open.
 async fn peer(answer: &'static [u8], stays: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -86,8 +86,8 @@
     assert!(conn.was_used());
 }
 
-/// The peer says how long it keeps the connection. A request that is sent as that time ends crosses the
-/// peer's close, and nobody knows whether it has run.
+/// A request sent just as the peer's keep-alive timeout expires races with the close, and it is unknown whether
+/// the request has run.
 #[tokio::test]
 async fn connection_that_is_about_to_end_is_not_used() {
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n";
@@ -97,8 +97,7 @@
     assert!(!conn.is_usable(Duration::from_secs(1)));
 }
 
-/// A second answer comes after a whole one: its bytes belong to no request, and would be taken for the
-/// answer to the next.
+/// Unsolicited bytes after a complete response must not be taken for the response to the next request.
 #[tokio::test]
 async fn connection_with_bytes_that_nobody_asked_for_is_not_used() {
     let answer =
@@ -132,7 +131,7 @@
     assert!(!Body::new(Framing::UntilClose).is_whole());
 }
 
-/// What a peer reads after a client has dropped its connection.
+/// Returns what the peer reads after the client has dropped its connection.
 async fn read_after_drop(answer: &'static [u8]) -> std::io::Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut conn =
@@ -151,8 +150,7 @@
     stream.read(&mut buf).await
 }
 
-/// A caller leaves while its request waits on a path that is cut: what was not sent yet must not reach the peer when the
-/// path is back. Only a reset drops it.
+/// Unsent bytes of a cancelled request must not reach the peer after a network failure ends; only a reset discards them.
 #[tokio::test]
 async fn request_that_is_given_up_resets_its_connection() {
     let read = read_after_drop(b"").await;
