--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -4,7 +4,7 @@
 
 use hgw_direct::{EngineId, Wanted, is_long};
 use hgw_events::{Event, emit};
-use hgw_http1::{Body, Request};
+use hgw_http1::{BodyDecoder, Request};
 use tokio::time::timeout;
 
 use crate::dialect::{Order, OrderKind, Report};
@@ -194,11 +194,11 @@
 
 async fn exchange(node: &Node, engine: &EngineId, req: &Request) -> Exchanged {
     let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return Exchanged::NotSent };
-    let connected = timeout(PATIENCE, node.pool.get(addr, node.connect_limits())).await;
+    let connected = timeout(PATIENCE, node.pool.get(addr, node.conn_timeouts())).await;
     let Ok(Ok(mut conn)) = connected else { return Exchanged::NotSent };
     let answered = async {
-        let head = conn.send(req).await.ok()?;
-        let body = conn.collect(Body::new(head.framing), MOST).await.ok()?;
+        let head = conn.round_trip(req).await.ok()?;
+        let body = conn.read_body(BodyDecoder::new(head.framing), MOST).await.ok()?;
         Some((head.status, body))
     };
     match timeout(PATIENCE, answered).await {
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/dark.rs
@@ -96,7 +96,7 @@
         let Some(addr) = addr_of(node, key) else { return };
         tell(node, key, true);
         // One that is lost refuses at once or takes all the time that there is for a connection.
-        if Conn::connect(addr, node.connect_limits()).await.is_ok() {
+        if Conn::connect(addr, node.conn_timeouts()).await.is_ok() {
             tell(node, key, false);
             return;
         }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 use hgw_direct::heads::PassedOver;
 use hgw_direct::{EngineId, Wanted};
-use hgw_http1::{Body, Request};
+use hgw_http1::{BodyDecoder, Request};
 use http::{Method, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -151,9 +151,9 @@
     patience: Duration,
 ) -> Result<Bytes, Unanswered> {
     let exchange = async {
-        let mut conn = node.pool.get(addr, node.connect_limits()).await?;
-        let head = conn.send(req).await?;
-        let body = conn.collect(Body::new(head.framing), MOST).await?;
+        let mut conn = node.pool.get(addr, node.conn_timeouts()).await?;
+        let head = conn.round_trip(req).await?;
+        let body = conn.read_body(BodyDecoder::new(head.framing), MOST).await?;
         node.pool.put(addr, conn);
         Ok::<_, hgw_http1::Error>((head.status, body))
     };
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_http1::{Conn, ConnectLimits, Result};
+use hgw_http1::{Conn, ConnTimeouts, Result};
 use indexmap::IndexMap;
 
 /// A kept connection is not used again when it may end within this time: its end would cross the request.
@@ -27,7 +27,7 @@
         let mut kept = self.kept.borrow_mut();
         let conns = kept.get_mut(&addr)?;
         while let Some(mut conn) = conns.pop() {
-            if conn.idle_since().elapsed() < TRUSTED_FOR && conn.is_usable(MARGIN) {
+            if conn.idle_since().elapsed() < TRUSTED_FOR && conn.is_reusable(MARGIN) {
                 return Some(conn);
             }
         }
@@ -35,7 +35,7 @@
     }
 
     /// A kept connection, or a new one.
-    pub(crate) async fn get(&self, addr: SocketAddr, limits: ConnectLimits) -> Result<Conn> {
+    pub(crate) async fn get(&self, addr: SocketAddr, limits: ConnTimeouts) -> Result<Conn> {
         match self.take(addr) {
             Some(conn) => Ok(conn),
             None => Conn::connect(addr, limits).await,
@@ -44,7 +44,7 @@
 
     /// Keeps a connection whose answer was whole.
     pub(crate) fn put(&self, addr: SocketAddr, mut conn: Conn) {
-        if !conn.is_usable(MARGIN) {
+        if !conn.is_reusable(MARGIN) {
             return;
         }
         let mut kept = self.kept.borrow_mut();
@@ -63,7 +63,7 @@
     pub(crate) fn sweep(&self) {
         let mut kept = self.kept.borrow_mut();
         for conns in kept.values_mut() {
-            conns.retain_mut(|c| c.idle_since().elapsed() < TRUSTED_FOR && c.is_usable(MARGIN));
+            conns.retain_mut(|c| c.idle_since().elapsed() < TRUSTED_FOR && c.is_reusable(MARGIN));
         }
         kept.retain(|_, conns| !conns.is_empty());
     }
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -102,7 +102,7 @@
         self.tried.push(engine.clone());
         let tokens = self.prompt().map_or(0, |prompt| prompt.tokens_in);
         let at_engine = AtEngine::begin(&node, engine, &self.call.id, tokens);
-        let connected = node.pool.get(addr, node.connect_limits());
+        let connected = node.pool.get(addr, node.conn_timeouts());
         let connected = tokio::select! {
             biased;
             connected = self.bounded(connected) => connected,
@@ -131,7 +131,7 @@
         let req = self.request(engine, last_event);
         self.may_run(true);
         let sent = async {
-            conn.begin(&req).await?;
+            conn.send_request(&req).await?;
             self.answer_to(&mut conn, &req).await
         };
         let waited = self.watched(&at_engine, sent).await;
@@ -143,7 +143,7 @@
             Waited::Done(Err(e)) => {
                 let verdict = match e {
                     Error::Connect { .. } => Verdict::Silent,
-                    Error::Io(_) | Error::Ended | Error::Malformed { .. } => Verdict::Failed,
+                    Error::Io(_) | Error::Incomplete | Error::Malformed { .. } => Verdict::Failed,
                 };
                 at_engine.saw(verdict);
                 node.broke(engine);
@@ -192,12 +192,12 @@
     async fn answer_to(&self, conn: &mut Conn, req: &Request) -> Result<(Head, Marks), Error> {
         const MOST_STRAY: u32 = 3;
         for _ in 0..MOST_STRAY {
-            let head = conn.head(&req.method).await?;
+            let head = conn.read_head(&req.method).await?;
             let marks = self.node.dialects.upstreams.read(&head);
             match &marks.id {
                 Some(id) if *id != self.call.id => {
-                    let body = hgw_http1::Body::new(head.framing);
-                    conn.collect(body, 1 << 20).await?;
+                    let body = hgw_http1::BodyDecoder::new(head.framing);
+                    conn.read_body(body, 1 << 20).await?;
                 }
                 _ => return Ok((head, marks)),
             }
@@ -224,8 +224,8 @@
             } else {
                 at_engine.saw(Verdict::Full);
             }
-            let body = hgw_http1::Body::new(head.framing);
-            if let Waited::Done(Ok(_)) = self.bounded(conn.collect(body, 64 << 10)).await {
+            let body = hgw_http1::BodyDecoder::new(head.framing);
+            if let Waited::Done(Ok(_)) = self.bounded(conn.read_body(body, 64 << 10)).await {
                 at_engine.keep(conn);
             }
             return Tried::NotRun;
--- a/crates/gateway/src/relay/plain.rs
+++ b/crates/gateway/src/relay/plain.rs
@@ -1,7 +1,7 @@
 //! Answers that are given whole.
 
 use hgw_direct::{NoEngine, Verdict};
-use hgw_http1::Body;
+use hgw_http1::BodyDecoder;
 use http::{Response, StatusCode};
 
 use crate::answer::{Answer, AnswerBody};
@@ -80,8 +80,8 @@
 /// The engine's answer, or nothing where it is not whole.
 async fn whole(req: &Relayed, begun: Begun) -> Option<Answer> {
     let Begun { engine, mut conn, head, at_engine } = begun;
-    let body = Body::new(head.framing);
-    let collected = req.at(&at_engine, conn.collect(body, MOST)).await;
+    let body = BodyDecoder::new(head.framing);
+    let collected = req.at(&at_engine, conn.read_body(body, MOST)).await;
     let Waited::Done(Ok(body)) = collected else {
         at_engine.saw(Verdict::Failed);
         return None;
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::stream::unfold;
 use hgw_direct::{EngineId, NoEngine, Verdict};
-use hgw_http1::{Body, Conn, Framing, Head};
+use hgw_http1::{BodyDecoder, Conn, Framing, Head};
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
 
@@ -103,7 +103,7 @@
     engine: EngineId,
     /// Until the answer is whole.
     conn: Option<Conn>,
-    body: Body,
+    body: BodyDecoder,
     events: Events,
     /// Whether the answer is made of events; a failure's body is passed on as it is.
     is_events: bool,
@@ -116,7 +116,7 @@
     fn new(req: Relayed, begun: Begun) -> Flow {
         let Begun { engine, conn, head, at_engine } = begun;
         let is_events = is_events(&head);
-        let body = Body::new(head.framing);
+        let body = BodyDecoder::new(head.framing);
         let events = Events::default();
         Flow {
             req,
@@ -175,7 +175,7 @@
     async fn read(&mut self) -> Waited<hgw_http1::Result<Option<Bytes>>> {
         let req = &self.req;
         let Some(conn) = &mut self.conn else { return Waited::Done(Ok(None)) };
-        let chunk = conn.chunk(&mut self.body);
+        let chunk = conn.read_chunk(&mut self.body);
         let may_move = req.route.kind.may_repeat() && req.runs < req.route.attempts;
         if !may_move || !self.is_events {
             return req.at(&self.at_engine, chunk).await;
@@ -206,7 +206,7 @@
             Ok(_) | Err(_) => return false,
         };
         req.resumed(&self.engine, &begun.engine, last);
-        self.body = Body::new(begun.head.framing);
+        self.body = BodyDecoder::new(begun.head.framing);
         self.engine = begun.engine;
         self.conn = Some(begun.conn);
         self.at_engine = begun.at_engine;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -11,7 +11,7 @@
     BudgetLimits, Engine, EngineId, KnownEra, ListPlace, Millis, Verdict, is_cut_off, reads_on,
 };
 use hgw_events::{Event, emit};
-use hgw_http1::ConnectLimits;
+use hgw_http1::ConnTimeouts;
 use indexmap::IndexSet;
 use rand::random;
 use tokio::sync::Notify;
@@ -319,8 +319,8 @@
         }
     }
 
-    pub(crate) fn connect_limits(&self) -> ConnectLimits {
-        ConnectLimits { connect: CONNECT, silence: UNACKED }
+    pub(crate) fn conn_timeouts(&self) -> ConnTimeouts {
+        ConnTimeouts { connect: CONNECT, dead_peer: UNACKED }
     }
 
     /// Takes in what became of a request at an engine.
--- a/crates/hibiscusgw/src/command.rs
+++ b/crates/hibiscusgw/src/command.rs
@@ -265,7 +265,7 @@
         return Err(Error::Usage("no command was given".to_owned()));
     };
     match command {
-        Command::Serve(flags) => match env(hgw_platform::SETTINGS_VARIABLE) {
+        Command::Serve(flags) => match env(hgw_platform::SETTINGS_ENV_VAR) {
             Some(path) => on_platform::serve(Path::new(&path), flags, env),
             None => serve::serve(&ServeSettings::read(flags, env)?),
         },
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -12,7 +12,7 @@
 
 /// Decoder of a response body: strips the framing and detects the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
 }
 
@@ -35,18 +35,18 @@
     Whole,
 }
 
-impl Body {
-    pub fn new(framing: Framing) -> Body {
+impl BodyDecoder {
+    pub fn new(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(0) => State::Whole,
             Framing::Length(n) => State::Length(n),
             Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         };
-        Body { state }
+        BodyDecoder { state }
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == State::Whole
     }
 
@@ -57,7 +57,7 @@
                 self.state = State::Whole;
                 Ok(())
             }
-            _ => Err(Error::Ended),
+            _ => Err(Error::Incomplete),
         }
     }
 
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::body::Step;
-use crate::{Body, Error, Head, Request, Result, head};
+use crate::{BodyDecoder, Error, Head, Request, Result, head};
 
 /// Buffer space for one read of the socket, in bytes.
 const READ: usize = 8 << 10;
@@ -22,16 +22,16 @@
 
 /// Timeouts of a connection.
 #[derive(Debug, Clone, Copy)]
-pub struct ConnectLimits {
+pub struct ConnTimeouts {
     pub connect: Duration,
     /// Longest time that sent bytes may stay unacknowledged, and idle time before keepalive probes. Without this, a
     /// connection to a machine that lost power hangs.
-    pub silence: Duration,
+    pub dead_peer: Duration,
 }
 
-impl Default for ConnectLimits {
+impl Default for ConnTimeouts {
     fn default() -> Self {
-        ConnectLimits { connect: Duration::from_secs(1), silence: Duration::from_secs(2) }
+        ConnTimeouts { connect: Duration::from_secs(1), dead_peer: Duration::from_secs(2) }
     }
 }
 
@@ -62,12 +62,12 @@
 }
 
 impl Conn {
-    pub async fn connect(addr: SocketAddr, limits: ConnectLimits) -> Result<Conn> {
-        let connected = timeout(limits.connect, TcpStream::connect(addr)).await;
+    pub async fn connect(addr: SocketAddr, timeouts: ConnTimeouts) -> Result<Conn> {
+        let connected = timeout(timeouts.connect, TcpStream::connect(addr)).await;
         let timed_out = || Err(io::Error::from(io::ErrorKind::TimedOut));
         let connected = connected.unwrap_or_else(|_| timed_out());
         let stream = connected.map_err(|source| Error::Connect { source })?;
-        keep_alive(&stream, limits.silence).map_err(|source| Error::Connect { source })?;
+        keep_alive(&stream, timeouts.dead_peer).map_err(|source| Error::Connect { source })?;
         let (buf, since) = (BytesMut::new(), Instant::now());
         Ok(Conn { stream, buf, spent: false, kept_for: None, since, answers: 0, awaits: false })
     }
@@ -84,7 +84,7 @@
 
     /// Whether another request may be sent: the connection is open, has no unexpected bytes, and the peer's keep-alive
     /// timeout does not expire within `margin`.
-    pub fn is_usable(&mut self, margin: Duration) -> bool {
+    pub fn is_reusable(&mut self, margin: Duration) -> bool {
         let idle = self.since.elapsed();
         let expires = self.kept_for.is_some_and(|kept| idle + margin >= kept);
         if self.spent || expires || !self.buf.is_empty() {
@@ -97,13 +97,13 @@
 
     /// Sends a request and reads the head of the response. If the response starts before the request is completely
     /// sent, the connection cannot be reused.
-    pub async fn send(&mut self, req: &Request) -> Result<Head> {
-        self.begin(req).await?;
-        self.head(&req.method).await
+    pub async fn round_trip(&mut self, req: &Request) -> Result<Head> {
+        self.send_request(req).await?;
+        self.read_head(&req.method).await
     }
 
     /// Sends a request; stops early if the response starts before all bytes are sent.
-    pub async fn begin(&mut self, req: &Request) -> Result<()> {
+    pub async fn send_request(&mut self, req: &Request) -> Result<()> {
         let bytes = req.encode();
         (self.spent, self.awaits) = (true, true);
         let (rd, mut wr) = self.stream.split();
@@ -124,7 +124,7 @@
     }
 
     /// Reads the head of the next response, skipping informational ones.
-    pub async fn head(&mut self, method: &Method) -> Result<Head> {
+    pub async fn read_head(&mut self, method: &Method) -> Result<Head> {
         let reusable = !std::mem::replace(&mut self.spent, true);
         for _ in 0..=MAX_INFORMATIONAL {
             let head = loop {
@@ -132,13 +132,13 @@
                     break head;
                 }
                 if self.read().await? == 0 {
-                    return Err(Error::Ended);
+                    return Err(Error::Incomplete);
                 }
             };
             if (100..200).contains(&head.status) {
                 continue;
             }
-            self.spent = !reusable || head.closes;
+            self.spent = !reusable || head.closes_connection;
             self.kept_for = kept_for(&head).or(self.kept_for);
             return Ok(head);
         }
@@ -146,7 +146,7 @@
     }
 
     /// Reads the next bytes of a body, or `None` at its end.
-    pub async fn chunk(&mut self, body: &mut Body) -> Result<Option<Bytes>> {
+    pub async fn read_chunk(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>> {
         loop {
             match body.step(&mut self.buf).inspect_err(|_| self.spent = true)? {
                 Step::Bytes(bytes) => return Ok(Some(bytes)),
@@ -167,9 +167,9 @@
     }
 
     /// Reads a complete body of at most `most` bytes.
-    pub async fn collect(&mut self, mut body: Body, most: usize) -> Result<Bytes> {
+    pub async fn read_body(&mut self, mut body: BodyDecoder, most: usize) -> Result<Bytes> {
         let mut whole = BytesMut::new();
-        while let Some(bytes) = self.chunk(&mut body).await? {
+        while let Some(bytes) = self.read_chunk(&mut body).await? {
             if whole.len() + bytes.len() > most {
                 self.spent = true;
                 return Err(Error::Malformed { what: "body too large" });
@@ -192,11 +192,11 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn keep_alive(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+fn keep_alive(stream: &TcpStream, dead_peer: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
-    let probe = silence.max(Duration::from_secs(1));
+    socket.set_tcp_user_timeout(Some(dead_peer))?;
+    let probe = dead_peer.max(Duration::from_secs(1));
     socket.set_tcp_keepalive(
         &TcpKeepalive::new().with_time(probe).with_interval(Duration::from_secs(1)).with_retries(2),
     )
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -9,14 +9,12 @@
     /// Connecting failed or timed out, so nothing was sent.
     #[display("could not connect: {source}")]
     #[from(skip)]
-    Connect {
-        source: io::Error,
-    },
+    Connect { source: io::Error },
     #[display("connection failed: {_0}")]
     Io(io::Error),
     /// The peer closed the connection before the response was complete.
     #[display("connection closed before the response was complete")]
-    Ended,
+    Incomplete,
     /// The received bytes are not a valid HTTP/1.1 response.
     #[display("invalid HTTP/1.1 response: {what}")]
     #[from(skip)]
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -7,7 +7,7 @@
 use crate::{Error, Result};
 
 /// Largest accepted response head, in bytes.
-pub const MAX_HEAD: usize = 32 << 10;
+pub const MAX_HEAD_BYTES: usize = 32 << 10;
 
 const MAX_FIELDS: usize = 64;
 
@@ -27,7 +27,7 @@
     pub headers: HeaderMap,
     pub framing: Framing,
     /// Whether the peer closes the connection after the response.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// Removes a complete head from the buffer, or returns `None` if more bytes are needed.
@@ -36,7 +36,7 @@
     let mut parsed = httparse::Response::new(&mut fields);
     let status = parsed.parse(buf).map_err(|_| Error::Malformed { what: "head" })?;
     let httparse::Status::Complete(len) = status else {
-        if buf.len() > MAX_HEAD {
+        if buf.len() > MAX_HEAD_BYTES {
             return Err(Error::Malformed { what: "head too large" });
         }
         return Ok(None);
@@ -54,9 +54,9 @@
     }
     let framing = framing(code, &headers, method)?;
     let says_close = says(&headers, CONNECTION, "close");
-    let closes = says_close || http10 || framing == Framing::UntilClose;
+    let closes_connection = says_close || http10 || framing == Framing::UntilClose;
     let _ = buf.split_to(len);
-    Ok(Some(Head { status: code, headers, framing, closes }))
+    Ok(Some(Head { status: code, headers, framing, closes_connection }))
 }
 
 fn framing(status: u16, headers: &HeaderMap, method: &Method) -> Result<Framing> {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -10,8 +10,8 @@
 mod head;
 mod request;
 
-pub use body::Body;
-pub use conn::{Conn, ConnectLimits};
+pub use body::BodyDecoder;
+pub use conn::{Conn, ConnTimeouts};
 pub use error::{Error, Result};
-pub use head::{Framing, Head, MAX_HEAD};
+pub use head::{Framing, Head, MAX_HEAD_BYTES};
 pub use request::Request;
--- a/crates/http1/tests/conn.rs
+++ b/crates/http1/tests/conn.rs
@@ -5,7 +5,7 @@
 
 use assert_matches::assert_matches;
 use bytes::Bytes;
-use hgw_http1::{Body, Conn, ConnectLimits, Error, Framing, Request};
+use hgw_http1::{BodyDecoder, Conn, ConnTimeouts, Error, Framing, Request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -28,11 +28,11 @@
 
 async fn asked(answer: &'static [u8], stays: bool) -> (Conn, Result<(u16, Bytes), Error>) {
     let addr = peer(answer, stays).await;
-    let mut conn = Conn::connect(addr, ConnectLimits::default()).await.unwrap();
+    let mut conn = Conn::connect(addr, ConnTimeouts::default()).await.unwrap();
     let req = Request::post("/x", "peer", Bytes::from_static(b"body"));
     let answered = async {
-        let head = conn.send(&req).await?;
-        let body = conn.collect(Body::new(head.framing), 1 << 20).await?;
+        let head = conn.round_trip(&req).await?;
+        let body = conn.read_body(BodyDecoder::new(head.framing), 1 << 20).await?;
         Ok((head.status, body))
     };
     let answered = answered.await;
@@ -60,11 +60,11 @@
         b"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", true
         => Ok((204, body)) if body.is_empty(),
     body_cut_short_is_not_whole: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", false
-        => Err(Error::Ended),
+        => Err(Error::Incomplete),
     chunks_without_the_last_are_not_whole:
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false
-        => Err(Error::Ended),
-    no_answer_is_told_from_a_broken_one: b"", false => Err(Error::Ended),
+        => Err(Error::Incomplete),
+    no_answer_is_told_from_a_broken_one: b"", false => Err(Error::Incomplete),
     other_bytes_are_no_answer: b"\x00\x01 spoiled\r\n\r\n", true => Err(Error::Malformed { .. }),
     two_framings_are_refused:
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", true
@@ -82,7 +82,7 @@
     let (mut conn, answered) =
         asked(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", true).await;
     answered.unwrap();
-    assert!(conn.is_usable(Duration::ZERO));
+    assert!(conn.is_reusable(Duration::ZERO));
     assert!(conn.was_used());
 }
 
@@ -93,8 +93,8 @@
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n";
     let (mut conn, answered) = asked(answer, true).await;
     answered.unwrap();
-    assert!(conn.is_usable(Duration::ZERO));
-    assert!(!conn.is_usable(Duration::from_secs(1)));
+    assert!(conn.is_reusable(Duration::ZERO));
+    assert!(!conn.is_reusable(Duration::from_secs(1)));
 }
 
 /// Unsolicited bytes after a complete response must not be taken for the response to the next request.
@@ -104,7 +104,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (mut conn, answered) = asked(answer, true).await;
     answered.unwrap();
-    assert!(!conn.is_usable(Duration::ZERO));
+    assert!(!conn.is_reusable(Duration::ZERO));
 }
 
 #[tokio::test]
@@ -112,7 +112,7 @@
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let (mut conn, answered) = asked(answer, true).await;
     answered.unwrap();
-    assert!(!conn.is_usable(Duration::ZERO));
+    assert!(!conn.is_reusable(Duration::ZERO));
 }
 
 #[tokio::test]
@@ -121,30 +121,30 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         listener.local_addr().unwrap()
     };
-    let refused = Conn::connect(addr, ConnectLimits::default()).await;
+    let refused = Conn::connect(addr, ConnTimeouts::default()).await;
     assert_matches!(refused, Err(Error::Connect { .. }));
 }
 
 #[test]
 fn framing_of_an_empty_body_is_whole_at_once() {
-    assert!(Body::new(Framing::Length(0)).is_whole());
-    assert!(!Body::new(Framing::UntilClose).is_whole());
+    assert!(BodyDecoder::new(Framing::Length(0)).is_complete());
+    assert!(!BodyDecoder::new(Framing::UntilClose).is_complete());
 }
 
 /// Returns what the peer reads after the client has dropped its connection.
 async fn read_after_drop(answer: &'static [u8]) -> std::io::Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut conn =
-        Conn::connect(listener.local_addr().unwrap(), ConnectLimits::default()).await.unwrap();
+        Conn::connect(listener.local_addr().unwrap(), ConnTimeouts::default()).await.unwrap();
     let (mut stream, _) = listener.accept().await.unwrap();
     let req = Request::get("/x", "peer");
-    conn.begin(&req).await.unwrap();
+    conn.send_request(&req).await.unwrap();
     let mut buf = [0; 4096];
     assert!(stream.read(&mut buf).await.unwrap() > 0);
     if !answer.is_empty() {
         stream.write_all(answer).await.unwrap();
-        let head = conn.head(&req.method).await.unwrap();
-        conn.collect(Body::new(head.framing), 1 << 10).await.unwrap();
+        let head = conn.read_head(&req.method).await.unwrap();
+        conn.read_body(BodyDecoder::new(head.framing), 1 << 10).await.unwrap();
     }
     drop(conn);
     stream.read(&mut buf).await
