--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_http1::{Conn, ConnectLimits, Result};
+use hgw_http1::{Conn, ConnTimeouts, Result};
 use indexmap::IndexMap;
 
 /// An idle connection is not reused if it may be closed within this time: the close could cross the
@@ -28,7 +28,7 @@
         let mut idle = self.idle.borrow_mut();
         let conns = idle.get_mut(&addr)?;
         while let Some(mut conn) = conns.pop() {
-            if conn.idle_since().elapsed() < MAX_IDLE && conn.is_usable(EXPIRY_MARGIN) {
+            if conn.idle_since().elapsed() < MAX_IDLE && conn.is_reusable(EXPIRY_MARGIN) {
                 return Some(conn);
             }
         }
@@ -36,7 +36,7 @@
     }
 
     /// Returns an idle connection or opens a new one.
-    pub(crate) async fn get(&self, addr: SocketAddr, limits: ConnectLimits) -> Result<Conn> {
+    pub(crate) async fn get(&self, addr: SocketAddr, limits: ConnTimeouts) -> Result<Conn> {
         match self.take(addr) {
             Some(conn) => Ok(conn),
             None => Conn::connect(addr, limits).await,
@@ -45,7 +45,7 @@
 
     /// Returns a connection to the pool once its response has been read completely.
     pub(crate) fn put(&self, addr: SocketAddr, mut conn: Conn) {
-        if !conn.is_usable(EXPIRY_MARGIN) {
+        if !conn.is_reusable(EXPIRY_MARGIN) {
             return;
         }
         let mut idle = self.idle.borrow_mut();
@@ -64,7 +64,9 @@
     pub(crate) fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         for conns in idle.values_mut() {
-            conns.retain_mut(|c| c.idle_since().elapsed() < MAX_IDLE && c.is_usable(EXPIRY_MARGIN));
+            conns.retain_mut(|c| {
+                c.idle_since().elapsed() < MAX_IDLE && c.is_reusable(EXPIRY_MARGIN)
+            });
         }
         idle.retain(|_, conns| !conns.is_empty());
     }
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -113,7 +113,7 @@
         self.tried_engines.push(engine.clone());
         let tokens = self.prompt().map_or(0, |prompt| prompt.prompt_tokens);
         let guard = AtEngine::start(&node, engine, &self.info.id, tokens);
-        let connected = node.pool.get(addr, node.connect_limits());
+        let connected = node.pool.get(addr, node.conn_timeouts());
         let connected = tokio::select! {
             biased;
             connected = self.within_deadline(connected) => connected,
@@ -144,7 +144,7 @@
         let req = self.upstream_request(engine, last_event);
         self.set_may_run(true);
         let response_head = async {
-            conn.begin(&req).await?;
+            conn.send_request(&req).await?;
             self.read_response_head(&mut conn, &req).await
         };
         let result = self.wait_for_first_byte(&guard, response_head).await;
@@ -156,7 +156,9 @@
             WaitResult::Done(Err(e)) => {
                 let outcome = match e {
                     Error::Connect { .. } => AttemptOutcome::Unreachable,
-                    Error::Io(_) | Error::Ended | Error::Malformed { .. } => AttemptOutcome::Failed,
+                    Error::Io(_) | Error::Incomplete | Error::Malformed { .. } => {
+                        AttemptOutcome::Failed
+                    }
                 };
                 guard.record_outcome(outcome);
                 node.broke(engine);
@@ -209,12 +211,12 @@
     ) -> Result<(Head, Marks), Error> {
         const MAX_STRAY_RESPONSES: u32 = 3;
         for _ in 0..MAX_STRAY_RESPONSES {
-            let head = conn.head(&req.method).await?;
+            let head = conn.read_head(&req.method).await?;
             let info = self.node.dialects.upstreams.read(&head);
             match &info.id {
                 Some(id) if *id != self.info.id => {
-                    let body = hgw_http1::Body::new(head.framing);
-                    conn.collect(body, 1 << 20).await?;
+                    let body = hgw_http1::BodyDecoder::new(head.framing);
+                    conn.read_body(body, 1 << 20).await?;
                 }
                 _ => return Ok((head, info)),
             }
@@ -241,9 +243,9 @@
             } else {
                 guard.record_outcome(AttemptOutcome::Rejected);
             }
-            let body = hgw_http1::Body::new(head.framing);
+            let body = hgw_http1::BodyDecoder::new(head.framing);
             if let WaitResult::Done(Ok(_)) =
-                self.within_deadline(conn.collect(body, 64 << 10)).await
+                self.within_deadline(conn.read_body(body, 64 << 10)).await
             {
                 guard.return_connection(conn);
             }
--- a/crates/gateway/src/relay/buffered.rs
+++ b/crates/gateway/src/relay/buffered.rs
@@ -1,7 +1,7 @@
 //! Responses that are buffered and returned at once.
 
 use hgw_direct::{AttemptOutcome, NoEngine};
-use hgw_http1::Body;
+use hgw_http1::BodyDecoder;
 use http::{Response, StatusCode};
 
 use crate::answer::{Answer, AnswerBody};
@@ -82,8 +82,8 @@
 /// Buffers the engine's response; `None` if it is incomplete.
 async fn read_response(req: &RelayedRequest, started: StartedResponse) -> Option<Answer> {
     let StartedResponse { engine, mut conn, head, guard } = started;
-    let body = Body::new(head.framing);
-    let collected = req.unless_engine_restarts(&guard, conn.collect(body, MAX_BODY_BYTES)).await;
+    let body = BodyDecoder::new(head.framing);
+    let collected = req.unless_engine_restarts(&guard, conn.read_body(body, MAX_BODY_BYTES)).await;
     let WaitResult::Done(Ok(body)) = collected else {
         guard.record_outcome(AttemptOutcome::Failed);
         return None;
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::stream::unfold;
 use hgw_direct::{AttemptOutcome, EngineId, NoEngine};
-use hgw_http1::{Body, Conn, Framing, Head};
+use hgw_http1::{BodyDecoder, Conn, Framing, Head};
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
 
@@ -107,7 +107,7 @@
     engine: EngineId,
     /// `None` once the response is complete, and between two engines.
     conn: Option<Conn>,
-    body: Body,
+    body: BodyDecoder,
     events: EventBuffer,
     /// Whether the body consists of events; an error body is passed on unchanged.
     is_events: bool,
@@ -120,7 +120,7 @@
     fn new(req: RelayedRequest, started: StartedResponse) -> ResponseStream {
         let StartedResponse { engine, conn, head, guard } = started;
         let is_events = is_events(&head);
-        let body = Body::new(head.framing);
+        let body = BodyDecoder::new(head.framing);
         let events = EventBuffer::default();
         ResponseStream {
             req,
@@ -179,7 +179,7 @@
     async fn read_chunk(&mut self) -> WaitResult<hgw_http1::Result<Option<Bytes>>> {
         let req = &self.req;
         let Some(conn) = &mut self.conn else { return WaitResult::Done(Ok(None)) };
-        let chunk = conn.chunk(&mut self.body);
+        let chunk = conn.read_chunk(&mut self.body);
         let may_resume = req.route.kind.may_repeat() && req.runs < req.route.max_attempts;
         if !may_resume || !self.is_events {
             return req.unless_engine_restarts(&self.guard, chunk).await;
@@ -210,7 +210,7 @@
             Ok(_) | Err(_) => return false,
         };
         req.log_resumed(&self.engine, &started.engine, last);
-        self.body = Body::new(started.head.framing);
+        self.body = BodyDecoder::new(started.head.framing);
         self.engine = started.engine;
         self.conn = Some(started.conn);
         self.guard = started.guard;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -12,7 +12,7 @@
     is_isolated, polls_store,
 };
 use hgw_events::{Event, emit};
-use hgw_http1::ConnectLimits;
+use hgw_http1::ConnTimeouts;
 use indexmap::IndexSet;
 use rand::random;
 use tokio::sync::Notify;
@@ -320,8 +320,8 @@
         }
     }
 
-    pub(crate) fn connect_limits(&self) -> ConnectLimits {
-        ConnectLimits { connect: CONNECT, silence: UNACKED }
+    pub(crate) fn conn_timeouts(&self) -> ConnTimeouts {
+        ConnTimeouts { connect: CONNECT, dead_peer: UNACKED }
     }
 
     /// Takes in what became of a request at an engine.
