--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -10,7 +10,7 @@
 use crate::shared::Node;
 
 /// A request in flight at an engine, until dropped.
-pub(crate) struct AtEngine {
+pub(crate) struct AttemptGuard {
     node: Node,
     engine: EngineId,
     /// Start time of the engine process that the request was sent to.
@@ -19,10 +19,15 @@
     pending_prefill: Option<SendId>,
 }
 
-impl AtEngine {
+impl AttemptGuard {
     /// Counts a request as in flight. `tokens` is the length of its prompt, 0 for a service without
     /// models.
-    pub(crate) fn start(node: &Node, engine: &EngineId, request_id: &str, tokens: u32) -> AtEngine {
+    pub(crate) fn start(
+        node: &Node,
+        engine: &EngineId,
+        request_id: &str,
+        tokens: u32,
+    ) -> AttemptGuard {
         let now = node.now();
         let pending_prefill = (tokens > 0).then(|| SendId::of(request_id));
         let mut started_at = StartTime::default();
@@ -36,7 +41,7 @@
         if let Some(id) = pending_prefill {
             node.sends.tell(node, &Word::Sent(engine.clone(), started_at, id, tokens));
         }
-        AtEngine { node: Rc::clone(node), engine: engine.clone(), started_at, pending_prefill }
+        AttemptGuard { node: Rc::clone(node), engine: engine.clone(), started_at, pending_prefill }
     }
 
     pub(crate) fn engine(&self) -> &EngineId {
@@ -90,7 +95,7 @@
             engine.prefill_rate.record(tokens, took);
         }
         drop(state);
-        self.node.turns.next.notify_waiters();
+        self.node.prefill_queue.changed.notify_waiters();
     }
 
     /// Records the mean time between the events of a complete response.
@@ -104,7 +109,7 @@
     }
 }
 
-impl Drop for AtEngine {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.node.now();
         let pending_prefill = self.pending_prefill.take();
@@ -121,7 +126,7 @@
             self.node
                 .sends
                 .tell(&self.node, &Word::Ended(self.engine.clone(), self.started_at, id));
-            self.node.turns.next.notify_waiters();
+            self.node.prefill_queue.changed.notify_waiters();
         }
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/caller_listener.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::answer::Answered;
+use crate::response::ResponseResult;
 use crate::shared::Node;
 use crate::{listen, relay};
 
@@ -101,10 +101,14 @@
     }
 }
 
-async fn handle(node: Node, activity: Rc<ConnectionActivity>, req: Request<Incoming>) -> Answered {
+async fn handle(
+    node: Node,
+    activity: Rc<ConnectionActivity>,
+    req: Request<Incoming>,
+) -> ResponseResult {
     activity.open_requests.set(activity.open_requests.get() + 1);
     let open_request = OpenRequest(activity, Rc::clone(&node));
-    let mut response = relay::answer(&node, req).await;
+    let mut response = relay::handle(&node, req).await;
     if node.sends_away() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -16,7 +16,7 @@
 
 /// A call to the store has ended: its answer may tell of a new era.
 pub(crate) fn look(node: &Shared) {
-    learn(node, node.dialects.store.era(), Duration::ZERO, "store");
+    learn(node, node.protocols.store.era(), Duration::ZERO, "store");
 }
 
 /// What this node tells another: its era, and for how many milliseconds that has lasted at least; nothing in the first.
@@ -29,7 +29,7 @@
 /// Another node tells the same.
 pub(crate) fn hear(node: &Shared, told: Option<(Era, u64)>) {
     let Some((era, lasted_ms)) = told else { return };
-    node.dialects.store.heard_of(era);
+    node.protocols.store.observe_era(era);
     learn(node, era, Duration::from_millis(lasted_ms), "peer");
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -10,12 +10,12 @@
 
 use crate::backoff::{after_failure, pause_after_failure};
 use crate::clock::boot_time;
-use crate::dialect::{Cursor, EngineChange, EngineEntry, EngineNews, StoreError};
 use crate::eras;
+use crate::freshness;
 use crate::keeper;
 use crate::meter;
 use crate::peers;
-use crate::proof;
+use crate::protocol::{Cursor, EngineChange, EngineEntry, EngineListUpdate, StoreError};
 use crate::shared::{ListedBy, Node};
 
 /// Pause before the next look for a configuration where there is none yet.
@@ -93,13 +93,13 @@
             continue;
         }
         // An answer tells that the store is back: it must not wait there for news.
-        let usual = proof::longest_wait(&node, node.settings.borrow().catalog_wait());
+        let usual = freshness::max_poll_wait(&node, node.settings.borrow().catalog_wait());
         let wait = if link.is_down() || followed { Duration::ZERO } else { usual };
         let asked = boot_time();
         if let Some((version, at)) = told_place(&node).filter(|(_, at)| cursor < Some(*at)) {
             (newest, cursor) = (Some(version), Some(at));
         }
-        let call = node.dialects.store.catalog(cursor, wait);
+        let call = node.protocols.store.poll_catalog(cursor, wait);
         let answered = if told {
             call.await
         } else {
@@ -118,7 +118,7 @@
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
                 if let Some(newest) = newest {
-                    proof::read(&node, VersionCheck { newest, asked_at: asked });
+                    freshness::record_store_read(&node, VersionCheck { newest, asked_at: asked });
                     node.catalog_at.set(cursor.map(|at| (newest, at)));
                 }
                 if nothing && node.state.borrow().catalog.is_none() {
@@ -129,7 +129,7 @@
                 link.down(&e);
                 if followed {
                     // Another node may yet tell of a younger question.
-                    sleep(pause_after_failure(&node).min(proof::longest_pause(&node))).await;
+                    sleep(pause_after_failure(&node).min(freshness::max_retry_delay(&node))).await;
                 } else {
                     after_failure(&node).await;
                 }
@@ -149,7 +149,7 @@
 
 /// Whether nobody tells this node that its configuration is still the newest, so that it asks the store.
 fn proof_is_due(node: &Node) -> bool {
-    proof::is_due(node, node.has_head())
+    freshness::needs_store_check(node, node.has_head())
 }
 
 /// Ends when another node tells of a newer configuration. A call to the store may be without an answer for two seconds,
@@ -180,7 +180,7 @@
     {
         return Some(Adopted { version, is_newer: false });
     }
-    let catalog = match node.dialects.store.read_catalog(&text) {
+    let catalog = match node.protocols.store.parse_catalog(&text) {
         Ok(catalog) => catalog,
         Err(e) => {
             emit(Event::ConfigRejected, &[("node", &node.settings.borrow().node), ("why", &e)]);
@@ -215,7 +215,7 @@
             node.pool.sweep();
             continue;
         }
-        match node.dialects.store.engines(cursor).await {
+        match node.protocols.store.read_engines(cursor).await {
             Ok(news) => {
                 node.list_read.set(node.now());
                 node.reads_list.set(false);
@@ -264,14 +264,14 @@
     Duration::from_millis(node.now().saturating_sub(last))
 }
 
-fn take_in(node: &Node, news: EngineNews, keep: bool) {
+fn take_in(node: &Node, news: EngineListUpdate, keep: bool) {
     let now = node.now();
     if let Some(first) = news.malformed.first() {
         let (name, entries) = (&node.settings.borrow().node, news.malformed.len());
         emit(Event::ConfigRejected, &[("node", name), ("why", first), ("entries", &entries)]);
     }
     let mut state = node.state.borrow_mut();
-    if news.whole && news.cursor.era > Era::FIRST {
+    if news.is_full_list && news.cursor.era > Era::FIRST {
         state.engines.set_backup_end(news.cursor);
     }
     let mut whole = Vec::new();
@@ -284,7 +284,7 @@
                 }
                 listed.position = at;
                 keep_newer(&state.engines, &mut listed);
-                if news.whole {
+                if news.is_full_list {
                     whole.push(*listed);
                 } else {
                     state.engines.upsert(*listed);
@@ -297,13 +297,13 @@
             }
             EngineEntry::Unreadable(id) => {
                 state.engines.mark_unreadable(&id, at);
-                if news.whole {
+                if news.is_full_list {
                     whole.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
             }
         }
     }
-    if news.whole {
+    if news.is_full_list {
         state.engines.apply_snapshot(whole, news.cursor, keep);
     }
     drop(state);
--- a/crates/gateway/src/proof.rs
+++ b/crates/gateway/src/freshness.rs
@@ -29,7 +29,7 @@
 
 /// What is known about the newest version, and whether it sufficed at the last check.
 #[derive(Debug, Default)]
-pub(crate) struct Proofs {
+pub(crate) struct Freshness {
     latest: RefCell<FreshnessProof>,
     was_fresh: Cell<bool>,
 }
@@ -39,7 +39,7 @@
 /// A store restored from a backup may lack versions that it had acknowledged, and the key
 /// revocations in them. Its reads do not count until operators have had time to write them again,
 /// nor while its newest version is older than the one known here.
-pub(crate) fn read(node: &Shared, check: VersionCheck) {
+pub(crate) fn record_store_read(node: &Shared, check: VersionCheck) {
     let known_version = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
     let is_outdated = node.era.get().era() > Era::FIRST && check.newest < known_version;
     if !is_outdated && check.asked_at >= eras::written_again_at(node) {
@@ -48,21 +48,26 @@
 }
 
 fn record(node: &Shared, check: VersionCheck) {
-    node.proofs.latest.borrow_mut().record(check);
+    node.freshness.latest.borrow_mut().record(check);
 }
 
 /// What this node reports to others: the newest version known to be current, and how many
 /// milliseconds ago that was confirmed.
-pub(crate) fn told(node: &Shared) -> Option<(u64, u64)> {
+pub(crate) fn to_share(node: &Shared) -> Option<(u64, u64)> {
     let version = node.state.borrow().catalog.as_ref()?.version;
-    let check = node.proofs.latest.borrow().latest_check(version)?;
+    let check = node.freshness.latest.borrow().latest_check(version)?;
     let age = boot_time().saturating_sub(check.asked_at);
     Some((check.newest, age.as_millis() as u64))
 }
 
 /// Records what another node reported in response to a query sent at `asked_at`, which it held back
 /// for `held_ms`.
-pub(crate) fn hear(node: &Shared, asked_at: Duration, held_ms: u64, report: Option<(u64, u64)>) {
+pub(crate) fn record_peer_report(
+    node: &Shared,
+    asked_at: Duration,
+    held_ms: u64,
+    report: Option<(u64, u64)>,
+) {
     let Some((newest, age_ms)) = report else { return };
     let confirmed_at =
         (asked_at + Duration::from_millis(held_ms)).saturating_sub(Duration::from_millis(age_ms));
@@ -72,17 +77,17 @@
 /// Time since the configuration was last known to be current.
 pub(crate) fn age(node: &Shared) -> Option<Duration> {
     let version = node.state.borrow().catalog.as_ref()?.version;
-    node.proofs.latest.borrow().age(version, boot_time())
+    node.freshness.latest.borrow().age(version, boot_time())
 }
 
 /// Whether the configuration is known to be current, so that requests with a key may be sent to
 /// engines.
-pub(crate) fn holds(node: &Shared) -> bool {
+pub(crate) fn is_fresh(node: &Shared) -> bool {
     is_younger_than(node, 1.0)
 }
 
 /// Whether this node must query the store itself because no other node reports a recent result.
-pub(crate) fn is_due(node: &Shared, is_behind_hub: bool) -> bool {
+pub(crate) fn needs_store_check(node: &Shared, is_behind_hub: bool) -> bool {
     let spread = STORE_CHECK_SPREAD * f64::from(node.draw) / f64::from(u32::MAX);
     !is_younger_than(
         node,
@@ -91,7 +96,7 @@
 }
 
 /// Longest pause before the store is queried again.
-pub(crate) fn longest_pause(node: &Shared) -> Duration {
+pub(crate) fn max_retry_delay(node: &Shared) -> Duration {
     let max_age = node.settings.borrow().revoke_within;
     max_age.map_or(Duration::MAX, |max_age| max_age.mul_f64(RETRY_DELAY_SHARE))
 }
@@ -108,23 +113,23 @@
         }
         catalog.version
     };
-    let age = node.proofs.latest.borrow().age(version, boot_time());
+    let age = node.freshness.latest.borrow().age(version, boot_time());
     age.is_some_and(|age| age < max_age.mul_f64(share))
 }
 
 /// Longest long poll for a new configuration.
-pub(crate) fn longest_wait(node: &Shared, default: Duration) -> Duration {
+pub(crate) fn max_poll_wait(node: &Shared, default: Duration) -> Duration {
     let max_age = node.settings.borrow().revoke_within;
     max_age.map_or(default, |max_age| default.min(max_age.mul_f64(POLL_WAIT_SHARE)))
 }
 
 /// Logs when the configuration stops or starts being known to be current.
-pub(crate) fn look(node: &Shared) {
+pub(crate) fn log_change(node: &Shared) {
     if node.state.borrow().catalog.is_none() {
         return;
     }
-    let is_fresh = holds(node);
-    if node.proofs.was_fresh.replace(is_fresh) != is_fresh {
+    let is_fresh = is_fresh(node);
+    if node.freshness.was_fresh.replace(is_fresh) != is_fresh {
         let event = if is_fresh { Event::ProofGained } else { Event::ProofLost };
         let version = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
         emit(event, &[("node", &node.settings.borrow().node), ("version", &version)]);
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::boot_time;
-use crate::dialect::Cursor;
+use crate::protocol::Cursor;
 use crate::shared::Node;
 
 use record::{EntryKind, entry, valid};
@@ -108,13 +108,13 @@
     if !node.holding.borrow().is_mine() {
         return;
     }
-    let Ok(news) = node.dialects.store.claims(None, Duration::ZERO).await else { return };
+    let Ok(news) = node.protocols.store.poll_lease_log(None, Duration::ZERO).await else { return };
     let last = news.records.iter().rev().find_map(valid);
     let me = node.settings.borrow().node.clone();
     node.holding.borrow_mut().superseded();
     if last.is_some_and(|entry| entry.node == me) {
         // Where this fails the next holder waits the lease out.
         let released = entry(&node, EntryKind::Release, news.end);
-        let _ = node.dialects.store.claim(news.end, released).await;
+        let _ = node.protocols.store.append_lease_record(news.end, released).await;
     }
 }
--- a/crates/gateway/src/holder/reader.rs
+++ b/crates/gateway/src/holder/reader.rs
@@ -10,10 +10,10 @@
 
 use crate::backoff::after_failure;
 use crate::clock::boot_time;
-use crate::dialect::{ClaimNews, Cursor, Malformed, Record, StoreError};
 use crate::eras;
 use crate::follow::Link;
 use crate::keeper;
+use crate::protocol::{Cursor, DecodeError, LeaseLogUpdate, Record, StoreError};
 use crate::quotas;
 use crate::shared::Node;
 
@@ -94,7 +94,7 @@
         let began = boot_time();
         node.holding.borrow_mut().tries(began, lease);
         let renewal = entry(&node, EntryKind::Renewal, end);
-        match node.dialects.store.claim(end, renewal).await {
+        match node.protocols.store.append_lease_record(end, renewal).await {
             Ok(()) => {
                 self.end = Some(end.plus(1));
                 node.holding.borrow_mut().was_renewed(began, end.plus(1));
@@ -103,12 +103,12 @@
             }
             // Another record stands there: another node's claim, or this node's own renewal whose
             // answer was lost. Or it is another log.
-            Err(StoreError::Condition | StoreError::NewEra { .. }) => {
+            Err(StoreError::PreconditionFailed | StoreError::NewEra { .. }) => {
                 self.read(Duration::ZERO).await
             }
             Err(e) => {
                 // A connection that has ended says nothing of the store; a second call does.
-                let lost = matches!(e, StoreError::Lost { .. });
+                let lost = matches!(e, StoreError::NoResponse { .. });
                 if lost && self.read(Duration::ZERO).await.is_ok() {
                     return Ok(());
                 }
@@ -208,7 +208,7 @@
         };
         if let Some((fence, _)) = self.claim_at(end).await? {
             keeper::go_on(&node, fence);
-            quotas::go_on(&node, before, fence);
+            quotas::move_to_fence(&node, before, fence);
         }
         Ok(())
     }
@@ -217,16 +217,21 @@
     async fn claim_at(&mut self, end: Cursor) -> Result<Option<(u64, Option<u64>)>, StoreError> {
         let Some(fence) = end.fencing_token() else {
             let why = format!("{end} is beyond all fencing numbers");
-            return Err(StoreError::Malformed(Malformed { what: "place of a claim", why }));
+            return Err(StoreError::Malformed(DecodeError { what: "place of a claim", why }));
         };
         let node = Rc::clone(&self.node);
         let began = boot_time();
-        match node.dialects.store.claim(end, entry(&node, EntryKind::Claim, end)).await {
+        match node
+            .protocols
+            .store
+            .append_lease_record(end, entry(&node, EntryKind::Claim, end))
+            .await
+        {
             Ok(()) => {
                 self.end = Some(end.plus(1));
                 Ok(Some((fence, self.gain(end, fence, began))))
             }
-            Err(StoreError::Condition | StoreError::NewEra { .. }) => {
+            Err(StoreError::PreconditionFailed | StoreError::NewEra { .. }) => {
                 self.read(Duration::ZERO).await.map(|()| None)
             }
             Err(e) => Err(e),
@@ -249,8 +254,8 @@
 
     async fn read(&mut self, wait: Duration) -> Result<(), StoreError> {
         let began = boot_time();
-        let news = self.node.dialects.store.claims(self.end, wait).await?;
-        let ClaimNews { end, records } = news;
+        let news = self.node.protocols.store.poll_lease_log(self.end, wait).await?;
+        let LeaseLogUpdate { end, records } = news;
         if self.end.is_some_and(|known| end < known) {
             // The log was rewound: what was read of it is void.
             self.end = None;
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -9,8 +9,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::dialect::OrderKind;
 use crate::peers::Placement;
+use crate::protocol::OrderKind;
 use crate::shared::Node;
 
 use super::give::{Given, count, give, may_give};
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -7,8 +7,8 @@
 use hgw_http1::{BodyDecoder, Request};
 use tokio::time::timeout;
 
-use crate::dialect::{Order, OrderKind, Report};
 use crate::meter;
+use crate::protocol::{Order, OrderKind, Report};
 use crate::shared::Node;
 
 use super::changed;
@@ -60,7 +60,7 @@
     let known = node.engine(engine, |e| (e.info.addr, e.accepted_orders, e.info.started_at));
     let Some((addr, seq, start)) = known else { return Given::Refused };
     let order = Order { addr, engine, kind, wanted, seq, holder: &holder, fence };
-    let req = node.dialects.upstreams.order(&order);
+    let req = node.protocols.upstreams.order_request(&order);
     let given = match exchange(node, engine, &req).await {
         Exchanged::Answered(status, body) => {
             let still =
@@ -146,11 +146,11 @@
 /// Asks an engine what it holds, where it answers.
 pub(super) async fn ask(node: &Node, engine: &EngineId) -> Option<Free> {
     let addr = node.engine(engine, |e| e.info.addr)?;
-    let req = node.dialects.upstreams.ask_report(addr, engine);
+    let req = node.protocols.upstreams.report_request(addr, engine);
     let Exchanged::Answered(200, body) = exchange(node, engine, &req).await else { return None };
-    match node.dialects.upstreams.report(&body) {
+    match node.protocols.upstreams.parse_report(&body) {
         Ok(report) => {
-            let free = Free(!report.busy && report.coming.is_empty());
+            let free = Free(!report.busy && report.loading_adapters.is_empty());
             take_in(node, engine, report).then_some(free)
         }
         Err(e) => {
@@ -172,8 +172,8 @@
     known.accepted_orders = report.seq;
     let changes = known.info.loaded != report.held;
     known.info.loaded = report.held;
-    known.info.cached = report.at_hand;
-    known.loading_adapters = report.coming;
+    known.info.cached = report.cached;
+    known.loading_adapters = report.loading_adapters;
     known.reported_load = Some((report.load, now, known.own_requests));
     known.placement_reported_at = Some(now);
     // A node may have missed its predecessor's last word, so that what is found out is told even where it is no
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -10,7 +10,7 @@
 use hgw_events::{Event, emit};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::dialect::OrderKind;
+use crate::protocol::OrderKind;
 use crate::shared::Node;
 
 use super::give::{Given, count, give, may_give};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,16 +2,15 @@
 //!
 //! One thread does all of it: a stream has twenty events for each request, and an event that crosses
 //! threads pays for two wake-ups. What is decided lives in [`hgw_direct`]; names, formats and calls of a
-//! platform come in by the traits of [`dialect`].
+//! platform come in by the traits of [`protocol`].
 
-mod answer;
-mod at_engine;
+mod attempt_guard;
 mod backoff;
+mod caller_listener;
 mod clock;
-pub mod dialect;
 mod eras;
 mod follow;
-mod front;
+mod freshness;
 mod holder;
 mod keeper;
 mod listen;
@@ -19,15 +18,16 @@
 mod meter;
 mod peers;
 mod pool;
-mod proof;
+mod prefill_queue;
+pub mod protocol;
 mod quotas;
 mod relay;
+mod response;
 mod run;
 mod settings;
 mod shared;
 mod state;
 mod stop;
-mod turn;
 
 pub use run::{Ended, Signal, run};
 pub use settings::Settings;
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use crate::answer::Answered;
+use crate::response::ResponseResult;
 use crate::shared::Node;
 
 /// Listen backlog: with the usual 128, connections of a burst are dropped and retried only after
@@ -42,7 +42,7 @@
 pub(crate) async fn serve<H, F>(node: Node, listener: TcpListener, handler: H)
 where
     H: Fn(Node, Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Answered> + 'static,
+    F: Future<Output = ResponseResult> + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -74,11 +74,11 @@
         }
     };
     let entry = serde_json::to_vec(&me).expect("a member can be written as JSON");
-    node.dialects.store.announce(&me.node, entry.into()).await.is_ok()
+    node.protocols.store.register_node(&me.node, entry.into()).await.is_ok()
 }
 
 async fn read(node: &Node) -> bool {
-    let Ok(nodes) = node.dialects.store.nodes().await else { return false };
+    let Ok(nodes) = node.protocols.store.registered_nodes().await else { return false };
     // An entry that cannot be read is of another version of the program, and counts.
     let count = u32::try_from(nodes.len()).unwrap_or(u32::MAX);
     let members = nodes.iter().filter_map(|(_, entry)| serde_json::from_slice(entry).ok());
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -6,8 +6,8 @@
 use metrics::{counter, gauge, histogram};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-use crate::dialect::StoreError;
-use crate::proof;
+use crate::freshness;
+use crate::protocol::StoreError;
 use crate::shared::Shared;
 
 /// Upper bounds of the latency buckets in seconds, around the usual objectives and deadlines.
@@ -15,7 +15,7 @@
     [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 20.0];
 
 /// Installs the recorder of the process; `None` if the program has installed its own.
-pub(crate) fn recorder() -> Option<PrometheusHandle> {
+pub(crate) fn install_recorder() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS_S).ok()?;
     builder.install_recorder().ok()
 }
@@ -65,7 +65,7 @@
     counter!("hgw_tries_failed_total", "reason" => reason).increment(1);
 }
 
-pub(crate) fn word_lost() {
+pub(crate) fn message_dropped() {
     counter!("hgw_words_lost_total").increment(1);
 }
 
@@ -77,9 +77,9 @@
     let result = match result {
         Ok(()) => "ok",
         Err(StoreError::Refused { .. }) => "refused",
-        Err(StoreError::Condition) => "condition",
+        Err(StoreError::PreconditionFailed) => "condition",
         Err(StoreError::Fenced) => "fenced",
-        Err(StoreError::Lost { .. }) => "lost",
+        Err(StoreError::NoResponse { .. }) => "lost",
         Err(StoreError::Malformed(_)) => "malformed",
         Err(StoreError::Outdated { .. }) => "outdated",
         Err(StoreError::NewEra { .. }) => "new_era",
@@ -87,7 +87,7 @@
     counter!("hgw_store_calls_total", "what" => call, "result" => result).increment(1);
 }
 
-pub(crate) fn beliefs(node: &Shared) {
+pub(crate) fn update_gauges(node: &Shared) {
     let now = node.now();
     let limits = node.budget_limits();
     for (service, budget) in &mut node.state.borrow_mut().budgets {
@@ -109,7 +109,7 @@
     gauge!("hgw_config_version").set(state.catalog.as_ref().map_or(0.0, |c| c.version as f64));
     gauge!("hgw_nodes").set(f64::from(state.nodes));
     gauge!("hgw_list_age_seconds").set(node.word_age() as f64 / 1000.0);
-    if let Some(age) = proof::age(node) {
+    if let Some(age) = freshness::age(node) {
         gauge!("hgw_proof_age_seconds").set(age.as_secs_f64());
     }
     gauge!("hgw_store_era").set(node.era.get().era().number());
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -11,8 +11,8 @@
 
 use crate::clock::boot_time;
 use crate::eras;
+use crate::freshness;
 use crate::keeper;
-use crate::proof;
 use crate::shared::Node;
 
 use super::heard::{heard_since, take_in_loads};
@@ -87,7 +87,7 @@
         if introduces {
             self.introduced = Some(fence);
         }
-        proof::hear(node, asked, news.held_ms, news.proof);
+        freshness::record_peer_report(node, asked, news.held_ms, news.proof);
         if news.catalog_at > node.catalog_at.get() {
             node.catalog_at.set(news.catalog_at);
         }
--- a/crates/gateway/src/peers/flights.rs
+++ b/crates/gateway/src/peers/flights.rs
@@ -145,5 +145,5 @@
         engine.in_flight_elsewhere =
             sums.is_fresh().then(|| sums.in_flight_elsewhere(engine.key()));
     }
-    node.turns.next.notify_waiters();
+    node.prefill_queue.changed.notify_waiters();
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -24,11 +24,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::answer::{Answer, AnswerBody, Answered, own};
 use crate::eras;
 use crate::follow;
 use crate::keeper;
 use crate::quotas;
+use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::shared::Node;
 
 pub(crate) use children::Children;
@@ -165,37 +165,37 @@
 }
 
 /// Answers another node.
-pub(crate) async fn answer(node: Node, req: http::Request<Incoming>) -> Answered {
+pub(crate) async fn answer(node: Node, req: http::Request<Incoming>) -> ResponseResult {
     let (head, body) = req.into_parts();
     let Ok(body) = Limited::new(body, MOST).collect().await else {
-        return Ok(own(StatusCode::BAD_REQUEST, "the body cannot be read"));
+        return Ok(json_error(StatusCode::BAD_REQUEST, "the body cannot be read"));
     };
     let body = body.to_bytes();
     Ok(match (&head.method, head.uri.path()) {
         (&Method::POST, "/tell") => answer_tell(&node, &body).await,
         (&Method::POST, "/want") => answer_want(&node, &body).await,
-        (&Method::POST, "/quota") => match quotas::answer(&node, &body).await {
-            Ok(Some(given)) => Response::new(AnswerBody::whole(given)),
-            Ok(None) => own(StatusCode::CONFLICT, "gives no allowances"),
-            Err(_) => own(StatusCode::BAD_REQUEST, "not a question for allowances"),
+        (&Method::POST, "/quota") => match quotas::handle_request(&node, &body).await {
+            Ok(Some(given)) => Response::new(ResponseBody::full(given)),
+            Ok(None) => json_error(StatusCode::CONFLICT, "gives no allowances"),
+            Err(_) => json_error(StatusCode::BAD_REQUEST, "not a question for allowances"),
         },
         (&Method::POST, "/catalog") => {
-            Response::new(AnswerBody::whole(node.state.borrow().catalog_text.clone()))
+            Response::new(ResponseBody::full(node.state.borrow().catalog_text.clone()))
         }
-        _ => own(StatusCode::NOT_FOUND, "no such call"),
+        _ => json_error(StatusCode::NOT_FOUND, "no such call"),
     })
 }
 
-async fn answer_tell(node: &Node, body: &Bytes) -> Answer {
+async fn answer_tell(node: &Node, body: &Bytes) -> CallerResponse {
     let Ok(tell) = serde_json::from_slice::<Tell>(body) else {
-        return own(StatusCode::BAD_REQUEST, "not a report of demand");
+        return json_error(StatusCode::BAD_REQUEST, "not a report of demand");
     };
     eras::hear(node, tell.era);
     let keeps = node.holding.borrow().is_mine();
     // Two nodes that asked each other would each take the other's old word for news.
     let asks_it = node.parent().is_some_and(|(_, addr)| addr == tell.from);
     if !keeps && (node.is_stopping() || asks_it) {
-        return own(StatusCode::CONFLICT, "passes nothing on");
+        return json_error(StatusCode::CONFLICT, "passes nothing on");
     }
     node.children.asks(tell.from, node.now());
     take_catalog(node, tell.from, tell.catalog);
@@ -222,12 +222,12 @@
     }
 }
 
-async fn answer_want(node: &Node, body: &Bytes) -> Answer {
+async fn answer_want(node: &Node, body: &Bytes) -> CallerResponse {
     let Ok(want) = serde_json::from_slice::<Want>(body) else {
-        return own(StatusCode::BAD_REQUEST, "not a wish for a model");
+        return json_error(StatusCode::BAD_REQUEST, "not a wish for a model");
     };
     if !is_keeper(node, want.fence) {
-        return own(StatusCode::CONFLICT, "not the keeper");
+        return json_error(StatusCode::CONFLICT, "not the keeper");
     }
     let wanted = ModelRef { model: want.model, adapter: want.adapter };
     let placement = keeper::want(node, &wanted, &want.domain, want.refuted.as_ref()).await;
@@ -246,7 +246,7 @@
     holding.is_mine() && holding.keeper.as_ref().is_some_and(|k| k.fence == fence)
 }
 
-fn json<T: Serialize>(message: &T) -> Answer {
+fn json<T: Serialize>(message: &T) -> CallerResponse {
     let body = serde_json::to_vec(message).expect("a message can be written as JSON");
-    Response::new(AnswerBody::whole(body))
+    Response::new(ResponseBody::full(body))
 }
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -5,8 +5,8 @@
 use tokio::time::timeout;
 
 use crate::eras;
+use crate::freshness;
 use crate::keeper;
-use crate::proof;
 use crate::shared::Node;
 
 use super::NEWS_WAIT;
@@ -46,7 +46,7 @@
         renewed: node.last_renewal(),
         begun: begun(node),
         loads: heard_since(node, 0, Some(&tell.asked)),
-        proof: proof::told(node),
+        proof: freshness::to_share(node),
         catalog_at: node.catalog_at.get(),
     }
 }
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/sends.rs
@@ -105,7 +105,7 @@
         for other in others {
             // Where the socket takes no more the word is lost, like one that is lost on its way.
             if socket.try_send_to(&bytes, *other).is_err() {
-                meter::word_lost();
+                meter::message_dropped();
             }
         }
     }
@@ -155,6 +155,6 @@
     drop(state);
     node.look_for_starts();
     if reads_less {
-        node.turns.next.notify_waiters();
+        node.prefill_queue.changed.notify_waiters();
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/protocol.rs
@@ -16,33 +16,33 @@
 use http::request::Parts;
 
 /// The protocols that a node speaks on a platform.
-pub struct Dialects {
-    pub callers: Box<dyn Callers>,
-    pub upstreams: Box<dyn Upstreams>,
+pub struct Protocols {
+    pub callers: Box<dyn CallerProtocol>,
+    pub upstreams: Box<dyn UpstreamProtocol>,
     pub store: Box<dyn Store>,
 }
 
 /// Protocol between callers and a node.
-pub trait Callers {
+pub trait CallerProtocol {
     /// Parses the request's headers.
-    fn read(&self, head: &Parts) -> Result<Call, BadCall>;
+    fn parse(&self, head: &Parts) -> Result<RequestInfo, InvalidHeader>;
 
     /// The credentials of a request.
-    fn shown(&self, head: &Parts) -> Credentials;
+    fn credentials(&self, head: &Parts) -> Credentials;
 
     /// Adds the challenge of a 401 response.
-    fn ask_for_key(&self, headers: &mut HeaderMap);
+    fn add_auth_challenge(&self, headers: &mut HeaderMap);
 
     /// Adds the delay after which a rejected caller should retry.
-    fn come_back(&self, headers: &mut HeaderMap, after: Duration);
+    fn set_retry_after(&self, headers: &mut HeaderMap, after: Duration);
 
     /// Whether the request is a readiness probe.
-    fn asks_ready(&self, head: &Parts) -> bool;
+    fn is_readiness_probe(&self, head: &Parts) -> bool;
 }
 
 /// The parsed headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Call {
+pub struct RequestInfo {
     /// Request id, which engines echo.
     pub id: String,
     /// How long the caller waits for the response.
@@ -58,7 +58,7 @@
 /// A header with a value that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field} is `{value}`: {allowed}")]
-pub struct BadCall {
+pub struct InvalidHeader {
     pub field: &'static str,
     /// Empty if the header is missing.
     pub value: String,
@@ -68,60 +68,60 @@
 
 /// What a request to an engine carries beside the caller's own headers.
 #[derive(Debug, Clone)]
-pub struct Sending<'a> {
+pub struct UpstreamRequest<'a> {
     pub engine: &'a EngineId,
     /// Time until the request's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
     /// The last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
-    pub sender: SentBy<'a>,
+    pub sender: UpstreamIdentity<'a>,
 }
 
 /// The identity of a caller that is forwarded to engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SentBy<'a> {
+pub enum UpstreamIdentity<'a> {
     /// No customers are configured: credentials are passed through to engines.
-    Unknown,
+    PassThrough,
     /// No credentials, on an open route.
-    Anybody,
+    Anonymous,
     /// A customer; its key is not forwarded.
     Customer(&'a CustomerId),
 }
 
 /// Protocol between a node and engines.
-pub trait Upstreams {
+pub trait UpstreamProtocol {
     /// The headers of a request to an engine.
-    fn headers(&self, caller: &Parts, sending: &Sending<'_>) -> HeaderMap;
+    fn request_headers(&self, caller: &Parts, req: &UpstreamRequest<'_>) -> HeaderMap;
 
     /// Parses the head of a response.
-    fn read(&self, head: &Head) -> Marks;
+    fn parse_head(&self, head: &Head) -> ResponseInfo;
 
     /// The headers of an engine's response that are passed on to the caller.
-    fn answer(&self, head: &Head) -> HeaderMap;
+    fn response_headers(&self, head: &Head) -> HeaderMap;
 
     /// Builds the request for an order.
-    fn order(&self, order: &Order<'_>) -> Request;
+    fn order_request(&self, order: &Order<'_>) -> Request;
 
     /// Builds the request for an engine's report.
-    fn ask_report(&self, addr: SocketAddr, engine: &EngineId) -> Request;
+    fn report_request(&self, addr: SocketAddr, engine: &EngineId) -> Request;
 
     /// Parses a report.
-    fn report(&self, body: &[u8]) -> Result<Report, Malformed>;
+    fn parse_report(&self, body: &[u8]) -> Result<Report, DecodeError>;
 }
 
 /// The parsed head of an engine's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Marks {
+pub struct ResponseInfo {
     /// Id of the request that it belongs to.
     pub id: Option<String>,
     /// Whether the engine has signed it.
-    pub sealed: bool,
+    pub is_signed: bool,
     /// Whether the engine rejected the request without executing it.
-    pub not_run: bool,
+    pub is_rejected: bool,
     /// Whether another engine answered at the address, or this one lacks the model.
-    pub misdirected: bool,
+    pub is_misdirected: bool,
     /// The engine that answered, if it is named.
     pub engine: Option<EngineId>,
     pub load: Option<Load>,
@@ -159,9 +159,9 @@
     /// Loaded models.
     pub held: Vec<LoadedModel>,
     /// Models that it can load without fetching them.
-    pub at_hand: CachedWeights,
+    pub cached: CachedWeights,
     /// Adapters that are being loaded.
-    pub coming: Vec<ModelRef>,
+    pub loading_adapters: Vec<ModelRef>,
     /// Whether it is executing an order for a model.
     pub busy: bool,
     /// Number of orders that it has accepted.
@@ -173,7 +173,7 @@
 /// Bytes that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("cannot read {what}: {why}")]
-pub struct Malformed {
+pub struct DecodeError {
     /// What they were parsed as.
     pub what: &'static str,
     #[error(not(source))]
@@ -191,19 +191,19 @@
     },
     /// The call's precondition did not hold; nothing was changed.
     #[display("the condition did not hold")]
-    Condition,
+    PreconditionFailed,
     /// Another node has become leader since; nothing was changed.
     #[display("fenced off by a newer holder")]
     Fenced,
     /// There was no response: the call may have been executed, or may yet be.
     #[display("no answer from the store: {why}")]
-    Lost {
+    NoResponse {
         #[error(not(source))]
         why: String,
     },
     /// The response could not be parsed.
     #[display("{_0}")]
-    Malformed(Malformed),
+    Malformed(DecodeError),
     /// The response belongs to an earlier era than the newest known one: it was delayed, or comes from
     /// a part of the store that has not been restored yet.
     #[display("the answer is of era {era}, and the store is in era {known}")]
@@ -226,7 +226,7 @@
 
 /// Changes of the configuration since a cursor.
 #[derive(Debug, Clone)]
-pub struct CatalogNews {
+pub struct CatalogUpdate {
     /// Where to continue reading.
     pub cursor: Cursor,
     /// Text of the newest configuration, if there is a new one.
@@ -235,14 +235,14 @@
 
 /// Changes of the list of engines since a cursor.
 #[derive(Debug, Clone, Default)]
-pub struct EngineNews {
+pub struct EngineListUpdate {
     /// Where to continue reading.
     pub cursor: Cursor,
     /// Whether `entries` is the whole list instead of the changes.
-    pub whole: bool,
+    pub is_full_list: bool,
     pub entries: Vec<EngineChange>,
     /// Entries that could not be parsed.
-    pub malformed: Vec<Malformed>,
+    pub malformed: Vec<DecodeError>,
 }
 
 /// An entry of the list of engines, with its position in the store's log.
@@ -275,7 +275,7 @@
 
 /// New records of the lease log since a cursor.
 #[derive(Debug, Clone, Default)]
-pub struct ClaimNews {
+pub struct LeaseLogUpdate {
     /// End of the log, where the next record is appended.
     pub end: Cursor,
     pub records: Vec<Record>,
@@ -284,38 +284,41 @@
 /// Client of the platform's store.
 pub trait Store {
     /// Long-polls for a configuration newer than the cursor; without a cursor, reads the newest one.
-    fn catalog(
+    fn poll_catalog(
         &self,
         since: Option<Cursor>,
         wait: Duration,
-    ) -> LocalBoxFuture<'_, StoreResult<CatalogNews>>;
+    ) -> LocalBoxFuture<'_, StoreResult<CatalogUpdate>>;
 
     /// Parses the text of a configuration.
-    fn read_catalog(&self, text: &[u8]) -> Result<Catalog, Malformed>;
+    fn parse_catalog(&self, text: &[u8]) -> Result<Catalog, DecodeError>;
 
     /// Reads the changes of the list of engines since the cursor; without a cursor, the whole list.
-    fn engines(&self, since: Option<Cursor>) -> LocalBoxFuture<'_, StoreResult<EngineNews>>;
+    fn read_engines(
+        &self,
+        since: Option<Cursor>,
+    ) -> LocalBoxFuture<'_, StoreResult<EngineListUpdate>>;
 
     /// Long-polls for records of the lease log.
-    fn claims(
+    fn poll_lease_log(
         &self,
         since: Option<Cursor>,
         wait: Duration,
-    ) -> LocalBoxFuture<'_, StoreResult<ClaimNews>>;
+    ) -> LocalBoxFuture<'_, StoreResult<LeaseLogUpdate>>;
 
     /// Appends a record to the lease log at `at`, if the log ends there.
-    fn claim(&self, at: Cursor, data: Bytes) -> LocalBoxFuture<'_, StoreResult<()>>;
+    fn append_lease_record(&self, at: Cursor, data: Bytes) -> LocalBoxFuture<'_, StoreResult<()>>;
 
     /// Registers this node under its name, for the other nodes to find.
-    fn announce(&self, node: &str, data: Bytes) -> LocalBoxFuture<'_, StoreResult<()>>;
+    fn register_node(&self, node: &str, data: Bytes) -> LocalBoxFuture<'_, StoreResult<()>>;
 
     /// All registered nodes.
-    fn nodes(&self) -> LocalBoxFuture<'_, StoreResult<Vec<(String, Bytes)>>>;
+    fn registered_nodes(&self) -> LocalBoxFuture<'_, StoreResult<Vec<(String, Bytes)>>>;
 
     /// The newest known era of the store; it increases by one each time the store is restored from a
     /// backup.
     fn era(&self) -> Era;
 
     /// Records an era that another node knows of; responses of earlier eras are rejected from now on.
-    fn heard_of(&self, era: Era);
+    fn observe_era(&self, era: Era);
 }
--- a/crates/gateway/src/quotas/grant.rs
+++ b/crates/gateway/src/quotas/grant.rs
@@ -47,7 +47,7 @@
 }
 
 /// Continues to issue under a new fencing token of this node; what was granted before still counts.
-pub(crate) fn go_on(node: &Node, old_fence: u64, fence: u64) {
+pub(crate) fn move_to_fence(node: &Node, old_fence: u64, fence: u64) {
     if let Some((current, _)) = node.quotas.issuer.borrow_mut().as_mut()
         && *current == old_fence
     {
@@ -56,7 +56,10 @@
 }
 
 /// Handles a request for allowances; `None` if this node has none to grant.
-pub(crate) async fn answer(node: &Node, body: &[u8]) -> Result<Option<Vec<u8>>, serde_json::Error> {
+pub(crate) async fn handle_request(
+    node: &Node,
+    body: &[u8],
+) -> Result<Option<Vec<u8>>, serde_json::Error> {
     let request: GrantRequest = serde_json::from_slice(body)?;
     let response = match allowance_source(node) {
         AllowanceSource::Issuer => issue(node, &request),
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -20,8 +20,8 @@
 use crate::clock::boot_time;
 use crate::shared::Node;
 
-pub(crate) use grant::{answer, go_on};
-pub(crate) use refill::keep;
+pub(crate) use grant::{handle_request, move_to_fence};
+pub(crate) use refill::refill;
 
 /// Longest time that a request waits for an allowance.
 const MAX_ALLOWANCE_WAIT: Duration = Duration::from_millis(250);
--- a/crates/gateway/src/quotas/refill.rs
+++ b/crates/gateway/src/quotas/refill.rs
@@ -49,7 +49,7 @@
 const CONTACT_WITHIN_MS: Millis = 1_000;
 
 /// Requests allowances ahead of need until the process ends.
-pub(crate) async fn keep(node: Node) {
+pub(crate) async fn refill(node: Node) {
     let mut last_request = Instant::now();
     let mut last_report = 0;
     loop {
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -7,9 +7,9 @@
 use hgw_http1::{Conn, Error, Head, Request};
 use tokio::time::{Instant, sleep_until};
 
-use crate::at_engine::AtEngine;
-use crate::dialect::{Marks, Sending};
+use crate::attempt_guard::AttemptGuard;
 use crate::peers;
+use crate::protocol::{ResponseInfo, UpstreamRequest};
 
 use super::identity::AuthError;
 use super::request::RelayedRequest;
@@ -42,7 +42,7 @@
     pub(super) engine: EngineId,
     pub(super) conn: Conn,
     pub(super) head: Head,
-    pub(super) guard: AtEngine,
+    pub(super) guard: AttemptGuard,
 }
 
 /// Outcome of one attempt.
@@ -112,7 +112,7 @@
         };
         self.tried_engines.push(engine.clone());
         let tokens = self.prompt().map_or(0, |prompt| prompt.prompt_tokens);
-        let guard = AtEngine::start(&node, engine, &self.info.id, tokens);
+        let guard = AttemptGuard::start(&node, engine, &self.info.id, tokens);
         let connected = node.pool.get(addr, node.conn_timeouts());
         let connected = tokio::select! {
             biased;
@@ -208,11 +208,11 @@
         &self,
         conn: &mut Conn,
         req: &Request,
-    ) -> Result<(Head, Marks), Error> {
+    ) -> Result<(Head, ResponseInfo), Error> {
         const MAX_STRAY_RESPONSES: u32 = 3;
         for _ in 0..MAX_STRAY_RESPONSES {
             let head = conn.read_head(&req.method).await?;
-            let info = self.node.dialects.upstreams.read(&head);
+            let info = self.node.protocols.upstreams.parse_head(&head);
             match &info.id {
                 Some(id) if *id != self.info.id => {
                     let body = hgw_http1::BodyDecoder::new(head.framing);
@@ -229,16 +229,16 @@
         engine: &EngineId,
         mut conn: Conn,
         head: Head,
-        info: Marks,
-        mut guard: AtEngine,
+        info: ResponseInfo,
+        mut guard: AttemptGuard,
     ) -> AttemptResult {
         if let Some(load) = info.load {
             guard.record_load(load);
         }
-        if info.not_run || info.misdirected {
+        if info.is_rejected || info.is_misdirected {
             self.rejected += 1;
             self.set_may_run(false);
-            if info.misdirected {
+            if info.is_misdirected {
                 self.correct_engine_list(engine, &info);
             } else {
                 guard.record_outcome(AttemptOutcome::Rejected);
@@ -256,7 +256,7 @@
         // does not come from the engine.
         let is_ours = info.id.is_some();
         let is_success = (200..300).contains(&head.status);
-        if !is_ours || (is_success && !info.sealed) {
+        if !is_ours || (is_success && !info.is_signed) {
             guard.record_outcome(AttemptOutcome::Failed);
             return AttemptResult::NoResponse;
         }
@@ -267,7 +267,7 @@
 
     /// Corrects the engine list: removes the engine if another one answered at its address, or else
     /// the model that it does not have.
-    fn correct_engine_list(&mut self, engine: &EngineId, info: &Marks) {
+    fn correct_engine_list(&mut self, engine: &EngineId, info: &ResponseInfo) {
         let stale = engine.clone();
         let model_ref = self.model_ref().cloned();
         let mut state = self.node.state.borrow_mut();
@@ -285,9 +285,9 @@
     }
 
     fn upstream_request(&self, engine: &EngineId, last_event: Option<u64>) -> Request {
-        let upstream = Sending {
+        let upstream = UpstreamRequest {
             engine,
-            left: self.time_left(),
+            time_left: self.time_left(),
             priority: self.route.priority,
             last_event: last_event.or(self.info.last_event),
             sender: self.identity.for_upstream(),
@@ -296,7 +296,7 @@
         Request {
             method: self.head.method.clone(),
             target: target.to_owned(),
-            headers: self.node.dialects.upstreams.headers(&self.head, &upstream),
+            headers: self.node.protocols.upstreams.request_headers(&self.head, &upstream),
             body: self.body.clone(),
         }
     }
@@ -313,7 +313,7 @@
     /// another one.
     async fn wait_for_first_byte<F: Future>(
         &self,
-        guard: &AtEngine,
+        guard: &AttemptGuard,
         future: F,
     ) -> WaitResult<F::Output> {
         if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.max_attempts {
@@ -328,7 +328,7 @@
     /// Waits for an engine until the request's deadline or until the engine restarts.
     pub(super) async fn unless_engine_restarts<F: Future>(
         &self,
-        guard: &AtEngine,
+        guard: &AttemptGuard,
         future: F,
     ) -> WaitResult<F::Output> {
         let mut future = std::pin::pin!(future);
@@ -351,7 +351,7 @@
     /// silence alone does not end a response.
     pub(super) async fn unless_unresponsive<F: Future>(
         &self,
-        guard: &AtEngine,
+        guard: &AttemptGuard,
         hung: Duration,
         mut future: std::pin::Pin<&mut F>,
     ) -> WaitResult<F::Output> {
--- a/crates/gateway/src/relay/buffered.rs
+++ b/crates/gateway/src/relay/buffered.rs
@@ -4,7 +4,7 @@
 use hgw_http1::BodyDecoder;
 use http::{Response, StatusCode};
 
-use crate::answer::{Answer, AnswerBody};
+use crate::response::{CallerResponse, ResponseBody};
 
 use super::attempt::{AttemptResult, StartedResponse, WaitResult};
 use super::event_timing::EventTiming;
@@ -15,7 +15,7 @@
 
 /// Serves a request with a buffered response. An incomplete one can be retried if the
 /// route allows it, and is reported as an error otherwise.
-pub(super) async fn serve(mut req: RelayedRequest) -> Answer {
+pub(super) async fn serve(mut req: RelayedRequest) -> CallerResponse {
     let mut failure = None;
     loop {
         let choice = match req.choose_engine().await {
@@ -61,13 +61,17 @@
 /// What the last engine that may have executed the request returned.
 enum Failure {
     /// A complete and signed error response.
-    Response(Answer),
+    Response(CallerResponse),
     /// Nothing that can be passed on.
     Reason(&'static str),
 }
 
 /// The response when no other engine is tried.
-fn final_response(req: &RelayedRequest, failure: Option<Failure>, no_engine: NoEngine) -> Answer {
+fn final_response(
+    req: &RelayedRequest,
+    failure: Option<Failure>,
+    no_engine: NoEngine,
+) -> CallerResponse {
     match failure {
         Some(Failure::Response(response)) => {
             req.log_failed(response.status().as_u16(), "the engine's own failure");
@@ -80,7 +84,7 @@
 }
 
 /// Buffers the engine's response; `None` if it is incomplete.
-async fn read_response(req: &RelayedRequest, started: StartedResponse) -> Option<Answer> {
+async fn read_response(req: &RelayedRequest, started: StartedResponse) -> Option<CallerResponse> {
     let StartedResponse { engine, mut conn, head, guard } = started;
     let body = BodyDecoder::new(head.framing);
     let collected = req.unless_engine_restarts(&guard, conn.read_body(body, MAX_BODY_BYTES)).await;
@@ -96,8 +100,8 @@
     if !is_failure {
         req.log_served(&engine, head.status, &EventTiming::start());
     }
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(ResponseBody::full(body));
     *response.status_mut() = StatusCode::from_u16(head.status).ok()?;
-    *response.headers_mut() = req.node.dialects.upstreams.answer(&head);
+    *response.headers_mut() = req.node.protocols.upstreams.response_headers(&head);
     Some(response)
 }
--- a/crates/gateway/src/relay/identity.rs
+++ b/crates/gateway/src/relay/identity.rs
@@ -4,10 +4,10 @@
 use hgw_events::{Event, emit};
 use http::StatusCode;
 
-use crate::answer::{Answer, own};
-use crate::dialect::SentBy;
+use crate::freshness;
 use crate::meter;
-use crate::proof;
+use crate::protocol::UpstreamIdentity;
+use crate::response::{CallerResponse, json_error};
 use crate::shared::Node;
 
 use super::request::RelayedRequest;
@@ -47,12 +47,12 @@
             CallerIdentity::Anonymous => (None, None),
             // A key may have been added since: with a possibly outdated list it is not rejected as
             // unknown.
-            CallerIdentity::Unauthorized if proof::holds(node) => {
+            CallerIdentity::Unauthorized if freshness::is_fresh(node) => {
                 return Err(AuthError::Unauthorized);
             }
             CallerIdentity::Unauthorized => return Err(AuthError::StaleConfig),
         };
-        if has_key && !proof::holds(node) {
+        if has_key && !freshness::is_fresh(node) {
             return Err(AuthError::StaleConfig);
         }
         Ok((Identity { credentials, has_customers: true, customer }, config))
@@ -68,11 +68,11 @@
     }
 
     /// The identity that is forwarded to engines.
-    pub(super) fn for_upstream(&self) -> SentBy<'_> {
+    pub(super) fn for_upstream(&self) -> UpstreamIdentity<'_> {
         match &self.customer {
-            Some(name) => SentBy::Customer(name),
-            None if self.has_customers => SentBy::Anybody,
-            None => SentBy::Unknown,
+            Some(name) => UpstreamIdentity::Customer(name),
+            None if self.has_customers => UpstreamIdentity::Anonymous,
+            None => UpstreamIdentity::PassThrough,
         }
     }
 }
@@ -83,7 +83,7 @@
     id: &str,
     route: &Route,
     error: AuthError,
-) -> Answer {
+) -> CallerResponse {
     match error {
         AuthError::StaleConfig => {
             meter::refused(route, Refusal::StaleConfig);
@@ -93,8 +93,8 @@
         AuthError::Unauthorized => {
             meter::failed(route, "no valid key");
             log_denied(node, id, route, &"no valid key");
-            let mut response = own(StatusCode::UNAUTHORIZED, "no valid key");
-            node.dialects.callers.ask_for_key(response.headers_mut());
+            let mut response = json_error(StatusCode::UNAUTHORIZED, "no valid key");
+            node.protocols.callers.add_auth_challenge(response.headers_mut());
             response
         }
     }
@@ -113,7 +113,7 @@
         self.identity.reauthenticate(&self.node, &self.route)
     }
 
-    pub(super) fn refuse_unauthorized(&self, error: AuthError) -> Answer {
+    pub(super) fn refuse_unauthorized(&self, error: AuthError) -> CallerResponse {
         self.is_logged.set(true);
         refuse_unauthorized(&self.node, &self.info.id, &self.route, error)
     }
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -18,8 +18,8 @@
 use hyper::body::Incoming;
 use rand::random;
 
-use crate::answer::{Answer, own};
 use crate::quotas::NoAllowance;
+use crate::response::{CallerResponse, json_error};
 use crate::shared::Node;
 use crate::stop;
 use crate::stop::Active;
@@ -30,7 +30,7 @@
 /// Retry delay for callers while the node has no configuration or engine list yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-pub(crate) async fn answer(node: &Node, req: Request<Incoming>) -> Answer {
+pub(crate) async fn handle(node: &Node, req: Request<Incoming>) -> CallerResponse {
     let active = Active::begin(node);
     if stop::takes_no_more(node) {
         return refuse(node, Refusal::Stopping, Duration::ZERO);
@@ -48,27 +48,30 @@
     active: Active,
     catalog: Arc<Catalog>,
     req: Request<Incoming>,
-) -> Answer {
+) -> CallerResponse {
     let received_at = tokio::time::Instant::now();
     let (head, body) = req.into_parts();
     let host = head.headers.get(http::header::HOST).and_then(|h| h.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
     let Some(matched) = catalog.find(host, head.uri.path(), random()) else {
-        return own(StatusCode::NOT_FOUND, "no route");
+        return json_error(StatusCode::NOT_FOUND, "no route");
     };
     let (mut route, service) = (matched.route.clone(), matched.service.clone());
     let body = match Limited::new(body, catalog.limits.max_body_bytes).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<LengthLimitError>() => {
-            return own(StatusCode::PAYLOAD_TOO_LARGE, "request body exceeds the configured limit");
+            return json_error(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "request body exceeds the configured limit",
+            );
         }
-        Err(_) => return own(StatusCode::BAD_REQUEST, "request body could not be read"),
+        Err(_) => return json_error(StatusCode::BAD_REQUEST, "request body could not be read"),
     };
-    let info = match node.dialects.callers.read(&head) {
+    let info = match node.protocols.callers.parse(&head) {
         Ok(info) => info,
-        Err(invalid) => return own(StatusCode::BAD_REQUEST, &invalid.to_string()),
+        Err(invalid) => return json_error(StatusCode::BAD_REQUEST, &invalid.to_string()),
     };
-    let credentials = node.dialects.callers.shown(&head);
+    let credentials = node.protocols.callers.credentials(&head);
     let identity = match Identity::authenticate(node, &catalog, &route, credentials) {
         Ok((identity, customer)) => {
             // The customer's priority overrides the route's.
@@ -97,12 +100,14 @@
 }
 
 /// Rejects a request that no engine has executed, with a `Retry-After` of at least `min_delay`.
-fn refuse(node: &Node, reason: Refusal, min_delay: Duration) -> Answer {
+fn refuse(node: &Node, reason: Refusal, min_delay: Duration) -> CallerResponse {
     let status = match reason {
         Refusal::QuotaExceeded => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = own(status, &reason.to_string());
-    node.dialects.callers.come_back(response.headers_mut(), retry_after(min_delay, random()));
+    let mut response = json_error(status, &reason.to_string());
+    node.protocols
+        .callers
+        .set_retry_after(response.headers_mut(), retry_after(min_delay, random()));
     response
 }
--- a/crates/gateway/src/relay/outcome.rs
+++ b/crates/gateway/src/relay/outcome.rs
@@ -6,8 +6,8 @@
 use hgw_events::{Event, emit};
 use http::StatusCode;
 
-use crate::answer::{Answer, own};
 use crate::meter;
+use crate::response::{CallerResponse, json_error};
 
 use super::event_timing::EventTiming;
 use super::refuse;
@@ -43,9 +43,9 @@
     }
 
     /// Builds this node's error response to a request that an engine may have executed.
-    pub(super) fn fail(&self, status: StatusCode, reason: &str) -> Answer {
+    pub(super) fn fail(&self, status: StatusCode, reason: &str) -> CallerResponse {
         self.log_failed(status.as_u16(), reason);
-        own(status, reason)
+        json_error(status, reason)
     }
 
     pub(super) fn log_resumed(&self, from: &EngineId, to: &EngineId, last: u64) {
@@ -138,7 +138,7 @@
     }
 
     /// Rejects a request that no engine has executed, with a `Retry-After` delay.
-    pub(super) fn refuse(&self, reason: Refusal, retry_after: Duration) -> Answer {
+    pub(super) fn refuse(&self, reason: Refusal, retry_after: Duration) -> CallerResponse {
         self.is_logged.set(true);
         meter::refused(&self.route, reason);
         if matches!(reason, Refusal::QuotaExceeded | Refusal::QuotaUnknown) {
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -13,15 +13,15 @@
 use rand::random;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::answer::Answer;
 use crate::clock::boot_time;
-use crate::dialect::Call;
 use crate::meter;
 use crate::peers::{self, Placement};
+use crate::prefill_queue::PrefillTicket;
+use crate::protocol::RequestInfo;
 use crate::quotas::{self, Charge, NoAllowance};
+use crate::response::CallerResponse;
 use crate::shared::Node;
 use crate::stop::Active;
-use crate::turn::Turn;
 
 use super::identity::Identity;
 
@@ -61,7 +61,7 @@
     _active: Active,
     pub(super) head: Parts,
     pub(super) body: Bytes,
-    pub(super) info: Call,
+    pub(super) info: RequestInfo,
     pub(super) route: Route,
     pub(super) service: ServiceId,
     pub(super) identity: Identity,
@@ -106,7 +106,7 @@
         active: Active,
         head: Parts,
         body: Bytes,
-        info: Call,
+        info: RequestInfo,
         route: Route,
         service: ServiceId,
         identity: Identity,
@@ -266,9 +266,9 @@
             return false;
         }
         let Some(model_ref) = self.model_ref() else { return false };
-        let ticket = Turn::enqueue(&self.node, &model_ref.model, self.route.priority);
+        let ticket = PrefillTicket::enqueue(&self.node, &model_ref.model, self.route.priority);
         loop {
-            let changed = self.node.turns.next.notified();
+            let changed = self.node.prefill_queue.changed.notified();
             if ticket.is_first() && !is_busy(self.choose_until(until)) {
                 return true;
             }
@@ -331,7 +331,7 @@
     }
 
     /// Rejects a request that no engine has executed because none could be chosen.
-    pub(super) fn refuse_no_engine(&self, reason: NoEngine) -> Answer {
+    pub(super) fn refuse_no_engine(&self, reason: NoEngine) -> CallerResponse {
         match reason {
             NoEngine::NoneAvailable | NoEngine::PrefillBusy => {
                 self.refuse(Refusal::NoEngine, NO_ENGINE_RETRY_AFTER)
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -9,9 +9,9 @@
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
 
-use crate::answer::{Answer, AnswerBody, BrokenOff};
-use crate::at_engine::AtEngine;
+use crate::attempt_guard::AttemptGuard;
 use crate::meter;
+use crate::response::{BodyAborted, CallerResponse, ResponseBody};
 
 use super::attempt::{AttemptResult, StartedResponse, WaitResult};
 use super::event_buffer::EventBuffer;
@@ -25,17 +25,17 @@
 /// The same for a route without a maximum gap.
 const HUNG_AFTER_DEFAULT: Duration = Duration::from_millis(1_000);
 
-pub(super) async fn serve(mut req: RelayedRequest) -> Answer {
+pub(super) async fn serve(mut req: RelayedRequest) -> CallerResponse {
     match start(&mut req, None).await {
         Ok(started) => {
-            let mut response = Response::new(AnswerBody::Whole(None));
+            let mut response = Response::new(ResponseBody::Full(None));
             let status = StatusCode::from_u16(started.head.status);
             *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
-            *response.headers_mut() = req.node.dialects.upstreams.answer(&started.head);
+            *response.headers_mut() = req.node.protocols.upstreams.response_headers(&started.head);
             response.headers_mut().remove(CONTENT_LENGTH);
             let stream = ResponseStream::new(req, started);
             *response.body_mut() =
-                AnswerBody::Pieces(Box::pin(unfold(stream, ResponseStream::next_piece)));
+                ResponseBody::Stream(Box::pin(unfold(stream, ResponseStream::next_piece)));
             response
         }
         Err(response) => response,
@@ -43,7 +43,10 @@
 }
 
 /// Makes attempts until a response begins; a stream resumes after the event `last`.
-async fn start(req: &mut RelayedRequest, last: Option<u64>) -> Result<StartedResponse, Answer> {
+async fn start(
+    req: &mut RelayedRequest,
+    last: Option<u64>,
+) -> Result<StartedResponse, CallerResponse> {
     let mut failure = None;
     loop {
         let choice = match req.choose_engine().await {
@@ -93,7 +96,7 @@
     req: &RelayedRequest,
     failure: Option<&'static str>,
     no_engine: NoEngine,
-) -> Answer {
+) -> CallerResponse {
     match failure {
         Some(reason) => req.fail(StatusCode::BAD_GATEWAY, reason),
         None if req.runs > 0 => req.fail(StatusCode::BAD_GATEWAY, "no engine is left"),
@@ -111,7 +114,7 @@
     events: EventBuffer,
     /// Whether the body consists of events; an error body is passed on unchanged.
     is_events: bool,
-    guard: AtEngine,
+    guard: AttemptGuard,
     is_finished: bool,
     timing: EventTiming,
 }
@@ -136,7 +139,7 @@
     }
 
     /// Reads the next piece for the caller.
-    async fn next_piece(mut self) -> Option<(Result<Bytes, BrokenOff>, ResponseStream)> {
+    async fn next_piece(mut self) -> Option<(Result<Bytes, BodyAborted>, ResponseStream)> {
         if self.is_finished {
             return None;
         }
@@ -233,10 +236,10 @@
         self.req.log_served(&self.engine, 200, &self.timing);
     }
 
-    fn abort(mut self) -> (Result<Bytes, BrokenOff>, ResponseStream) {
+    fn abort(mut self) -> (Result<Bytes, BodyAborted>, ResponseStream) {
         self.is_finished = true;
         self.req.log_failed(200, "broken off");
-        (Err(BrokenOff), self)
+        (Err(BodyAborted), self)
     }
 }
 
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/response.rs
@@ -13,62 +13,62 @@
 /// A response body that ended early; its connection is closed without the end of the body.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("response body ended early")]
-pub(crate) struct BrokenOff;
+pub(crate) struct BodyAborted;
 
-type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>;
+type PieceStream = Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>>>>;
 
-pub(crate) enum AnswerBody {
-    Whole(Option<Bytes>),
-    Pieces(Pieces),
+pub(crate) enum ResponseBody {
+    Full(Option<Bytes>),
+    Stream(PieceStream),
 }
 
-pub(crate) type Answer = Response<AnswerBody>;
+pub(crate) type CallerResponse = Response<ResponseBody>;
 
 /// Result of a service function: failures are responses too.
-pub(crate) type Answered = Result<Answer, Infallible>;
+pub(crate) type ResponseResult = Result<CallerResponse, Infallible>;
 
-impl AnswerBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+impl ResponseBody {
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> ResponseBody {
         let bytes = bytes.into();
-        AnswerBody::Whole((!bytes.is_empty()).then_some(bytes))
+        ResponseBody::Full((!bytes.is_empty()).then_some(bytes))
     }
 }
 
 /// Builds a JSON error response of this node's own.
-pub(crate) fn own(status: StatusCode, message: &str) -> Answer {
-    let mut response = Response::new(AnswerBody::whole(format!("{{\"error\":\"{message}\"}}")));
+pub(crate) fn json_error(status: StatusCode, message: &str) -> CallerResponse {
+    let mut response = Response::new(ResponseBody::full(format!("{{\"error\":\"{message}\"}}")));
     *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
     response
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            AnswerBody::Pieces(pieces) => {
+            ResponseBody::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            ResponseBody::Stream(pieces) => {
                 pieces.as_mut().poll_next(cx).map(|piece| piece.map(|p| p.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None))
+        matches!(self, ResponseBody::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            AnswerBody::Pieces(_) => SizeHint::default(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,11 +12,14 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-use crate::answer::{Answer, AnswerBody, Answered, own};
 use crate::clock::boot_time;
-use crate::dialect::Dialects;
+use crate::protocol::Protocols;
+use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::shared::{Node, Shared};
-use crate::{Settings, follow, front, holder, listen, members, meter, peers, proof, quotas, stop};
+use crate::{
+    Settings, caller_listener, follow, freshness, holder, listen, members, meter, peers, quotas,
+    stop,
+};
 
 /// What a node is told from outside.
 #[derive(Debug, Clone)]
@@ -47,7 +50,7 @@
 /// Runs a node until it is told to end.
 pub fn run(
     settings: Settings,
-    dialects: Dialects,
+    dialects: Protocols,
     signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -59,7 +62,7 @@
 
 async fn serve(
     settings: Settings,
-    dialects: Dialects,
+    dialects: Protocols,
     mut signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
     let callers = listen::listen(settings.callers)?;
@@ -76,12 +79,12 @@
     spawn(Box::pin(holder::hold(Rc::clone(&node))));
     spawn(Box::pin(peers::exchange(Rc::clone(&node))));
     spawn(Box::pin(peers::tell_flights(Rc::clone(&node))));
-    spawn(Box::pin(quotas::keep(Rc::clone(&node))));
+    spawn(Box::pin(quotas::refill(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), others, peers::answer)));
     spawn(Box::pin(members::count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
-    spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
+    spawn(Box::pin(caller_listener::serve(Rc::clone(&node), callers)));
     match words {
         Ok(words) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(words)))),
         // Each node then chooses by what it sent itself.
@@ -134,34 +137,34 @@
         }
         last = now;
         node.look_around();
-        proof::look(&node);
+        freshness::log_change(&node);
     }
 }
 
 /// Answers with the metrics as text.
 async fn serve_metrics(node: Node, listener: TcpListener) {
-    let Some(recorder) = meter::recorder() else { return };
+    let Some(recorder) = meter::install_recorder() else { return };
     let answer = move |node: Node, _| {
-        meter::beliefs(&node);
+        meter::update_gauges(&node);
         let text = recorder.render();
-        async { Ok(Response::new(AnswerBody::whole(text))) }
+        async { Ok(Response::new(ResponseBody::full(text))) }
     };
     listen::serve(node, listener, answer).await;
 }
 
 /// Answers whether this node takes callers.
-async fn answer_ready(node: Node, req: http::Request<Incoming>) -> Answered {
+async fn answer_ready(node: Node, req: http::Request<Incoming>) -> ResponseResult {
     let (head, _) = req.into_parts();
     Ok(ready_answer(&node, &head))
 }
 
-fn ready_answer(node: &Node, head: &http::request::Parts) -> Answer {
-    if !node.dialects.callers.asks_ready(head) {
-        return own(StatusCode::NOT_FOUND, "no such call");
+fn ready_answer(node: &Node, head: &http::request::Parts) -> CallerResponse {
+    if !node.protocols.callers.is_readiness_probe(head) {
+        return json_error(StatusCode::NOT_FOUND, "no such call");
     }
     if node.is_ready() {
-        Response::new(AnswerBody::Whole(None))
+        Response::new(ResponseBody::Full(None))
     } else {
-        own(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        json_error(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -20,16 +20,16 @@
 use crate::Settings;
 use crate::backoff::Backoff;
 use crate::clock::Clock;
-use crate::dialect::{Cursor, Dialects};
+use crate::freshness::{self, Freshness};
 use crate::holder::Holding;
 use crate::keeper::KeeperState;
 use crate::peers::{Children, Placements, Sends};
 use crate::pool::Pool;
-use crate::proof::{self, Proofs};
+use crate::prefill_queue::PrefillQueue;
+use crate::protocol::{Cursor, Protocols};
 use crate::quotas::Quotas;
 use crate::state::State;
 use crate::stop::Stopping;
-use crate::turn::Turns;
 
 /// Longest time to connect to an engine: it is a few milliseconds away, or gone.
 const CONNECT: Duration = Duration::from_millis(300);
@@ -40,7 +40,7 @@
 /// Everything that the tasks of a node share.
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<Settings>,
-    pub(crate) dialects: Dialects,
+    pub(crate) protocols: Protocols,
     pub(crate) clock: Clock,
     pub(crate) pool: Pool,
     pub(crate) state: RefCell<State>,
@@ -48,10 +48,10 @@
     pub(crate) keeper: RefCell<KeeperState>,
     pub(crate) stop: Stopping,
     pub(crate) sends: Sends,
-    pub(crate) turns: Turns,
+    pub(crate) prefill_queue: PrefillQueue,
     pub(crate) backoff: Backoff,
     /// That its configuration is the newest.
-    pub(crate) proofs: Proofs,
+    pub(crate) freshness: Freshness,
     /// What customers may use.
     pub(crate) quotas: Quotas,
     /// What is at engines, as nodes tell each other.
@@ -118,10 +118,10 @@
 pub(crate) type Node = Rc<Shared>;
 
 impl Shared {
-    pub(crate) fn new(settings: Settings, dialects: Dialects) -> Node {
+    pub(crate) fn new(settings: Settings, protocols: Protocols) -> Node {
         Rc::new(Shared {
             settings: RefCell::new(settings),
-            dialects,
+            protocols,
             clock: Clock::start(),
             pool: Pool::default(),
             state: RefCell::new(State { nodes: 1, ..State::default() }),
@@ -129,9 +129,9 @@
             keeper: RefCell::default(),
             stop: Stopping::default(),
             sends: Sends::default(),
-            turns: Turns::default(),
+            prefill_queue: PrefillQueue::default(),
             backoff: Backoff::default(),
-            proofs: Proofs::default(),
+            freshness: Freshness::default(),
             quotas: Quotas::default(),
             sums: RefCell::default(),
             watched: RefCell::default(),
@@ -170,7 +170,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         let knows = state.catalog.is_some() && state.listed;
-        knows && !self.is_stopping() && !self.cut_off.get() && proof::holds(self)
+        knows && !self.is_stopping() && !self.cut_off.get() && freshness::is_fresh(self)
     }
 
     /// The keeper told what the store told it at this time.
@@ -256,7 +256,7 @@
 
     /// Whether callers are better served by other nodes, to which their next connection leads them.
     pub(crate) fn sends_away(&self) -> bool {
-        self.is_stopping() || self.cut_off.get() || !proof::holds(self)
+        self.is_stopping() || self.cut_off.get() || !freshness::is_fresh(self)
     }
 
     /// Looks whether this node is cut off.
--- a/crates/hibiscusgw/src/on_platform.rs
+++ b/crates/hibiscusgw/src/on_platform.rs
@@ -42,7 +42,7 @@
     thread::spawn(move || watched.watch(&to_watcher));
     let watched = Watched { path: path.to_owned(), overrides, known: settings.clone() };
     thread::spawn(move || pass_signals_on(signals, watched, &to_node));
-    let ended = hgw_gateway::run(settings, hgw_platform::dialects(store), from_outside);
+    let ended = hgw_gateway::run(settings, hgw_platform::protocols(store), from_outside);
     match ended.map_err(Error::Listen)? {
         Ended::Stopped => {
             emit(Event::ProcessStopped, &[("node", &node)]);
