--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,4 +1,4 @@
-//! When a node calls the store again that did not answer.
+//! Limits how often a node retries calls to a store that does not answer.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,40 +9,40 @@
 
 use crate::shared::Node;
 
-/// Pause after a call that failed, and up to twice as long, so that nodes that were refused together do not
-/// come back together. The store counts refused calls too.
+/// Shortest pause after a failed call; the longest is twice that, so that nodes do not retry in
+/// step. The store counts refused calls against its rate limit.
 const AFTER_FAILURE: Duration = Duration::from_millis(300);
 
-/// Nodes behind one head that together call as often as the head itself.
+/// Nodes behind one hub that together retry as often as the hub itself.
 const AS_OFTEN_AS_ONE: u32 = 4;
 
-/// Longest that a node behind a head holds back, as a multiple of that pause.
+/// Largest factor by which nodes behind a hub stretch the pause.
 const MOST_CROWD: u32 = 12;
 
-/// Time between two looks whether there is a reason to wait no longer.
+/// Interval at which a waiting node checks whether the store is back.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// When the store is called again.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
-    /// Before this time no duty of this node calls.
+    /// Earliest time at which any task of this node retries.
     next: Cell<Millis>,
-    /// Nodes that ask the same head, where this one asks a head.
+    /// Nodes that poll the same hub as this one.
     siblings: Cell<u32>,
 }
 
 impl Backoff {
-    /// So many nodes ask the node that this one asks.
+    /// Sets the number of nodes that poll the same hub.
     pub(crate) fn siblings(&self, count: u32) {
         self.siblings.set(count);
     }
 }
 
-/// Waits after a call to the store that failed.
+/// Waits after a failed call to the store.
 ///
-/// Load: the store is away for eight seconds, and 195 nodes called three times each in every half second. The holder and
-/// the heads go on calling as often; who is behind a head is told as soon as that was answered, and calls seldom, in
-/// case that the store turns the head away. The duties of a node take turns, as one answer tells all of them.
+/// The pauses keep many nodes from overloading a store that is down. The leader and the hubs retry
+/// at a constant rate. Nodes behind a hub get its updates and retry less often, in case the store
+/// refuses only the hub. The tasks of a node take turns, because one answer shows all of them that
+/// the store is back.
 pub(crate) async fn after_failure(node: &Node) {
     let (failed_at, pause) = (node.now(), pause_after_failure(node));
     let keeps = node.holding.borrow().is_mine();
@@ -62,7 +62,7 @@
     }
 }
 
-/// The pause after a call that failed, longer where many nodes ask the same head.
+/// Pause after a failed call, longer when many nodes poll the same hub.
 pub(crate) fn pause_after_failure(node: &Node) -> Duration {
     let siblings = if node.has_head() { node.backoff.siblings.get() } else { 0 };
     let crowd = siblings.div_ceil(AS_OFTEN_AS_ONE).clamp(1, MOST_CROWD);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,7 +4,6 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Time since the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     start: Instant,
@@ -20,8 +19,8 @@
     }
 }
 
-/// Time since the machine started, with the time for which it was suspended. The steady clock leaves that
-/// out: a lease counted by it would outlive what its successor waits for.
+/// Time since boot, including suspend. A lease timed by the monotonic clock, which stops during
+/// suspend, would outlast the wait of its successor.
 pub(crate) fn boot_time() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec as u32)
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -1,7 +1,8 @@
-//! In which life of the store this node stands.
+//! Tracks the era of the store.
 //!
-//! The store may come back from a copy some seconds old. A node finds out by the first answer of any call, or by the word
-//! of another node; from then on no answer of an earlier era counts. What is known stays in use until it was read anew.
+//! A new era begins each time the store is restored from a backup. A node learns of it from any
+//! answer of the store or from another node, and then ignores answers of earlier eras. Data of the
+//! earlier era stays in use until it has been read again.
 
 use std::time::Duration;
 
@@ -11,22 +12,22 @@
 use crate::clock::boot_time;
 use crate::shared::Shared;
 
-/// Time after the store's return in which operators and engines write again what it has lost.
+/// Time after a restore in which operators and engines write again what the backup lacked.
 const WRITTEN_AGAIN: Duration = Duration::from_millis(2_000);
 
-/// A call to the store has ended: its answer may tell of a new era.
+/// Checks for a new era after a call to the store.
 pub(crate) fn look(node: &Shared) {
     learn(node, node.dialects.store.era(), Duration::ZERO, "store");
 }
 
-/// What this node tells another: its era, and for how many milliseconds that has lasted at least; nothing in the first.
+/// Era for other nodes and its least age in milliseconds; none in the first era.
 pub(crate) fn told(node: &Shared) -> Option<(Era, u64)> {
     let known = node.era.get();
     let lasted = known.lasted(boot_time()).as_millis() as u64;
     (known.era() > Era::FIRST).then_some((known.era(), lasted))
 }
 
-/// Another node tells the same.
+/// Takes in the era that another node reported.
 pub(crate) fn hear(node: &Shared, told: Option<(Era, u64)>) {
     let Some((era, lasted_ms)) = told else { return };
     node.dialects.store.heard_of(era);
@@ -37,21 +38,21 @@
     let mut known = node.era.get();
     let is_new = known.hear(era, lasted, boot_time());
     node.era.set(known);
-    // A node that has just started finds the era that there is.
+    // A node that has just started always sees a new era, which is not worth logging.
     if is_new && node.state.borrow().listed {
         let name = &node.settings.borrow().node;
         emit(Event::StoreCameBack, &[("node", name), ("era", &era), ("by", &by)]);
     }
 }
 
-/// When what the operators had written is there again at the latest; always, where nothing was lost.
+/// Boot time at which lost writes are assumed to be written again; zero in the first era.
 pub(crate) fn written_again_at(node: &Shared) -> Duration {
     let known = node.era.get();
     let is_first = known.era() == Era::FIRST;
     if is_first { Duration::ZERO } else { known.since() + WRITTEN_AGAIN }
 }
 
-/// Whether what the store had lost may not be there again.
+/// Whether data that a restore lost may still be missing.
 pub(crate) fn is_young(node: &Shared) -> bool {
     boot_time() < written_again_at(node)
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the list of engines.
+//! Keeps the configuration and the engine list up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,41 +18,41 @@
 use crate::proof;
 use crate::shared::{ListedBy, Node};
 
-/// Pause before the next look for a configuration where there is none yet.
+/// Pause before the next read while the store has no configuration.
 const NONE_YET: Duration = Duration::from_millis(300);
 
-/// By how much the keeper reads the list more often than a node that reads for itself: what it passes on is
-/// older by the time between two exchanges.
+/// The leader reads the engine list this many times as often as other nodes, because relaying adds
+/// the delay of an exchange.
 const KEEPER_READS: u32 = 3;
 
-/// Heartbeats after which an entry may lapse because the store was away. A shorter silence is this node's own,
-/// and what is missing after it is gone.
+/// An outage of the store shorter than this many heartbeats cannot make entries expire, so missing
+/// engines are really gone.
 const KEPT_AFTER: u32 = 2;
 
-/// Time between two looks whether a node that has just started was told anything.
+/// Interval at which a starting node checks for updates from the leader.
 const START_LOOK: Duration = Duration::from_millis(20);
 
-/// Time between two looks whether the keeper still tells what the store does.
+/// Interval at which a node checks whether the leader still sends updates.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Time after the store's return for which entries that are missing are kept: they come back with their
-/// engines' next heartbeats.
+/// After an outage of the store, time for which missing engines are kept: their next heartbeats
+/// restore the entries.
 const KEPT_FOR: Duration = Duration::from_millis(2_000);
 
-/// Longest time after its start for which a node leaves it to a keeper to read the store. One that has just started itself
+/// Longest wait at the start for the leader's first update. A leader that has just started itself
 /// answers hundreds of nodes within a second.
 const UNTOLD: Duration = Duration::from_millis(1_500);
 
-/// Longest such time where no keeper is known.
+/// Longest wait at the start while no leader is known.
 const UNKNOWN: Duration = Duration::from_millis(600);
 
-/// Time that a node with a whole processor leaves it to others, where no keeper is known.
+/// Wait at the start for a node with a whole processor while no leader is known.
 const NO_KEEPER: Duration = Duration::from_millis(60);
 
-/// Waits at the start for what other nodes tell.
+/// Waits at the start for updates from the leader.
 ///
-/// Load: hundreds of nodes start at once, and each reads all that there is from the store before the first of them
-/// could tell the others. Larger machines read first, and one of them becomes the keeper.
+/// Without the wait, hundreds of nodes that start together would all read everything from the
+/// store. Larger machines wait less, so one of them becomes the leader.
 pub(crate) async fn until_told(node: &Node) {
     let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
     let untold = NO_KEEPER.div_f64(processor).min(UNKNOWN).as_millis() as u64;
@@ -71,17 +71,17 @@
     }
 }
 
-/// Follows the configuration until the process ends.
+/// Keeps the configuration up to date until the process ends.
 pub(crate) async fn catalog(node: Node) {
     let mut cursor = None;
-    // The newest version up to there, where it could be read.
+    // Newest version up to `cursor`, unless it could not be parsed.
     let mut newest = None;
     let mut link = Link::new(&node, "configuration");
     until_told(&node).await;
     loop {
         let followed = node.is_followed();
         if followed && !node.lacks_catalog() && !proof_is_due(&node) {
-            // The keeper reads for all nodes, and tells.
+            // The leader reads the store for all nodes.
             let _ = timeout(LOOK, node.catalog_news.notified()).await;
             continue;
         }
@@ -92,7 +92,8 @@
         {
             continue;
         }
-        // An answer tells that the store is back: it must not wait there for news.
+        // After an outage, a call that waits for news would delay the detection that the store is
+        // back.
         let usual = proof::longest_wait(&node, node.settings.borrow().catalog_wait());
         let wait = if link.is_down() || followed { Duration::ZERO } else { usual };
         let asked = boot_time();
@@ -128,7 +129,7 @@
             Err(e) => {
                 link.down(&e);
                 if followed {
-                    // Another node may yet tell of a younger question.
+                    // Another node may still send a more recent proof.
                     sleep(pause_after_failure(&node).min(proof::longest_pause(&node))).await;
                 } else {
                     after_failure(&node).await;
@@ -138,22 +139,23 @@
     }
 }
 
-/// The version of the configuration that this node was told, and where to read on from it.
+/// Version of this node's configuration and the log position to read on from, if another node sent
+/// them.
 ///
-/// Load: the keeper is lost, and hundreds of nodes ask at once whether what they have is still the newest. Without a
-/// place in the log each would read the whole text to learn that, more than the store gives in a second.
+/// Without the position, every node would read the whole configuration from the store when the
+/// leader fails.
 fn told_place(node: &Node) -> Option<(u64, Cursor)> {
     let version = node.state.borrow().catalog.as_ref().map(|c| c.version);
     node.catalog_at.get().filter(|(told, _)| Some(*told) == version)
 }
 
-/// Whether nobody tells this node that its configuration is still the newest, so that it asks the store.
+/// Whether this node must ask the store if its configuration is current.
 fn proof_is_due(node: &Node) -> bool {
     proof::is_due(node, node.has_head())
 }
 
-/// Ends when another node tells of a newer configuration. A call to the store may be without an answer for two seconds,
-/// in which callers would be answered by the old one.
+/// Resolves when another node reports a newer configuration. Requests would be served with the old
+/// one if the pending call to the store had to end first.
 async fn until_lacking(node: &Node) {
     loop {
         let told = node.catalog_news.notified();
@@ -164,15 +166,14 @@
     }
 }
 
-/// What a configuration was that this node was given.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Adopted {
     version: u64,
-    /// Whether it was newer than the one before, and is in force now.
+    /// Whether it replaced an older one.
     is_newer: bool,
 }
 
-/// Puts a configuration in force, where it is newer; nothing where it cannot be read.
+/// Puts a configuration in force if it is newer. Returns none if it cannot be parsed.
 pub(crate) fn adopt(node: &Node, text: Bytes) -> Option<Adopted> {
     let known = node.state.borrow().catalog.as_ref().map(|catalog| catalog.version);
     if let Some(version) = known
@@ -188,7 +189,7 @@
         }
     };
     let version = catalog.version;
-    // A store that has come back from a copy may tell an older one.
+    // A store restored from a backup may return an older version.
     if known.is_some_and(|known| known >= version) {
         return Some(Adopted { version, is_newer: false });
     }
@@ -201,7 +202,7 @@
     Some(Adopted { version, is_newer: true })
 }
 
-/// Follows the list of engines until the process ends.
+/// Keeps the engine list up to date until the process ends.
 pub(crate) async fn engines(node: Node) {
     let mut cursor = None;
     let mut link = Link::new(&node, "engines");
@@ -209,7 +210,7 @@
     let (mut back_at, mut last) = (None, node.now());
     loop {
         if node.is_followed() && !node.reads_list.get() {
-            // Read anew from the start once the keeper tells no more.
+            // The whole list is read again once the leader's updates stop.
             (cursor, back_at, last) = (None, None, node.now());
             sleep(LOOK).await;
             node.pool.sweep();
@@ -225,14 +226,15 @@
                     back_at = Some(node.now());
                 }
                 last = node.now();
-                // Those that ask this node have the same from now on, also where nothing has changed.
+                // Nodes that poll this one learn the new age of the list, even if no engine
+                // changed.
                 node.news.notify_waiters();
                 cursor = Some(news.cursor);
                 let since_back = back_at.map(|at| node.now().saturating_sub(at));
                 let keep = since_back.is_some_and(|t| t < KEPT_FOR.as_millis() as u64);
                 take_in(&node, news, keep);
                 if back_at.is_some() && !keep {
-                    // What is still missing is gone: the whole list shows it.
+                    // A read of the whole list removes the engines that are still missing.
                     back_at = None;
                     cursor = None;
                     continue;
@@ -248,7 +250,6 @@
     }
 }
 
-/// Time until the list is read again.
 fn pause_before_next(node: &Node) -> Duration {
     let pause = node.settings.borrow().list_pause();
     if node.holding.borrow().is_mine() {
@@ -313,8 +314,9 @@
     node.placed.notify_waiters();
 }
 
-/// What the keeper told of an engine goes before its heartbeats: these may be written before an order has
-/// ended, and none is written for an adapter. The keeper tells every change.
+/// Keeps the held models that the leader reported instead of those in a heartbeat, which may have
+/// been written before a command completed. Adapter loads write no heartbeat at all; the leader
+/// reports every change.
 fn keep_newer(engines: &hgw_direct::Engines, listed: &mut Listed) {
     let Some(known) = engines.get(&listed.id) else { return };
     if known.told_at.is_some() && !known.listed.start.is_before(listed.start) {
@@ -322,7 +324,7 @@
     }
 }
 
-/// Whether the store answers one kind of call, logged when it changes.
+/// Tracks whether the store answers one kind of call and logs changes.
 pub(crate) struct Link {
     node: Node,
     what: &'static str,
@@ -334,7 +336,7 @@
         Link { node: Node::clone(node), what, up: None }
     }
 
-    /// It answered; tells whether it had not before.
+    /// Records an answer. Returns whether the previous call failed.
     pub(crate) fn up(&mut self) -> bool {
         meter::store_call(self.what, Ok(()));
         eras::look(&self.node);
@@ -348,12 +350,11 @@
         back
     }
 
-    /// Whether it did not answer last.
     pub(crate) fn is_down(&self) -> bool {
         self.up == Some(false)
     }
 
-    /// It did not answer.
+    /// Records a failed call.
     pub(crate) fn down(&mut self, why: &StoreError) {
         meter::store_call(self.what, Err(why));
         eras::look(&self.node);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! A node that serves callers from engines it reaches directly.
+//! A node that serves callers from engines it connects to directly.
 //!
-//! One thread does all of it: a stream has twenty events for each request, and an event that crosses
-//! threads pays for two wake-ups. What is decided lives in [`hgw_direct`]; names, formats and calls of a
-//! platform come in by the traits of [`dialect`].
+//! All tasks run on one thread, because passing the many events of a stream between threads would
+//! cost two wake-ups each. Decisions are made in [`hgw_direct`]; the names, formats and calls of a
+//! platform are defined by the traits of [`dialect`].
 
 mod answer;
 mod at_engine;
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,4 +1,4 @@
-//! The nodes that share budgets and connections: each makes itself known in the store, and the keeper counts them.
+//! Registers this node in the store and counts the nodes that share budgets and connections.
 
 use std::time::Duration;
 
@@ -10,23 +10,22 @@
 use crate::follow::until_told;
 use crate::shared::Node;
 
-/// Time between two counts.
 const COUNT: Millis = 10_000;
 
-/// The same for the first counts of a node that gives orders: all may have started at once, and some made themselves
-/// known after it had counted.
+/// Interval of a new leader's first counts: nodes that started together may register just after a
+/// count.
 const FIRST_COUNTS: Millis = 1_000;
 
-/// How many those are.
+/// Number of such counts.
 const FIRST: u32 = 3;
 
-/// Pause before a node makes itself known that could not.
+/// Pause before a failed registration is retried.
 const ANNOUNCE_AGAIN: Duration = Duration::from_millis(1_000);
 
-/// Time between two looks whether it is time to count.
 const LOOK: Duration = Duration::from_millis(250);
 
-/// Makes this node known, and counts the others while nobody counts for it, until the process ends.
+/// Registers this node, and counts the nodes if it is the leader or there is none, until the
+/// process ends.
 pub(crate) async fn count(node: Node) {
     let (mut announced, mut counted, mut at) = (announce(&node).await, 0, None);
     let mut era = node.era.get().era();
@@ -37,7 +36,7 @@
             sleep(ANNOUNCE_AGAIN).await;
             announced = announce(&node).await;
         }
-        // What was made known may be lost with what the store had before.
+        // A store restored from a backup may have lost the registration.
         let now_in = node.era.get().era();
         if std::mem::replace(&mut era, now_in) != now_in {
             announced = announce(&node).await;
@@ -50,7 +49,7 @@
         kept = keeps;
         let pause = if counted < FIRST { FIRST_COUNTS } else { COUNT };
         let due = at.is_none_or(|at| node.now().saturating_sub(at) >= pause);
-        // A keeper counts for all; while there is none, the last count stands.
+        // Only the leader counts. While there is no leader, the last count remains in use.
         let counts = keeps || node.members.borrow().is_empty() && !node.was_followed();
         if announced && due && counts {
             at = Some(node.now());
@@ -79,7 +78,7 @@
 
 async fn read(node: &Node) -> bool {
     let Ok(nodes) = node.dialects.store.nodes().await else { return false };
-    // An entry that cannot be read is of another version of the program, and counts.
+    // An entry that cannot be parsed is from another version of the program and still counts.
     let count = u32::try_from(nodes.len()).unwrap_or(u32::MAX);
     let members = nodes.iter().filter_map(|(_, entry)| serde_json::from_slice(entry).ok());
     let members: Vec<Member> = members.collect();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! A node's life.
+//! Starts the tasks of a node and runs them until shutdown.
 
 use std::io;
 use std::rc::Rc;
@@ -18,30 +18,28 @@
 use crate::shared::{Node, Shared};
 use crate::{Settings, follow, front, holder, listen, members, meter, peers, proof, quotas, stop};
 
-/// What a node is told from outside.
 #[derive(Debug, Clone)]
 pub enum Signal {
-    /// Stop as planned.
+    /// Shut down as planned.
     Stop,
-    /// Stop at once.
+    /// End at once.
     Kill,
-    /// These settings are in force from now on; addresses stay as they are.
+    /// Replace the settings; changed listen addresses have no effect.
     Settings(Box<Settings>),
 }
 
-/// How a node ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// As planned.
+    /// After a planned shutdown.
     Stopped,
-    /// At once.
+    /// Immediately.
     Killed,
 }
 
-/// Time between two looks at the clocks.
+/// Interval at which the boot clock is checked for a suspended machine.
 const CLOCK_CHECK: Duration = Duration::from_millis(200);
 
-/// A machine that stood still for this long believes nothing of its connections.
+/// Pauses longer than this count as suspended: pooled connections may be dead.
 const STOOD_STILL: Duration = Duration::from_millis(1_000);
 
 /// Runs a node until it is told to end.
@@ -84,12 +82,12 @@
     spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
     match words {
         Ok(words) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(words)))),
-        // Each node then chooses by what it sent itself.
-        Err(e) => listener_failed(&node, "words of other nodes", &e),
+        // Without datagrams a node balances by its own requests only.
+        Err(e) => listener_failed(&node, "peer datagrams", &e),
     }
     match metrics {
         Ok(metrics) => spawn(Box::pin(serve_metrics(Rc::clone(&node), metrics))),
-        // Callers are served without them.
+        // Callers are served without metrics.
         Err(e) => listener_failed(&node, "metrics", &e),
     }
     loop {
@@ -119,8 +117,8 @@
     std::future::pending().await
 }
 
-/// Finds out that the machine stood still, as kept connections may have ended meanwhile, and that this node is
-/// cut off.
+/// Drops pooled connections after the machine was suspended, and checks whether this node is cut
+/// off and its configuration proven current.
 async fn watch_clocks(node: Node) {
     let mut last = boot_time();
     loop {
@@ -138,7 +136,6 @@
     }
 }
 
-/// Answers with the metrics as text.
 async fn serve_metrics(node: Node, listener: TcpListener) {
     let Some(recorder) = meter::recorder() else { return };
     let answer = move |node: Node, _| {
@@ -149,7 +146,6 @@
     listen::serve(node, listener, answer).await;
 }
 
-/// Answers whether this node takes callers.
 async fn answer_ready(node: Node, req: http::Request<Incoming>) -> Answered {
     let (head, _) = req.into_parts();
     Ok(ready_answer(&node, &head))
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -3,78 +3,77 @@
 
 use hgw_direct::QuotaBounds;
 
-/// What a node needs to know of its surroundings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Name of this node.
     pub node: String,
-    /// Its failure domain.
+    /// Failure domain of this node.
     pub domain: String,
-    /// Listener for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Listener for questions whether this node takes callers.
+    /// Listen address for readiness checks.
     pub ready: SocketAddr,
-    /// Listener for other nodes.
+    /// Listen address for other nodes.
     pub peers: SocketAddr,
-    /// Listener for those who read the metrics.
+    /// Listen address for metrics.
     pub metrics: SocketAddr,
-    /// Longest time from the signal to stop until the process must be gone.
+    /// Longest time from the stop signal to the end of the process.
     pub grace: Duration,
-    /// Time within which a change of the configuration must be in force.
+    /// Time within which a changed configuration must be in force.
     pub apply_within: Duration,
-    /// Time within which an engine that leaves must get no more work.
+    /// Time within which a leaving engine must get no more requests.
     pub drain_within: Duration,
-    /// Second tries, as a share of the requests.
+    /// Retries as a share of the requests.
     pub retry_ratio: f64,
-    /// Second tries beyond that share, over all nodes.
+    /// Retries allowed beyond that share, over all nodes.
     pub retry_slack: f64,
-    /// The time over which second tries are counted.
+    /// Time window over which retries are counted.
     pub retry_window: Duration,
-    /// Whether engines refuse orders with an old fencing number.
+    /// Whether engines reject commands with an outdated fencing token.
     pub engines_fence: bool,
-    /// Time for which a holder of the orders acts after its last renewal.
+    /// Time for which the leader may act after its last renewal.
     pub lease: Duration,
-    /// The time over which loads from the weight store are counted.
+    /// Time window over which loads from the weight store are counted.
     pub load_window: Duration,
-    /// Time between two heartbeats of an engine.
+    /// Interval between two heartbeats of an engine.
     pub heartbeat: Duration,
-    /// Connections that callers may have open.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Time after which a key that was taken away must be of no use, where that binds each node whatever it can reach.
+    /// Time within which a revoked key must stop working on every node, if that is required even of
+    /// nodes that are cut off.
     pub revoke_within: Option<Duration>,
-    /// Bounds of what customers use.
+    /// Limits for the quotas that customers may have.
     pub quotas: QuotaBounds,
-    /// Share of a processor that this machine has.
+    /// Number of processors available to this machine, possibly a fraction of one.
     pub processor: f64,
 }
 
-/// Longest time within which a change should be followed: the store is called as often in deployments that
-/// allow more.
+/// Upper bound of the reaction time, so that deployments which allow more do not read the store
+/// less often.
 const FOLLOW_MOST: Duration = Duration::from_millis(3_000);
 
-/// By how much longer a node whose domain has a head waits for news before it reads for itself: what the head reads then
-/// is there within a tenth of a second.
+/// Nodes behind a hub wait longer for updates by this factor, because the hub reads the store first
+/// and relays what it read.
 const BEHIND_A_HEAD: f64 = 1.4;
 
 impl Settings {
-    /// Time within which changes must be followed.
+    /// Time within which changes must be noticed.
     fn follow_within(&self) -> Duration {
         self.apply_within.min(self.drain_within).min(FOLLOW_MOST)
     }
 
-    /// How long a call for a new configuration waits at the store. A connection that goes silent is found
-    /// out a moment after it.
+    /// Longest wait of a call for a new configuration. A dead connection is detected shortly after
+    /// it.
     pub(crate) fn catalog_wait(&self) -> Duration {
         self.follow_within().mul_f64(0.5)
     }
 
-    /// Time between two reads of the list of engines.
+    /// Interval between two reads of the engine list.
     pub(crate) fn list_pause(&self) -> Duration {
         self.follow_within().mul_f64(0.375)
     }
 
-    /// Age of the keeper's word from which a node reads the store itself: longer than the keeper's own reads
-    /// take turns, and short enough to read what was missed in time.
+    /// Age of the leader's updates after which a node reads the store itself: longer than the
+    /// leader's read interval, and short enough to catch up in time.
     pub(crate) fn followed_for(&self, has_head: bool) -> Duration {
         let longest = if has_head { BEHIND_A_HEAD } else { 1.0 };
         self.follow_within().mul_f64(0.625 * longest)
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -30,13 +30,12 @@
 use crate::stop::Stopping;
 use crate::turn::Turns;
 
-/// Longest time to connect to an engine: it is a few milliseconds away, or gone.
+/// Engines are a few milliseconds away, so a slower connection attempt has failed.
 const CONNECT: Duration = Duration::from_millis(300);
 
-/// Longest time that bytes sent to an engine stay unacknowledged.
 const UNACKED: Duration = Duration::from_secs(1);
 
-/// Everything that the tasks of a node share.
+/// State shared by all tasks of a node.
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<Settings>,
     pub(crate) dialects: Dialects,
@@ -49,71 +48,71 @@
     pub(crate) sends: Sends,
     pub(crate) turns: Turns,
     pub(crate) backoff: Backoff,
-    /// That its configuration is the newest.
+    /// Evidence that the configuration of this node is current.
     pub(crate) proofs: Proofs,
-    /// What customers may use.
     pub(crate) quotas: Quotas,
-    /// What is at engines, as nodes tell each other.
+    /// In-flight requests at engines, as reported by other nodes.
     pub(crate) sums: RefCell<Sums>,
-    /// Engines that could not be reached, of which this node looks whether they are back.
+    /// Unreachable engines that this node probes until they are back.
     pub(crate) watched: RefCell<IndexSet<EngineKey>>,
-    /// Told whenever another node says that an engine cannot be reached, or can be again.
+    /// Notified when another node reports an engine unreachable or reachable again.
     pub(crate) dark: Notify,
-    /// Nodes that ask this one for what is new.
+    /// Nodes that poll this one for updates.
     pub(crate) children: Children,
-    /// What is new of what engines hold.
+    /// Engines whose held models changed, for the nodes that poll this one.
     pub(crate) placements: RefCell<Placements>,
-    /// Nodes of this one's domain that pass on what the keeper tells.
+    /// Candidates for the hub of this node's failure domain, which relays the leader's updates.
     pub(crate) heads: RefCell<Heads>,
-    /// All nodes, where this one has read of them.
+    /// All nodes in the store; empty until this node has read them.
     pub(crate) members: RefCell<Vec<Member>>,
-    /// Told whenever there is news for those that ask this node.
+    /// Notified when there is an update for the nodes that poll this one.
     pub(crate) news: Notify,
-    /// Parts this node from others in what only some of them do.
+    /// Random number of this process, which spreads periodic work over the nodes.
     pub(crate) draw: u32,
-    /// Whether the list is longer than another node tells, so that this one reads it itself.
+    /// Set when the engine list is too long to be sent by another node, so that this node reads it
+    /// from the store.
     pub(crate) reads_list: Cell<bool>,
-    /// The life of the store that this node knows of.
+    /// Newest era of the store that this node knows.
     pub(crate) era: Cell<KnownEra>,
-    /// When the store last answered.
+    /// Time of the last answer from the store.
     pub(crate) store_heard: Cell<Millis>,
-    /// When this node last read the list of engines.
+    /// Time when this node last read the engine list from the store.
     pub(crate) list_read: Cell<Millis>,
-    /// Up to when this node has what the store tells, by its own reading or the keeper's.
+    /// Time up to which the leader's updates reflect the store.
     followed_at: Cell<Option<Millis>>,
-    /// Whether the node that is taken for the keeper says that it is not.
+    /// Whether the presumed leader refused the last request because it no longer leads.
     pub(crate) keeper_refuses: Cell<bool>,
-    /// The newest configuration that the keeper told of.
+    /// Newest configuration version that the leader reported.
     told_catalog: Cell<u64>,
-    /// A version of the configuration, and how far in the store's log of it there is no newer one.
+    /// A configuration version, and the position in the store's log up to which there is no newer
+    /// one.
     pub(crate) catalog_at: Cell<Option<(u64, Cursor)>>,
-    /// Whether this node is taking a newer configuration from one that asks it.
+    /// Whether a newer configuration is being fetched from a node that polls this one.
     pub(crate) takes_catalog: Cell<bool>,
-    /// Told when the keeper has news of the configuration.
+    /// Notified when the leader reports a newer configuration.
     pub(crate) catalog_news: Notify,
-    /// Whether this node reaches neither the store nor engines elsewhere.
+    /// Whether this node reaches neither the store nor engines in other failure domains.
     cut_off: Cell<bool>,
-    /// Told whenever an engine is seen to hold something new.
+    /// Notified when an engine is known to hold another model or adapter.
     pub(crate) placed: Notify,
-    /// Told whenever an engine is seen to have started anew.
+    /// Notified when an engine has restarted.
     pub(crate) started_anew: Notify,
 }
 
-/// By whose word this node knows its list of engines.
+/// Source of a change in the engine list.
 #[derive(Debug, Clone, Copy, Display)]
 pub(crate) enum ListedBy {
-    /// It has read it in the store.
+    /// Read from the store by this node.
     #[display("store")]
     Store,
-    /// Another node tells it.
+    /// Sent by another node.
     #[display("peer")]
     Peer,
-    /// It has found something out without reading on.
+    /// Derived by this node from what it already knew.
     #[display("known")]
     Known,
 }
 
-/// The node as its tasks see it.
 pub(crate) type Node = Rc<Shared>;
 
 impl Shared {
@@ -165,20 +164,20 @@
         self.stop.since.get().is_some()
     }
 
-    /// Whether callers are to be sent here.
+    /// Whether the readiness check succeeds.
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         let knows = state.catalog.is_some() && state.listed;
         knows && !self.is_stopping() && !self.cut_off.get() && proof::holds(self)
     }
 
-    /// The keeper told what the store told it at this time.
+    /// Records that the leader's updates reflect the store up to `at`.
     pub(crate) fn followed(&self, at: Millis) {
         self.followed_at.set(self.followed_at.get().max(Some(at)));
         self.store_heard.set(self.store_heard.get().max(at));
     }
 
-    /// The keeper's last renewal, by its own books or its word.
+    /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
         let holding = self.holding.borrow();
         if holding.is_mine() {
@@ -187,13 +186,14 @@
         holding.silence.last_renewal(self.now())
     }
 
-    /// Age of what this node has of the store, by its own reading or the keeper's.
+    /// Age of this node's copy of the store data, read directly or received from the leader.
     pub(crate) fn word_age(&self) -> Millis {
         let told = self.followed_at.get().unwrap_or(0).max(self.list_read.get());
         self.now().saturating_sub(told)
     }
 
-    /// Whom this node asks for what is new; nobody where it is the keeper, or knows of no keeper and no head.
+    /// Node that this one polls for updates: the hub of its domain or the leader. None if this node
+    /// is the leader or knows no leader and no hub.
     pub(crate) fn parent(&self) -> Option<(Parent, SocketAddr)> {
         if self.holding.borrow().is_mine() {
             return None;
@@ -207,20 +207,20 @@
         }
     }
 
-    /// Whether this node asks a head of its domain, and not the keeper itself.
+    /// Whether this node polls the hub of its domain rather than the leader.
     pub(crate) fn has_head(&self) -> bool {
         matches!(self.parent(), Some((Parent::Head(_), _)))
     }
 
-    /// Whether the keeper has told this node anything yet.
+    /// Whether an update from the leader has ever arrived.
     pub(crate) fn was_followed(&self) -> bool {
         self.followed_at.get().is_some()
     }
 
-    /// Whether the keeper tells what the store does, so that this node need not read it.
+    /// Whether the leader's updates are recent enough that this node need not read the store.
     ///
-    /// Load: the keeper ends, and all nodes read at the same moment. The nodes that pass on read first; what they read
-    /// reaches their domains before the others would.
+    /// Nodes behind a hub wait longer, so that they do not all read the store at once when the
+    /// leader fails: the hubs read first and relay what they read.
     pub(crate) fn is_followed(&self) -> bool {
         let keeps = self.holding.borrow().is_mine();
         let longest = self.settings.borrow().followed_for(self.has_head()).as_millis() as Millis;
@@ -228,7 +228,7 @@
         !keeps && !self.keeper_refuses.get() && age.is_some_and(|age| age < longest)
     }
 
-    /// The keeper has a configuration.
+    /// Records the configuration version that the leader reports.
     pub(crate) fn catalog_told(&self, version: u64) {
         self.told_catalog.set(version);
         if self.lacks_catalog() {
@@ -236,29 +236,30 @@
         }
     }
 
-    /// Whether the keeper told of a newer configuration than this node has.
+    /// Whether the leader reported a newer configuration than this node has.
     pub(crate) fn lacks_catalog(&self) -> bool {
         let has = self.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
         has < self.told_catalog.get()
     }
 
-    /// By how much nodes hold back, so that the keeper is asked as often by many as by ten.
+    /// Factor by which poll intervals grow with the number of nodes, which bounds the load on the
+    /// leader.
     pub(crate) fn crowd(&self) -> u32 {
         let nodes = self.state.borrow().nodes;
         crowd(nodes, nodes)
     }
 
-    /// Whether this node reads the list when nobody reads it for all.
+    /// Whether this node keeps reading the engine list from the store while no leader does.
     pub(crate) fn reads_on(&self) -> bool {
         reads_on(&self.state.borrow().engines, self.crowd(), self.draw)
     }
 
-    /// Whether callers are better served by other nodes, to which their next connection leads them.
+    /// Whether callers should reconnect to another node.
     pub(crate) fn sends_away(&self) -> bool {
         self.is_stopping() || self.cut_off.get() || !proof::holds(self)
     }
 
-    /// Looks whether this node is cut off.
+    /// Updates whether this node is cut off.
     pub(crate) fn look_around(&self) {
         let now = self.now();
         let silent_for = now.saturating_sub(self.store_heard.get());
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Ends what was begun at engines that have started anew: their connections, and waits for their answers.
+    /// Closes connections to restarted engines and wakes the requests that wait for their answers.
     pub(crate) fn look_for_starts(&self) {
         let anew = self.state.borrow_mut().engines.take_anew();
         for addr in &anew {
@@ -285,7 +286,7 @@
         }
     }
 
-    /// The list of engines goes as far as this now, by the word of the store or of another node.
+    /// Records that the engine list is known up to `place`.
     pub(crate) fn listed_to(&self, place: ListPlace, by: ListedBy) {
         let changes = {
             let mut state = self.state.borrow_mut();
@@ -323,7 +324,7 @@
         ConnectLimits { connect: CONNECT, silence: UNACKED }
     }
 
-    /// Takes in what became of a request at an engine.
+    /// Records the outcome of a request at an engine.
     pub(crate) fn saw(&self, engine: &EngineId, verdict: Verdict) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -337,13 +338,13 @@
         );
     }
 
-    /// Whether another node could not reach an engine.
+    /// Whether another node reported the engine unreachable.
     pub(crate) fn is_dark(&self, engine: &EngineId) -> bool {
         let now = self.now();
         self.engine(engine, |e| e.judge.is_dark(now)).unwrap_or(false)
     }
 
-    /// A byte came from an engine.
+    /// Records that a byte arrived from an engine.
     pub(crate) fn heard(&self, engine: &EngineId) {
         let now = self.now();
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
@@ -351,14 +352,14 @@
         }
     }
 
-    /// A connection to an engine has broken: that it was heard a moment ago speaks no more for it.
+    /// Discards the time of the engine's last byte after a broken connection.
     pub(crate) fn broke(&self, engine: &EngineId) {
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
             engine.heard = 0;
         }
     }
 
-    /// Time since the last byte came from an engine.
+    /// Time since the last byte from an engine.
     pub(crate) fn silent_for(&self, engine: &EngineId) -> Duration {
         let state = self.state.borrow();
         let heard = state.engines.get(engine).map_or(0, |e| e.heard);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -4,35 +4,35 @@
 use hgw_direct::{Budget, Catalog, Demand, Engines, ListPlace, Listing, Millis, ServiceId, Wanted};
 use indexmap::IndexMap;
 
-/// Models and adapters that are told to the keeper at a time.
+/// Bounds the memory used for names that callers make up while no leader collects them.
 const MOST_ASKED: usize = 4_096;
 
-/// What the node believes.
+/// A node's view of the configuration, the engines and the demand.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) catalog: Option<Arc<Catalog>>,
-    /// Its text, for nodes that the store turns away.
+    /// Serialized form, for nodes that cannot read it from the store.
     pub(crate) catalog_text: Bytes,
-    /// Whether a whole list of engines has been read.
+    /// Whether a complete engine list has been received.
     pub(crate) listed: bool,
     pub(crate) engines: Engines,
-    /// How far the list goes.
+    /// Position up to which the engine list is known.
     pub(crate) list_at: Option<ListPlace>,
-    /// What changed in it, for other nodes.
+    /// Changes in the engine list, for other nodes.
     pub(crate) listing: Listing,
     pub(crate) budgets: IndexMap<ServiceId, Budget>,
-    /// What this node has been asked for, for a keeper that is new.
+    /// Demand seen by this node, which a new leader starts from.
     pub(crate) demand: Demand,
-    /// Requests by model since the keeper was told.
+    /// Requests by model and adapter since the last report to the leader.
     pub(crate) asked: IndexMap<Wanted, f64>,
-    /// When loads from the weight store began, as the holder of this claim told.
+    /// Fencing token of a leader, and the start times of its loads from the weight store.
     pub(crate) begun: Option<(u64, Vec<Millis>)>,
-    /// Nodes that share budgets and connections; at least this one.
+    /// Number of nodes that share budgets and connections, this one included.
     pub(crate) nodes: u32,
 }
 
 impl State {
-    /// Requests came for something. While no keeper takes them, as many names are kept as callers can make up.
+    /// Counts requests for a model or an adapter.
     pub(crate) fn asked_for(&mut self, now: Millis, wanted: &Wanted, count: f64) {
         self.demand.saw(now, wanted, count);
         if self.asked.len() < MOST_ASKED {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop.
+//! Planned shutdown.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,24 +12,24 @@
 use crate::holder;
 use crate::shared::Node;
 
-/// Time for which callers are still sent here: the balancer asks once a second and takes a node out after
-/// two misses, and what it sent before has still to arrive.
+/// Time for which the load balancer may still send callers here: it checks once a second, removes a
+/// node after two failures, and requests already sent have to arrive.
 const STILL_SENT: Duration = Duration::from_millis(3_300);
 
-/// Time after which a request is sent to another node by refusing it: it could not be sure to end in time.
+/// Time after which requests are refused, because they may not complete before the process ends.
 const SERVED_FOR: Duration = Duration::from_millis(2_700);
 
-/// Whether a request that comes now is refused because this node is about to end.
+/// Whether new requests are refused because the process is about to end.
 pub(crate) fn takes_no_more(node: &Node) -> bool {
     let since = node.stop.since.get();
     since.is_some_and(|since| node.now() - since > SERVED_FOR.as_millis() as u64)
 }
 
-/// Part of the grace that is kept for ending: what has not ended by then is broken off.
+/// Part of the grace period that is kept for closing; requests that still run then are aborted.
 const LAST: Duration = Duration::from_millis(400);
 
-/// Stops as planned: no callers are asked for, those that come are served, kept connections are closed
-/// once no more come, and the process ends with its last request.
+/// Shuts down as planned: fails the readiness check, serves the callers that still arrive, then
+/// closes idle connections and returns with the last request.
 pub(crate) async fn stop(node: &Node) {
     let name = node.settings.borrow().node.clone();
     let grace = node.settings.borrow().grace;
@@ -48,22 +48,21 @@
     }
 }
 
-/// How far the planned stop has come.
+/// Progress of the planned shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct Stopping {
-    /// When it began.
     pub(crate) since: Cell<Option<Millis>>,
-    /// Whether connections without a request are closed now.
+    /// Whether idle connections are closed.
     pub(crate) closing: Cell<bool>,
-    /// Told when either changes.
+    /// Notified when `since` or `closing` changes.
     pub(crate) changed: Notify,
-    /// Requests that are being served.
+    /// Requests being served.
     pub(crate) active: Cell<u32>,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub(crate) connections: Cell<usize>,
 }
 
-/// A request that is being served, until this is dropped.
+/// Counts a request as active until dropped.
 pub(crate) struct Active(Node);
 
 impl Active {
