--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -1,4 +1,4 @@
-//! Which node gives orders: the one whose claim is the newest in the store's log.
+//! Leader election: the leader is the node with the newest claim in the store's lease log.
 
 mod reader;
 mod record;
@@ -17,7 +17,6 @@
 
 pub(crate) use reader::hold;
 
-/// The node that gives orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Keeper {
     pub(crate) node: String,
@@ -25,31 +24,31 @@
     pub(crate) fence: u64,
 }
 
-/// What a node knows of the claim.
+/// What a node knows of the lease and its holder.
 #[derive(Debug, Default)]
 pub(crate) struct Holding {
-    /// The newest claim that was not released.
+    /// Author of the newest claim, unless it was released.
     pub(crate) keeper: Option<Keeper>,
-    /// The newest claim that this node has read of.
+    /// Fencing token of the newest claim that this node knows.
     newest: Option<u64>,
-    /// Where this node's own claim stands, while it holds.
+    /// Position of this node's own claim while it is the leader.
     mine: Option<Cursor>,
-    /// When the last acknowledged renewal was sent, by the clock that counts suspended time.
+    /// Boot time at which the last acknowledged renewal was sent.
     renewed: Duration,
-    /// Where the log ended after it.
+    /// End of the log after that renewal.
     renewed_at: Option<Cursor>,
-    /// Whether the holder answers this node, and when it last renewed.
+    /// Whether the leader answers this node, and its last renewal.
     pub(crate) silence: Silence,
-    /// When a renewal was last tried.
+    /// Boot time of the last attempt to renew.
     tried: Duration,
 }
 
 impl Holding {
-    /// The fencing number for an order now, where this node may give one.
+    /// Fencing token for commands to engines, if this node may send any now.
     ///
-    /// A node that stood still finds out here: until it has tried to renew its claim it believes nothing.
-    /// Where engines refuse old numbers a holder that cannot reach the store goes on, for nobody can take
-    /// over unseen; where they do not, it ends with its lease.
+    /// After a suspend the node must try to renew before it acts. Once its lease has expired, a
+    /// leader that cannot reach the store goes on only if engines reject outdated tokens, because a
+    /// successor's commands then stop it.
     pub(crate) fn fence(&self, lease: Duration, engines_fence: bool) -> Option<u64> {
         let now = boot_time();
         let renewed = now.saturating_sub(self.renewed) < lease;
@@ -57,20 +56,20 @@
         self.mine.filter(|_| awake && (renewed || engines_fence)).and_then(Cursor::fence)
     }
 
-    /// The fencing number under which this node alone may do what no other may do at the same time, where it is sure of
-    /// its claim: a successor waits its whole lease.
+    /// Fencing token for actions that only one node may take at a time; none once the lease has
+    /// expired. A successor waits for a whole lease.
     pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
         let is_sure = boot_time().saturating_sub(self.renewed) < lease;
         self.mine.filter(|_| is_sure).and_then(Cursor::fence)
     }
 
-    /// The holder's last renewal, for the other nodes.
+    /// End of the log after the last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
         let age = boot_time().saturating_sub(self.renewed).as_millis() as u64;
         self.renewed_at.filter(|_| self.is_mine()).map(|end| (end, age))
     }
 
-    /// Another node tells of a keeper.
+    /// Takes in a leader that another node reported.
     pub(crate) fn hear_of(&mut self, keeper: Keeper) {
         let newer = self.newest.is_none_or(|newest| newest < keeper.fence);
         if newer && !self.is_mine() {
@@ -79,8 +78,8 @@
         }
     }
 
-    /// A renewal is tried. After a pause as long as a lease another may have taken over meanwhile: then the answer says
-    /// whether orders may be given, and the try itself says nothing.
+    /// Records an attempt to renew, unless the last one is at least a lease ago: another node may
+    /// lead by now, so that only the answer decides whether this node may act.
     fn tries(&mut self, began: Duration, lease: Duration) {
         if began.saturating_sub(self.tried) < lease {
             self.tried = began;
@@ -93,7 +92,7 @@
         self.tried = boot_time();
     }
 
-    /// An engine has seen a higher fencing number.
+    /// Steps down after an engine reported a higher fencing token.
     pub(crate) fn superseded(&mut self) {
         self.mine = None;
     }
@@ -103,7 +102,7 @@
     }
 }
 
-/// Gives the claim up, at the planned stop.
+/// Releases the lease in a planned shutdown.
 pub(crate) async fn release(node: Node) {
     if !node.holding.borrow().is_mine() {
         return;
@@ -113,7 +112,7 @@
     let me = node.settings.borrow().node.clone();
     node.holding.borrow_mut().superseded();
     if last.is_some_and(|entry| entry.node == me) {
-        // Where this fails the next holder waits the lease out.
+        // If this fails, the successor waits until the lease expires.
         let released = entry(&node, EntryKind::Release, news.end);
         let _ = node.dialects.store.claim(news.end, released).await;
     }
--- a/crates/gateway/src/holder/reader.rs
+++ b/crates/gateway/src/holder/reader.rs
@@ -1,4 +1,4 @@
-//! Claiming, renewing and following the claim.
+//! Claims and renews the lease, and follows the log of it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,40 +20,41 @@
 use super::Keeper;
 use super::record::{Entry, EntryKind, entry, valid};
 
-/// Renewals in a lease: two may fail before it runs out.
+/// Renewals per lease: two may fail before it expires.
 const RENEWALS: u32 = 3;
 
-/// Pause after a call that failed.
 const AFTER_FAILURE: Duration = Duration::from_millis(250);
 
-/// Time between two looks whether the holder still answers.
+/// Interval at which a follower checks whether the leader still answers.
 const HOLDER_CHECK: Duration = Duration::from_millis(100);
 
-/// Time after a record of another holder within which that is asked first.
+/// After the log showed another leader, time in which this node expects updates from it instead of
+/// reading on.
 const HEARD_NOW: Millis = 300;
 
-/// Time that a node with a whole processor waits before it claims, so that they do not all try at once.
+/// Wait before a claim for a node with a whole processor, which prevents that all nodes claim at
+/// once.
 const SPREAD: Duration = Duration::from_millis(60);
 
-/// Longest such time. A node with less of a processor waits longer: the holder does more than others.
+/// Longest wait before a claim. Slower machines wait longer, because the leader does more work.
 const MOST_SPREAD: Duration = Duration::from_millis(700);
 
-/// Time by which a node that did not read on when nobody read for all waits longer.
+/// Additional wait for a node without a current engine list.
 const NOT_READ: Duration = Duration::from_millis(300);
 
-/// What a node has read of the log.
+/// Position of a node in the lease log.
 struct Reader {
     node: Node,
     end: Option<Cursor>,
-    /// Since when every read has succeeded and brought nothing new.
+    /// Time since which all reads succeeded without a new record.
     quiet_since: Option<Millis>,
-    /// Its share of that wait by its processor.
+    /// Wait before a claim, by the machine's processor.
     spread: Duration,
-    /// Before this time, by the clock that counts suspended time, the claim is not free although nobody is known to hold it.
+    /// Boot time before which the lease may be held by a leader whose record was lost.
     free_from: Duration,
 }
 
-/// Claims, renews and follows the claim until the process ends.
+/// Claims, renews and follows the lease until the process ends.
 pub(crate) async fn hold(node: Node) {
     let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
     let spread = SPREAD.div_f64(processor).min(MOST_SPREAD).mul_f64(0.5 + random::<f64>() / 2.0);
@@ -101,13 +102,13 @@
                 sleep(lease / RENEWALS).await;
                 Ok(())
             }
-            // Another record stands there: another node's claim, or this node's own renewal whose
-            // answer was lost. Or it is another log.
+            // The record there is another node's claim, this node's own renewal whose answer was
+            // lost, or belongs to a log of another era.
             Err(StoreError::Condition | StoreError::NewEra { .. }) => {
                 self.read(Duration::ZERO).await
             }
             Err(e) => {
-                // A connection that has ended says nothing of the store; a second call does.
+                // A closed connection does not show that the store is down, so a read checks it.
                 let lost = matches!(e, StoreError::Lost { .. });
                 if lost && self.read(Duration::ZERO).await.is_ok() {
                     return Ok(());
@@ -124,7 +125,7 @@
             (settings.lease, settings.node.clone())
         };
         if self.node.is_followed() {
-            // The holder answers, and its word is as new as its last renewal.
+            // The leader answers and reports its renewals itself.
             self.quiet_since = None;
             sleep(HOLDER_CHECK).await;
             return Ok(());
@@ -136,7 +137,7 @@
         let spread = self.spread();
         let wait = if self.is_free(&me) { spread } else { self.until_out(lease) };
         if let Err(e) = self.read(wait).await {
-            // While the store does not answer its holder cannot renew either.
+            // The leader cannot renew either while the store is down.
             self.quiet_since = None;
             return Err(e);
         }
@@ -156,26 +157,26 @@
         if listed && (free || out) { self.claim().await } else { Ok(()) }
     }
 
-    /// Whether it has just read of another holder, which will tell this node what it needs.
+    /// Whether the log has just shown another leader, which will send this node its updates.
     fn has_just_heard(&self, me: &str) -> bool {
         let now = self.node.now();
         let lately = self.quiet_since.is_some_and(|since| now.saturating_sub(since) < HEARD_NOW);
         lately && !self.is_free(me)
     }
 
-    /// How long this node leaves it to others to claim first. One that has not read on would have to read the whole
-    /// list before it could tell the others what changed.
+    /// Wait before a claim. A node that stopped reading the engine list waits longer, because it
+    /// would have to read the whole list before it could lead.
     fn spread(&self) -> Duration {
         if self.node.reads_on() { self.spread } else { self.spread + NOT_READ }
     }
 
-    /// Time until the holder's lease and this node's own wait are over.
+    /// Time until the leader's lease and this node's own wait are over.
     fn until_out(&self, lease: Duration) -> Duration {
         let quiet = self.quiet_since.map_or(0, |since| self.node.now().saturating_sub(since));
         (lease + self.spread()).saturating_sub(Duration::from_millis(quiet)).min(lease / 2)
     }
 
-    /// Whether nobody holds the claim, or this machine did before its process ended.
+    /// Whether nobody holds the lease, or an earlier process of this node does.
     fn is_free(&self, me: &str) -> bool {
         let holding = self.node.holding.borrow();
         let is_free = holding.keeper.as_ref().is_none_or(|keeper| keeper.node == me);
@@ -190,11 +191,11 @@
         Ok(())
     }
 
-    /// Claims anew in an era that began while this node held the claim.
+    /// Claims the lease again in an era that began while this node was the leader.
     ///
-    /// Its claim may be among what the store has lost, and does not count there in any case. Within its lease nobody else
-    /// can have claimed: in the era before all waited for that to run out, and in this one they wait a whole lease from
-    /// its beginning. Beyond its lease it is one of those who wait.
+    /// The restore may have lost its claim, and claims of an earlier era do not count anyway. Until
+    /// its lease expires no other node can have claimed: each waits for a whole lease, counted from
+    /// the start of the new era. Afterwards this node steps down and waits like the others.
     async fn claim_again(&mut self, end: Cursor) -> Result<(), StoreError> {
         let node = Rc::clone(&self.node);
         let lease = node.settings.borrow().lease;
@@ -213,11 +214,12 @@
         Ok(())
     }
 
-    /// Claims where the log ends; gives the fencing number where that succeeded, and the one of the claim before.
+    /// Appends a claim at the end of the log. Returns its fencing token and that of the previous
+    /// claim, or none if another record was first.
     async fn claim_at(&mut self, end: Cursor) -> Result<Option<(u64, Option<u64>)>, StoreError> {
         let Some(fence) = end.fence() else {
-            let why = format!("{end} is beyond all fencing numbers");
-            return Err(StoreError::Malformed(Malformed { what: "place of a claim", why }));
+            let why = format!("{end} is out of range for a fencing token");
+            return Err(StoreError::Malformed(Malformed { what: "position of a lease claim", why }));
         };
         let node = Rc::clone(&self.node);
         let began = boot_time();
@@ -252,7 +254,7 @@
         let news = self.node.dialects.store.claims(self.end, wait).await?;
         let ClaimNews { end, records } = news;
         if self.end.is_some_and(|known| end < known) {
-            // The log was rewound: what was read of it is void.
+            // The log was rewound, so what was read before is void.
             self.end = None;
             return Ok(());
         }
@@ -274,9 +276,9 @@
         Ok(())
     }
 
-    /// The store is in a later era than this node has read of, and nothing in the log counts that was not written in it.
-    /// A holder of the era before may act until its lease runs out, or go on by a claim in this one: whoever else claims
-    /// waits so long, or until that is read.
+    /// Starts over in a later era, whose log counts only records written in it. A leader of the
+    /// previous era may act until its lease expires, so other nodes wait for a whole lease or for a
+    /// record.
     fn enter(&mut self) {
         let lease = self.node.settings.borrow().lease;
         self.free_from = self.node.era.get().since() + lease;
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters where they are asked for.
+//! Places adapters on engines by demand.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,22 +16,23 @@
 use super::give::{Given, count, give, may_give};
 use super::{changed, desk, models, pools};
 
-/// Usual time of an adapter's way to an engine.
+/// Pause before the first check of a load, about the time that one takes.
 const FIRST_CHECK: Duration = Duration::from_millis(6);
 
-/// Longest such time: each question is an order.
+/// Longest pause between checks, each of which is a command.
 const LAST_CHECK: Duration = Duration::from_millis(100);
 
-/// Longest wait for it.
+/// Longest wait for a load.
 const LONGEST: Duration = Duration::from_millis(500);
 
-/// Longest wait until requests that use an adapter have ended; meanwhile the engine takes no other order.
+/// Longest wait for an unload, which the engine completes only after the last request with the
+/// adapter. It executes no other command meanwhile.
 const LONGEST_UNLOAD: Duration = Duration::from_millis(3_000);
 
-/// Adapters that are placed ahead of requests at a time.
+/// No adapter is placed ahead of requests while this many placements are in progress.
 const MOST_AHEAD: usize = 4;
 
-/// Places a model or an adapter that a request waits for.
+/// Places a model or an adapter that a request is waiting for.
 pub(crate) async fn want(
     node: &Node,
     wanted: &Wanted,
@@ -44,21 +45,21 @@
     if is_placed(node, wanted) {
         return Placement::Placed;
     }
-    // Its node tells of the request only with the next exchange; until then it must not look unwanted.
+    // The demand report of its node arrives later, and the adapter must not be evicted until then.
     let now = node.now();
     node.keeper.borrow_mut().demand.touch(now, wanted);
     let model = Wanted { model: wanted.model.clone(), adapter: None };
     if wanted.adapter.is_none() || !is_placed(node, &model) {
         return Placement::Coming(models::coming_in(node, &wanted.model));
     }
-    // Apart from this call: its caller may leave while an order is under way.
+    // Runs as a task of its own, because the caller may leave while a command is pending.
     let done = begin_placing(node, wanted, domain);
-    // Whether it came is seen below.
+    // The check below shows whether the adapter was loaded.
     let _ = timeout(LONGEST, done.notified()).await;
     if is_placed(node, wanted) { Placement::Placed } else { Placement::Unknown }
 }
 
-/// An engine has answered that it does not hold what the books say.
+/// Corrects the state of an engine that answered that it does not hold `wanted`.
 fn disbelieve(node: &Node, wanted: &Wanted, engine: &EngineId) {
     let mut state = node.state.borrow_mut();
     let Some(known) = state.engines.get_mut(engine).filter(|e| e.holds(wanted)) else { return };
@@ -68,7 +69,7 @@
     changed(node, engine);
 }
 
-/// Begins to place an adapter, unless that is under way; tells by what its end is known.
+/// Starts to place an adapter unless that is in progress. The result is notified at the end.
 fn begin_placing(node: &Node, wanted: &Wanted, domain: &str) -> Rc<Notify> {
     let mut keeper = node.keeper.borrow_mut();
     if let Some(under_way) = keeper.placing.get(wanted) {
@@ -87,7 +88,7 @@
     done
 }
 
-/// Places what is asked for and was dropped or never held, ahead of the next request for it.
+/// Places an adapter in demand that no engine holds, ahead of the next request for it.
 pub(super) fn step(node: &Node, service: &ServiceId) {
     let wanted = {
         let keeper = node.keeper.borrow();
@@ -109,14 +110,14 @@
 }
 
 async fn place(node: &Node, wanted: &Wanted, domain: &str) {
-    // As with models: what makes way leaves the books before the order.
+    // An evicted adapter leaves the engine's state before the command is sent.
     if !may_give(node) {
         return;
     }
     if let Some((engine, instead_of)) = choose(node, wanted, domain) {
         let turn = desk(node, &engine);
         let _turn = turn.lock().await;
-        // While it waited for its turn another order may have taken the place.
+        // Another command may have taken the place meanwhile.
         if choose_again(node, wanted, &engine, instead_of.as_ref()) {
             carry_out(node, &engine, wanted, instead_of).await;
         }
@@ -132,7 +133,7 @@
             .engines
             .of(&service)
             .filter(|e| e.takes_work() && keeper.surveyed.contains_key(&e.listed.id))
-            // One that carries out an order for a model takes no other.
+            // Engines execute one command at a time.
             .filter(|e| !keeper.pending.contains_key(&e.listed.id))
             .filter(|e| !keeper.emptying.contains(&e.listed.id))
             .collect();
@@ -144,7 +145,7 @@
     None
 }
 
-/// Whether what was chosen is still right: there is a place, or what makes way is still there.
+/// Whether the decision still holds: there is a free slot or the evicted adapter is still there.
 fn choose_again(
     node: &Node,
     wanted: &Wanted,
@@ -161,7 +162,6 @@
     known && fits.unwrap_or(false)
 }
 
-/// Logs what is to be done, with what decided it.
 fn tell(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<&Wanted>) {
     let rate = format!("{:.1}", node.keeper.borrow().demand.rate(node.now(), wanted));
     let drop = instead_of.map(Wanted::to_string).unwrap_or_default();
@@ -194,9 +194,9 @@
     done(node, engine, OrderKind::Load, wanted).await;
 }
 
-/// Gives an order until it holds; tells whether it does.
+/// Repeats a command until the engine has executed it. Returns whether it has.
 async fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) -> bool {
-    // An adapter that requests still use is dropped with the last of them.
+    // An adapter in use is unloaded after its last request.
     let longest = if kind == OrderKind::Unload { LONGEST_UNLOAD } else { LONGEST };
     let until = Instant::now() + longest;
     let mut pause = FIRST_CHECK;
@@ -210,7 +210,7 @@
         match give(node, engine, kind, wanted).await {
             Given::Holds => {
                 if kind == OrderKind::Unload && !accepted {
-                    // Dropped at once, and counted.
+                    // An unload that completes at once counts as an accepted command, too.
                     count(node, engine);
                 }
                 if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
@@ -230,7 +230,7 @@
                 sleep(pause).await;
                 pause = (pause * 2).min(LAST_CHECK);
             }
-            // As with models: what is under way there must have ended first.
+            // An unknown command is in progress, whose outcome a new survey has to find.
             Given::Conflict => break,
             Given::Lost | Given::NotSent => sleep(LAST_CHECK).await,
             Given::Superseded | Given::Refused => break,
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -1,4 +1,4 @@
-//! One order to one engine.
+//! Sends single commands to engines.
 
 use std::time::Duration;
 
@@ -13,32 +13,28 @@
 
 use super::changed;
 
-/// Longest wait for an engine's answer to an order or a question.
 const PATIENCE: Duration = Duration::from_millis(400);
 
-/// Bytes of such an answer.
 const MOST: usize = 1 << 20;
 
-/// What an engine said to an order.
+/// Result of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Given {
-    /// It is being carried out.
+    /// The engine is executing the command.
     Accepted,
-    /// It holds already.
+    /// The engine is in the wanted state.
     Holds,
-    /// Another one is under way, or the engine has accepted one that was not known of.
+    /// Another command is in progress, or the engine has accepted one that this node does not know.
     Conflict,
-    /// This node gives no orders any more.
+    /// A newer leader has taken over.
     Superseded,
-    /// The engine is another one, or refused the order for good.
+    /// The address belongs to another engine, or the engine rejected the command for good.
     Refused,
-    /// It could not be sent.
     NotSent,
-    /// No answer: it may be carried out, also late.
+    /// No answer: the engine may still execute the command.
     Lost,
 }
 
-/// Whether this node may give orders now.
 pub(super) fn may_give(node: &Node) -> bool {
     fence(node).is_some()
 }
@@ -48,7 +44,7 @@
     node.holding.borrow().fence(settings.lease, settings.engines_fence)
 }
 
-/// Gives an order, whose precondition is the number of orders that the engine is known to have accepted.
+/// Sends a command. Its precondition is the number of commands that the engine has accepted.
 pub(super) async fn give(
     node: &Node,
     engine: &EngineId,
@@ -64,7 +60,7 @@
     let given = match exchange(node, engine, &req).await {
         Exchanged::Answered(status, body) => {
             let still = node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
-            // An answer of an earlier start says nothing of this one.
+            // The engine restarted meanwhile, so the answer says nothing about its state.
             let given = if still { said(status) } else { Given::Conflict };
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
                 ("node", &holder),
@@ -120,8 +116,8 @@
     given
 }
 
-/// An engine has accepted an order. What asks whether one that is under way has been carried out is
-/// accepted too, and does not count.
+/// Counts a command that the engine accepted. The engine does not count repetitions of a command in
+/// progress.
 pub(super) fn count(node: &Node, engine: &EngineId) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         engine.orders += 1;
@@ -138,11 +134,11 @@
     }
 }
 
-/// Whether an engine that has answered carries no order out.
+/// Whether an engine has no command in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Free(pub(super) bool);
 
-/// Asks an engine what it holds, where it answers.
+/// Asks an engine for its state; none if it does not answer.
 pub(super) async fn ask(node: &Node, engine: &EngineId) -> Option<Free> {
     let addr = node.engine(engine, |e| e.listed.addr)?;
     let req = node.dialects.upstreams.ask_report(addr, engine);
@@ -159,12 +155,12 @@
     }
 }
 
-/// Takes a report in, unless it is older than what is known; tells whether it was.
+/// Takes in an engine's report unless it is outdated. Returns whether it was taken in.
 fn take_in(node: &Node, engine: &EngineId, report: Report) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(known) = state.engines.meet(engine, report.start) else { return false };
-    // Its values are some hundred milliseconds old.
+    // A command may have been accepted while the report was under way.
     if report.seq < known.orders {
         return false;
     }
@@ -175,8 +171,8 @@
     known.coming = report.coming;
     known.told = Some((report.load, now, known.own));
     known.told_at = Some(now);
-    // A node may have missed its predecessor's last word, so that what is found out is told even where it is no
-    // news here. Of thousands of engines nodes know by the list.
+    // Nodes may have missed the last change that the previous leader sent, so even unchanged state
+    // is sent to them; for a large list the engine list itself is enough.
     let tells = changes || !is_long(&state.engines);
     drop(state);
     node.look_for_starts();
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -1,4 +1,4 @@
-//! The duty of the one node that gives orders: models and adapters where they are asked for.
+//! Duties of the leader: placing models and adapters on engines by demand.
 
 mod adapters;
 mod give;
@@ -19,64 +19,65 @@
 
 pub(crate) use adapters::want;
 
-/// Time between two looks at what should be ordered.
+/// Interval between two placement plans.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Rest after a look, as a multiple of the time that it took: with thousands of engines a plan takes tens of
-/// milliseconds of a small machine, and the nodes must be answered meanwhile.
+/// Least pause after a plan, as a multiple of the time that it took. A plan for thousands of
+/// engines keeps a small machine busy, and the nodes must be answered meanwhile.
 const REST: u32 = 10;
 
-/// Engines that are asked what they hold at a time: thousands of connections at once would take a small machine
-/// seconds, in which it answers nobody.
+/// Maximum number of engines asked at a time: connecting to thousands at once would keep a small
+/// machine from answering the other nodes.
 const MOST_ASKING: usize = 64;
 
-/// How old what an engine reports may be.
+/// Largest age of the state in an engine's report.
 const REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// Leases after its claim from which a holder is alone: one before it has found out by then.
+/// Leases after the claim until the previous leader has surely noticed that it lost the lease.
 const LEASES_ALONE: Millis = 2;
 
-/// Time between two questions to an engine that carries an earlier holder's order out.
+/// Pause before an engine is asked again that executes a command of an earlier leader.
 const BUSY_CHECK: Duration = Duration::from_millis(400);
 
-/// Loads that its predecessor may have begun and not told of.
+/// Loads that the previous leader may have started without reporting them.
 const UNHEARD_LOADS: usize = 2;
 
-/// Loads from the weight store that a new holder gives while what its predecessor began still counts.
+/// Loads from the weight store allowed at first when the start times of the previous leader's loads
+/// are unknown.
 const FIRST_LOADS: usize = 1;
 
-/// The keeper's books.
+/// State of the leader.
 #[derive(Debug, Default)]
 pub(crate) struct KeeperState {
-    /// The claim that they are kept under.
+    /// Fencing token of the claim that this state belongs to.
     fence: u64,
-    /// When the duty was taken up.
+    /// Time of the claim.
     begun: Millis,
     demand: Demand,
     ceiling: Ceiling,
     pending: Pending,
-    /// Engines that load a model, and when that is probably done.
+    /// Engines that are loading a model, and the expected end of the load.
     loading: IndexMap<EngineId, Millis>,
-    /// Engines whose state was asked for under this claim, and the start that this holds for.
+    /// Engines that reported their state to this leader, and their start at that time.
     surveyed: IndexMap<EngineId, Start>,
-    /// Engines that were met under this claim, and the start in which they were.
+    /// Engines seen by this leader, and their start at that time.
     met: IndexMap<EngineId, Start>,
-    /// Engines that are being asked, or soon will.
+    /// Engines with a survey in progress.
     surveying: IndexSet<EngineId>,
     asking: Rc<Asking>,
-    /// Engines that wait for requests to end before they drop an adapter.
+    /// Engines that wait for requests to end before they unload an adapter.
     emptying: IndexSet<EngineId>,
-    /// One order at a time for each engine.
+    /// Serialize the commands to each engine.
     desks: IndexMap<EngineId, Rc<Mutex<()>>>,
-    /// Adapters that are being placed.
+    /// Notified when the placement of an adapter has ended.
     placing: IndexMap<Wanted, Rc<Notify>>,
-    /// Nodes that have told what they had been asked for before they knew of these books.
+    /// Nodes that have reported their earlier demand to this leader.
     introduced: IndexSet<SocketAddr>,
-    /// As far as the list was told.
+    /// Position of the last change in the engine list that nodes were notified of.
     list_told: ListPlace,
 }
 
-/// Bounds how many engines are asked at a time.
+/// Bounds the number of engines asked at a time.
 #[derive(Debug)]
 struct Asking(Semaphore);
 
@@ -86,14 +87,14 @@
     }
 }
 
-/// Takes the duty up under a new claim.
+/// Starts the leader's work under a new claim.
 pub(crate) fn begin(node: &Node, fence: u64, predecessor: Option<u64>) {
     let now = node.now();
     let begun = begun_under(node, predecessor);
     let mut keeper = KeeperState { fence, begun: now, ..KeeperState::default() };
     {
         let mut state = node.state.borrow_mut();
-        // What this node was asked for and has told nobody yet is in its own count.
+        // The demand below includes these counts.
         state.asked.clear();
         keeper.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
     }
@@ -107,15 +108,16 @@
     tokio::task::spawn_local(run(Rc::clone(node), fence));
 }
 
-/// Goes on under another claim of this node: nobody else gave orders between the two.
+/// Continues under a new claim of the same leader, with no other leader in between.
 pub(crate) fn go_on(node: &Node, fence: u64) {
     node.keeper.borrow_mut().fence = fence;
     tokio::task::spawn_local(run(Rc::clone(node), fence));
-    // Those that ask this node give its old number, and are turned away until they hear of the new one.
+    // Nodes send the old token, and are refused, until they receive the new one.
     node.news.notify_waiters();
 }
 
-/// When loads from the weight store began under a claim, where its holder told this node, or was this node.
+/// Start times of loads from the weight store under a claim, if this node led then or was told of
+/// them.
 fn begun_under(node: &Node, claim: Option<u64>) -> Option<Vec<Millis>> {
     let claim = claim?;
     let keeper = node.keeper.borrow();
@@ -127,7 +129,8 @@
     told.filter(|(fence, _)| *fence == claim).map(|(_, begun)| begun)
 }
 
-/// A load from the weight store begins; the nodes are told at once, as one of them may be the successor.
+/// Counts a load from the weight store. Nodes are notified at once, because one of them may be the
+/// next leader.
 fn begin_load(node: &Node) {
     node.keeper.borrow_mut().ceiling.begin(node.now());
     node.news.notify_waiters();
@@ -147,7 +150,7 @@
     }
 }
 
-/// Asks engines that are new under this claim what they hold.
+/// Surveys the engines whose state is not known under this claim.
 fn survey(node: &Node) {
     let services: Vec<_> = pools(node).into_iter().map(|(service, _)| service).collect();
     let state = node.state.borrow();
@@ -173,7 +176,7 @@
     }
 }
 
-/// Asks an engine until no order that an earlier holder gave can be under way unseen.
+/// Polls an engine until it has no command of an earlier leader in progress.
 async fn survey_one(node: &Node, id: &EngineId) {
     let fence = node.keeper.borrow().fence;
     if !is_new(node, id) {
@@ -199,8 +202,8 @@
     node.keeper.borrow_mut().surveying.shift_remove(id);
 }
 
-/// Whether an engine has started so long after this node's claim that nobody before it can have given it an order: an
-/// engine that comes back empty takes its first order so much sooner.
+/// Whether an engine started so long after the claim that no earlier leader can have sent it a
+/// command. Such an engine is surveyed at once.
 fn is_new(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
     let Some(start) = node.engine(id, |e| e.listed.start) else { return false };
@@ -210,7 +213,7 @@
     held_for > LEASES_ALONE * lease && known != Some(start)
 }
 
-/// Services whose engines hold models.
+/// Services whose engines load models on demand.
 fn pools(node: &Node) -> Vec<(hgw_direct::ServiceId, Pool)> {
     let state = node.state.borrow();
     let Some(catalog) = &state.catalog else { return Vec::new() };
@@ -228,12 +231,12 @@
     Rc::clone(keeper.desks.entry(engine.clone()).or_default())
 }
 
-/// A configuration has come into force here.
+/// Notifies nodes that poll this one of a new configuration.
 pub(crate) fn catalog_changed(node: &Node) {
     node.news.notify_waiters();
 }
 
-/// Takes in what a node was asked for.
+/// Adds the demand that a node reported.
 pub(crate) fn asked(node: &Node, asked: &[Asked]) {
     let now = node.now();
     let mut keeper = node.keeper.borrow_mut();
@@ -243,7 +246,7 @@
     }
 }
 
-/// Goes on from what a node was asked for before it knew of this keeper.
+/// Adds the demand that a node saw before it knew this leader.
 pub(crate) fn counted_before(node: &Node, from: SocketAddr, past: &CountedBefore) {
     let now = node.now();
     if !node.keeper.borrow_mut().introduced.insert(from) {
@@ -253,7 +256,7 @@
     node.keeper.borrow_mut().demand.go_on_from(now, since, &past.models);
 }
 
-/// Tells those who wait where the list of engines has changed.
+/// Notifies waiting nodes if the engine list has changed.
 pub(crate) fn look_at_list(node: &Node) {
     let Some(place) = node.state.borrow().list_at else { return };
     node.listed_to(place, ListedBy::Known);
@@ -265,12 +268,12 @@
     }
 }
 
-/// How long ago loads from the weight store began that this node gave.
+/// Ages in milliseconds of the loads from the weight store that this leader started.
 pub(crate) fn begun_ages(node: &Node) -> Vec<u64> {
     node.keeper.borrow().ceiling.ages(node.now())
 }
 
-/// What the engines that hold something hold.
+/// Contents of the engines that hold `wanted`.
 pub(crate) fn told_of(node: &Node, wanted: &Wanted) -> Vec<Told> {
     let state = node.state.borrow();
     let holders = state.engines.iter().filter(|e| e.holds(wanted));
@@ -279,7 +282,6 @@
     ids.iter().filter_map(|id| told(node, id)).collect()
 }
 
-/// What an engine holds.
 pub(crate) fn told(node: &Node, id: &EngineId) -> Option<Told> {
     node.engine(id, |e| Told {
         engine: id.clone(),
@@ -289,7 +291,7 @@
     })
 }
 
-/// What an engine holds has changed.
+/// Announces that an engine holds something else.
 fn changed(node: &Node, engine: &EngineId) {
     let now = node.now();
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -1,4 +1,4 @@
-//! Models where demand is.
+//! Places models on engines by demand.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,34 +14,36 @@
 use super::give::{Given, count, give, may_give};
 use super::{begin_load, ceiling_limits, changed, desk, pools};
 
-/// Time between two questions whether an order has been carried out.
+/// Interval at which a command in progress is checked.
 const DONE_CHECK: Duration = Duration::from_millis(200);
 
-/// Longest wait for an order beyond its usual time, as a multiple of it: many loads at once take longer.
+/// Longest wait for a load, as a multiple of its usual time, which concurrent loads exceed.
 const SLOWEST: u32 = 4;
 
-/// Longest time that an engine takes to drop a model whose requests still run.
+/// Longest wait for an unload, which ends only after the requests for the model.
 const UNLOAD: Duration = Duration::from_secs(20);
 
-/// Time between the word that a model goes and the order: requests on their way arrive before it.
+/// Delay between the announcement of an unload and the command, in which requests under way to the
+/// engine arrive.
 const WORD_AHEAD: Duration = Duration::from_millis(120);
 
-/// Engines that make room at a time: what is dropped before its successor may be loaded is missed.
+/// Maximum number of engines that evict models for a load at a time, because the evicted copies are
+/// missing until the load ends.
 const MOST_MAKING_ROOM: usize = 4;
 
-/// Time for which demand is seen before a copy is dropped for want of it.
+/// Time for which demand must be known before a spare copy is evicted.
 const SEEN_FOR: Duration = Duration::from_millis(2_500);
 
-/// Time after a takeover within which the nodes tell what they have counted before.
+/// Time in which nodes report their earlier demand to a new leader.
 const NODES_TELL: Duration = Duration::from_millis(800);
 
-/// Time between two looks whether the weight store takes another load.
+/// Interval at which a pending load checks the rate limit of the weight store.
 const CEILING_CHECK: Duration = Duration::from_millis(50);
 
-/// Begins what helps most, as far as the weight store takes loads.
+/// Starts the most useful loads that the rate limit of the weight store allows.
 pub(super) fn step(node: &Node, service: &ServiceId, pool: &Pool) {
-    // What makes way leaves the books before the order. Where none may be given, as the claim could not be renewed,
-    // nothing would be dropped, and nobody would be sent to a copy that is there.
+    // A step removes evicted models from the engine's state before the command. Without permission
+    // to send the command the model would stay loaded and get no requests.
     while may_give(node) {
         let now = node.now();
         let mut keeper = node.keeper.borrow_mut();
@@ -55,13 +57,13 @@
             drop: told && seen_for >= SEEN_FOR.as_millis() as u64,
         };
         let state = node.state.borrow();
-        // What engines hold that cannot be reached is nowhere, long before their entries lapse.
+        // Copies on unreachable engines do not count, although their entries have not expired yet.
         let engines = state.engines.of(service).filter(|e| e.takes_work());
         let engines: Vec<&Engine> = engines.filter(|e| !e.judge.is_dark(now)).collect();
         let rates = keeper.demand.rates(now);
         let mut taken = keeper.pending.clone();
         for engine in engines.iter().filter(|e| !keeper.surveyed.contains_key(&e.listed.id)) {
-            // What it holds counts, but what else is under way there is not known yet.
+            // The models that it holds count, but it may have an unknown command in progress.
             taken.entry(engine.listed.id.clone()).or_default();
         }
         let step = next_model_step(&engines, pool, &rates, &taken, allowed, now);
@@ -82,7 +84,6 @@
     }
 }
 
-/// Logs what is to be done, with what decided it.
 fn tell(node: &Node, step: &ModelStep, engines: &[&Engine], rates: &Rates) {
     let copies = |model: &str| engines.iter().filter(|e| e.holds_model(model)).count().to_string();
     let rate = |model: &str| format!("{:.1}", rates.of_model(model));
@@ -105,7 +106,7 @@
     );
 }
 
-/// Makes room at an engine and has a model loaded there.
+/// Evicts models from an engine as planned and has another loaded there.
 async fn put(node: &Node, pool: &Pool, step: ModelStep) {
     let ModelStep { engine, drop, load, source } = step;
     for model in drop {
@@ -126,7 +127,7 @@
     carry_out(node, &engine, OrderKind::Load, &wanted, usual).await;
 }
 
-/// Milliseconds until a model that is nowhere is probably there.
+/// Estimated time in milliseconds until an engine holds the model.
 pub(super) fn coming_in(node: &Node, model: &str) -> u64 {
     let usual = pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
     let usual = usual.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
@@ -139,7 +140,7 @@
     }
 }
 
-/// Gives an order until it holds; tells whether it does.
+/// Repeats a command until the engine has executed it. Returns whether it has.
 async fn carry_out(
     node: &Node,
     engine: &EngineId,
@@ -150,7 +151,7 @@
     let turn = desk(node, engine);
     let Some(start) = node.engine(engine, |e| e.listed.start) else { return false };
     if kind == OrderKind::Unload {
-        // Nobody sends to it any more.
+        // Requests are sent elsewhere from now on.
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
             engine.drop_held(wanted);
         }
@@ -179,8 +180,8 @@
                 sleep_while(node, engine, start, pause).await;
             }
             Given::Conflict if accepted => sleep(DONE_CHECK).await,
-            // An earlier holder's order is under way or was not known of. What it will hold is not known
-            // until that has ended: an order on top could be more than it has room for.
+            // An unknown command is in progress. A load before its outcome is known could exceed
+            // the engine's memory.
             Given::Conflict => break,
             Given::NotSent | Given::Lost => sleep(DONE_CHECK).await,
             Given::Superseded | Given::Refused => break,
@@ -189,17 +190,17 @@
             changed(node, engine);
         }
     }
-    // What became of it is not known.
+    // The outcome is unknown, so the engine has to be surveyed again.
     node.keeper.borrow_mut().surveyed.shift_remove(engine);
     false
 }
 
-/// Whether an engine has not started anew: an order given before tells nothing of what it holds now.
+/// Whether an engine has not restarted since `start`. A restart voids earlier commands.
 fn is_still(node: &Node, engine: &EngineId, start: Start) -> bool {
     node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false)
 }
 
-/// Sleeps, but not for an engine that starts anew meanwhile.
+/// Sleeps for `pause`, or until the engine restarts.
 async fn sleep_while(node: &Node, engine: &EngineId, start: Start, pause: Duration) {
     let until = Instant::now() + pause;
     while Instant::now() < until {
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -72,7 +72,7 @@
             processor: settings.processor,
         }
     };
-    let entry = serde_json::to_vec(&me).expect("a member can be written as JSON");
+    let entry = serde_json::to_vec(&me).expect("a member is valid JSON");
     node.dialects.store.announce(&me.node, entry.into()).await.is_ok()
 }
 
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/dark.rs
@@ -1,8 +1,7 @@
-//! Engines that cannot be reached, as one node finds out and its domain knows.
+//! Shares which engines are unreachable within a failure domain.
 //!
-//! Load: 36 of 93 engines are lost within three seconds, and each of 195 nodes finds out about each of them by itself:
-//! 11,330 tries that found no connection, a third of a second each where the engine's machine is gone. Told by the first
-//! that found out, the others leave it alone at once, and one node of the domain looks whether it is back.
+//! The first node that cannot reach an engine reports it to its hub. The hub tells the other nodes
+//! and probes the engine, so that they need not each time out on a lost engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,18 +20,18 @@
 use super::flights::{circle, relation};
 use super::sends::Word;
 
-/// Time for which an engine that cannot be reached is left alone on the word of another node. Its head says so again
-/// while it finds it so; a head that ends says nothing more.
+/// Time for which a node believes a report. The hub repeats it while the engine stays unreachable,
+/// so reports end with the hub.
 const DARK_FOR: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks of the head whether it is back: so much later its work comes back to it.
+/// Interval at which the hub probes an unreachable engine.
 const LOOK: Duration = Duration::from_millis(300);
 
-/// An engine that this node has heard within this time is not dark, whatever others say: their own machine is slow, or
-/// their way there is cut.
+/// A node that heard an engine within this time ignores such reports, because the problem is on the
+/// reporter's side.
 const HEARD_LATELY: Millis = 400;
 
-/// An engine could not be reached, or was silent on all connections: the head of this node's domain is told.
+/// Reports to the hub that an engine refused a connection or was silent on all of them.
 pub(crate) fn lost(node: &Node, key: EngineKey) {
     if tells_sends(node.state.borrow().nodes) {
         return;
@@ -45,15 +44,15 @@
     }
 }
 
-/// Another node says that an engine cannot be reached. What comes from elsewhere changes nothing.
+/// Handles a report from a node that polls this one; others are ignored.
 pub(super) fn take_in_lost(node: &Node, from: SocketAddr, key: EngineKey) {
     if relation(node, from) == Relation::Child {
         watch(node, key);
     }
 }
 
-/// A head says that an engine cannot be reached from its domain, or can be again. Another domain believes it of the
-/// engines that stand in that one: from anywhere else the way there may be cut.
+/// Handles a hub's report that an engine is unreachable or back. Reports from other domains count
+/// only for engines in the reporting domain, because the link between the domains may be at fault.
 pub(super) fn take_in_dark(
     node: &Node,
     from: SocketAddr,
@@ -66,7 +65,7 @@
         return;
     }
     match relation(node, from) {
-        // One of its nodes hears an engine that this one holds for dark.
+        // A node behind this hub hears an engine that the hub believes unreachable.
         Relation::Child if !dark => tell(node, key, false),
         Relation::Child | Relation::Stranger => {}
         relation => {
@@ -79,7 +78,7 @@
     }
 }
 
-/// Tells the domain that an engine cannot be reached, and looks until it can.
+/// Reports an engine unreachable and probes it until it is back.
 fn watch(node: &Node, key: EngineKey) {
     if !node.watched.borrow_mut().insert(key) {
         return;
@@ -95,7 +94,7 @@
     loop {
         let Some(addr) = addr_of(node, key) else { return };
         tell(node, key, true);
-        // One that is lost refuses at once or takes all the time that there is for a connection.
+        // A lost engine refuses the connection at once, or the attempt times out.
         if Conn::connect(addr, node.connect_limits()).await.is_ok() {
             tell(node, key, false);
             return;
@@ -108,7 +107,8 @@
     node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.addr)
 }
 
-/// Believes it, and tells those that ask this node, and the other heads.
+/// Updates this node, the nodes behind it and the other hubs, unless this node has just heard the
+/// engine.
 fn tell(node: &Node, key: EngineKey, dark: bool) {
     if !believe(node, key, dark) {
         return;
@@ -118,7 +118,6 @@
     node.sends.tell_to(circle.heads.iter(), &word(node, key, dark));
 }
 
-/// The failure domain of an engine.
 fn domain_of(node: &Node, key: EngineKey) -> Option<String> {
     node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.domain.clone())
 }
@@ -132,7 +131,8 @@
     if dark { Word::Dark(key, domain) } else { Word::Back(key, domain) }
 }
 
-/// Takes in that an engine is dark, or back; tells whether it agrees with what this node has heard itself.
+/// Updates the state of an engine. Returns false if the report contradicts what this node has just
+/// heard.
 fn believe(node: &Node, key: EngineKey, dark: bool) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Demand against placement, again and again with the node that tells this one what is new.
+//! Polls the leader or a hub for updates, and reports demand and loads to it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 use super::placements::Heard;
 use super::{NEWS_WAIT, NO_KEEPER, PATIENCE, Unanswered, ask};
 
-/// Least time between two exchanges: what changes within it is told at once.
+/// Least pause between polls. Updates during a poll are returned at once.
 const EXCHANGE_LEAST: Duration = Duration::from_millis(40);
 
-/// Exchanges demand against placement with the keeper, or with the head of this node's domain, until the process ends.
+/// Polls the leader or the hub of this node's domain until the process ends.
 pub(crate) async fn exchange(node: Node) {
     let mut asking = Asking::default();
     loop {
@@ -45,26 +45,27 @@
     }
 }
 
-/// How far the exchange has come.
+/// State kept between polls.
 #[derive(Debug, Default)]
 struct Asking {
-    /// The keeper that knows what this node was asked for before.
+    /// Fencing token of the leader that has received this node's earlier demand.
     introduced: Option<u64>,
     heard: Heard,
-    /// When loads were told last.
+    /// Time up to which loads were reported.
     told: Millis,
     links: IndexMap<SocketAddr, PeerLink>,
 }
 
 impl Asking {
-    /// Asks once; gives how many nodes ask the one that answered.
+    /// Polls once. Returns the number of nodes that poll the same node, or none if it did not
+    /// answer.
     async fn ask(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
         let fence = node.holding.borrow().keeper.as_ref().map_or(0, |k| k.fence);
         let mut asked = take_asked(node);
         let introduces = parent == Parent::Holder && self.introduced != Some(fence);
         let past = introduces.then(|| counted_before(node));
         if introduces {
-            // It is in there.
+            // The earlier demand includes these counts.
             asked.clear();
         }
         let tell = self.tell(node, asked, past);
@@ -74,7 +75,8 @@
             Ok(news) => news,
             Err(why) => {
                 self.is_silent(node, parent, addr);
-                // Who gives the orders no more says so at once; its successor need not wait until its word is old.
+                // A node that no longer leads refuses at once, so its successor need not wait until
+                // its updates are too old.
                 node.keeper_refuses.set(parent == Parent::Holder && why == Unanswered::Refused);
                 give_back(node, tell.asked);
                 return None;
@@ -102,7 +104,7 @@
     fn tell(&self, node: &Node, asked: Vec<Asked>, past: Option<CountedBefore>) -> Tell {
         let (catalog, list) = {
             let state = node.state.borrow();
-            // A node that has none asks for all of it.
+            // Version 0 requests the whole configuration.
             (state.catalog.as_ref().map_or(0, |c| c.version), state.list_at.unwrap_or_default())
         };
         let settings = node.settings.borrow();
@@ -130,13 +132,13 @@
     }
 }
 
-/// Age from which the word of another node is no news. Two more may be asked before this node reads for itself, as one
-/// whose domain has a head: it may be turned away by the store, too.
+/// Age from which the answer of another node counts as stale. It is short enough to poll two more
+/// nodes before this one reads from the store.
 fn longest_age(node: &Node) -> Millis {
     node.settings.borrow().followed_for(false).as_millis() as Millis
 }
 
-/// Takes in the answer to a question of this time.
+/// Takes in the answer to a poll that was sent at `asked_at`.
 fn take_in_news(node: &Node, asked_at: Millis, news: News) {
     let arrived = node.now();
     eras::hear(node, news.era);
@@ -149,7 +151,7 @@
         node.heads.borrow_mut().know(heads);
     }
     take_in_list(node, news.list);
-    // By the time of the question: the answer may have been long on its way.
+    // Counted from the request, because the answer may have been delayed on its way.
     node.followed((asked_at + news.held_ms).saturating_sub(news.age_ms));
     take_in(node, news.engines);
     take_in_loads(node, &news.loads);
@@ -165,7 +167,7 @@
     }
 }
 
-/// Whether a node answers, logged when it changes.
+/// Tracks whether a node answers and logs changes.
 #[derive(Debug, Default)]
 struct PeerLink {
     silent: bool,
@@ -191,7 +193,7 @@
     }
 }
 
-/// The name of the node at an address, as far as it is known.
+/// Name of the node at `addr`, or the address if the name is unknown.
 fn name_of(node: &Node, addr: SocketAddr) -> String {
     let holding = node.holding.borrow();
     let keeper = holding.keeper.as_ref().filter(|k| k.addr == addr).map(|k| k.node.clone());
--- a/crates/gateway/src/peers/flights.rs
+++ b/crates/gateway/src/peers/flights.rs
@@ -1,7 +1,8 @@
-//! What is at engines, told in sums: each node tells the head of its domain, heads tell each other the sums of their
-//! domains, and their nodes what is there in all.
+//! Exchanges in-flight requests per engine as sums: nodes report theirs to the hub of their domain,
+//! hubs exchange the sums of their domains, and send their nodes the totals.
 //!
-//! Nobody waits for a word: a node that hears none chooses by the loads that answers tell.
+//! The reports are datagrams that nobody waits for. Without them a node uses the loads that engines
+//! report in their answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,17 +18,18 @@
 
 use super::sends::Word;
 
-/// Time between two words. On its way through two heads what is sent is known everywhere within a tenth of a second, in
-/// which one engine in nine gets a request.
+/// Interval between reports. A request is known to all nodes after three reports.
 const TICK: Duration = Duration::from_millis(40);
 
-/// The same where there are so few nodes that each tells all others of each request.
+/// Interval at which a node checks whether sums are needed. Few nodes broadcast each request
+/// instead.
 const IDLE: Duration = Duration::from_millis(500);
 
-/// Heads that tell each other. While more nodes ask the keeper itself, as at the start, nobody tells anything.
+/// Maximum number of hubs that exchange sums. It is exceeded while many nodes poll the leader
+/// itself, as at the start.
 const MOST_HEADS: usize = 40;
 
-/// The nodes that this one listens to, and those that it tells.
+/// Nodes that this one exchanges sums with.
 pub(super) fn circle(node: &Node) -> Circle {
     let (me, view) = (node.settings.borrow().peers, View::of(node));
     let is = |relation| move |addr: &SocketAddr| view.relation(node, *addr) == relation;
@@ -37,11 +39,11 @@
     Circle { head: view.head, heads, children }
 }
 
-/// By what a node tells what others are to it.
+/// What a node knows when it classifies other nodes.
 #[derive(Debug, Clone, Copy)]
 struct View {
     head: Option<SocketAddr>,
-    /// Whether it is one of the heads that tell each other.
+    /// Whether this node exchanges sums with other hubs.
     tells_heads: bool,
 }
 
@@ -69,12 +71,11 @@
     }
 }
 
-/// What another node is to this one.
 pub(super) fn relation(node: &Node, other: SocketAddr) -> Relation {
     View::of(node).relation(node, other)
 }
 
-/// Tells other nodes what is at engines, until the process ends.
+/// Sends in-flight sums to other nodes until the process ends.
 pub(crate) async fn tell(node: Node) {
     loop {
         if tells_sends(node.state.borrow().nodes) || node.state.borrow().nodes < 2 {
@@ -97,8 +98,8 @@
     apply_to_all(node);
 }
 
-/// The keeper names those that ask it to each other: they are the heads. The nodes of the domain that it was the head of
-/// ask it once more before they know that it is the keeper.
+/// Makes the leader publish the nodes that poll it as the hubs. Nodes of its own domain may poll it
+/// until they learn that their hub became the leader, so they are left out.
 fn know_heads(node: &Node) {
     let members = node.members.borrow();
     let mut by_domain = IndexMap::new();
@@ -116,15 +117,15 @@
     node.sends.know(heads);
 }
 
-/// What this node has at engines.
+/// In-flight requests of this node.
 fn own(node: &Node) -> IndexMap<EngineKey, Flight> {
     let state = node.state.borrow();
     let used = state.engines.iter().filter(|e| e.own > 0);
     used.map(|e| (e.key(), e.own_flight())).collect()
 }
 
-/// Another node tells. What comes from elsewhere changes nothing: only those count that ask this node or that it asks,
-/// and heads that the keeper has named.
+/// Takes in a report. Only nodes that poll this one, its own hub, and hubs that the leader
+/// published are trusted.
 pub(super) fn take_in(node: &Node, from: SocketAddr, scope: Scope, told: &Told) {
     let mut sums = node.sums.borrow_mut();
     let concerned = sums.take(from, relation(node, from), scope, told, node.now());
--- a/crates/gateway/src/peers/heard.rs
+++ b/crates/gateway/src/peers/heard.rs
@@ -1,4 +1,4 @@
-//! Loads of engines that any node heard of.
+//! Exchanges the loads that engines report in their answers.
 
 use hgw_direct::{Engine, Load};
 
@@ -6,14 +6,15 @@
 
 use super::message::{Asked, HeardLoad};
 
-/// Age up to which a load is passed on.
+/// Largest age of a load that is passed on, in milliseconds.
 const HEARD_FOR: u64 = 1_500;
 
-/// Loads that are told at a time: told of all engines to all nodes, they would grow with both.
+/// Maximum number of loads per message, whose total size would otherwise grow with engines and
+/// nodes.
 const MOST_LOADS: usize = 64;
 
-/// Loads that were heard of since a time, with their age: of engines that hold one of these models, or of any. Nothing
-/// where nodes tell each other what they have at engines.
+/// Loads received since `since`, optionally only of engines that hold one of the models. Empty
+/// while nodes exchange in-flight sums.
 pub(crate) fn heard_since(node: &Node, since: u64, models: Option<&[Asked]>) -> Vec<HeardLoad> {
     if node.sums.borrow().are_fresh() {
         return Vec::new();
@@ -34,7 +35,6 @@
     heard.collect()
 }
 
-/// Takes in what another node heard of.
 pub(super) fn take_in_loads(node: &Node, loads: &[HeardLoad]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -1,4 +1,4 @@
-//! What the keeper tells of engines: the list, and what they hold.
+//! Takes in the engine list and the held models that other nodes send.
 
 use hgw_direct::{AtHand, Engines, ListNews, ListPart, Listed, Passed, Standing};
 
@@ -6,7 +6,7 @@
 
 use super::message::Told;
 
-/// Takes the list of engines in that another node tells.
+/// Updates the engine list.
 pub(super) fn take_in_list(node: &Node, news: ListNews) {
     let mut state = node.state.borrow_mut();
     if news.part == ListPart::Unknown {
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -8,18 +8,18 @@
 
 use super::placements::Heard;
 
-/// What an engine holds, as the keeper knows it.
+/// Models that an engine holds, as the leader knows them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Told {
     pub(crate) engine: EngineId,
-    /// The start of it that this holds for.
+    /// Start of the engine that the entry refers to.
     pub(crate) start: Start,
-    /// Orders that it has accepted.
+    /// Number of commands that the engine has accepted.
     pub(crate) orders: u64,
     pub(crate) held: Vec<Held>,
 }
 
-/// How often something was asked for since the last exchange.
+/// Requests for a model or an adapter since the last exchange.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Asked {
     pub(crate) model: String,
@@ -27,83 +27,82 @@
     pub(crate) count: f64,
 }
 
-/// What a node tells the keeper.
+/// A poll: reports to the leader or a hub and asks for updates.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Tell {
-    /// Where other nodes reach it.
+    /// Peer address of the sender.
     pub(crate) from: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the sender.
     pub(crate) domain: String,
-    /// How far it has heard of what engines hold, by the node that it asks.
+    /// Position in the receiver's changes of held models.
     pub(crate) heard: Heard,
-    /// How far its list of engines goes; the first place where it has none.
+    /// Position of the sender's engine list; the default without a list.
     pub(crate) list: ListPlace,
-    /// The era of the store that it knows, and for how long that has lasted, in milliseconds; nothing in the first.
+    /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
-    /// The configuration that it has.
+    /// Version of the sender's configuration.
     pub(crate) catalog: u64,
-    /// Loads that it heard of since the last exchange.
+    /// Loads received since the last exchange.
     pub(crate) loads: Vec<HeardLoad>,
     pub(crate) asked: Vec<Asked>,
-    /// In the first exchange with a keeper: what the node has counted before.
+    /// Demand before the first exchange with this leader.
     pub(crate) past: Option<CountedBefore>,
-    /// Digest of the nodes' addresses that it knows.
+    /// Digest of the peer addresses that the sender knows.
     pub(crate) others: u64,
-    /// Digest of the nodes that it knows to pass on to its domain.
+    /// Digest of the hub candidates that the sender knows.
     pub(crate) heads: u64,
 }
 
-/// What a node has been asked for before it knew the keeper.
+/// Demand that a node saw before it knew the leader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct CountedBefore {
-    /// For how long it has counted, if there was anything.
+    /// Milliseconds since the first request; none without one.
     pub(crate) for_ms: Option<u64>,
     pub(crate) models: Vec<Past>,
 }
 
-/// What the keeper tells, or a node that passes it on.
+/// Answer of the leader or a hub to a poll.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct News {
-    /// The newest keeper that the node which answers knows of.
+    /// Newest leader known to the answering node.
     pub(crate) keeper: Option<Keeper>,
     pub(crate) heard: Heard,
     pub(crate) engines: Vec<Told>,
-    /// The list of engines.
     pub(crate) list: ListNews,
-    /// The era of the store that it knows, and for how long that has lasted, in milliseconds; nothing in the first.
+    /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
-    /// The newest configuration.
+    /// Version of the answering node's configuration.
     pub(crate) catalog: u64,
-    /// Age of what the node which answers has of the store.
+    /// Age of the answering node's copy of the store data.
     pub(crate) age_ms: u64,
-    /// Time for which it held this answer back.
+    /// Time that the poll waited for an update.
     pub(crate) held_ms: u64,
-    /// Nodes that share budgets and connections.
+    /// Number of nodes that share budgets and connections.
     pub(crate) nodes: u32,
-    /// Their addresses, where the node has others.
+    /// Their peer addresses, if the poll's digest differs.
     pub(crate) others: Option<Vec<SocketAddr>>,
-    /// The nodes that pass on to the domain of the one that asks, where it knows others.
+    /// Hub candidates of the sender's domain, if the poll's digest differs.
     pub(crate) heads: Option<Vec<Member>>,
-    /// How many nodes ask the one that answers.
+    /// Number of nodes that poll the answering node.
     pub(crate) children: u32,
-    /// Where the claim's log ended after the holder's last renewal, and how long ago that was sent.
+    /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
     pub(crate) renewed: Option<(Cursor, u64)>,
-    /// How long ago loads from the weight store began, by service, in milliseconds: a successor goes on from there.
+    /// Ages of the loads from the weight store, in milliseconds, for a successor's rate limit.
     pub(crate) begun: Vec<u64>,
-    /// Loads that any node heard of lately.
     pub(crate) loads: Vec<HeardLoad>,
-    /// A version of the configuration that none followed, and how long ago the store was asked, in milliseconds.
+    /// Configuration version last known to be the newest, and the age of that proof in
+    /// milliseconds.
     #[serde(default)]
     pub(crate) proof: Option<(u64, u64)>,
-    /// A version, and how far in the store's log there is no newer one: a node that was told the text reads on from there.
+    /// Configuration version and the log position up to which there is no newer one.
     #[serde(default)]
     pub(crate) catalog_at: Option<(u64, Cursor)>,
 }
 
-/// The load of an engine, as somebody heard of it: its start, the requests that ran and waited there, and its age in
-/// milliseconds. Written without names: there is one for each engine in each exchange.
+/// Load of an engine: id, start, running requests, waiting requests, and age in milliseconds. A
+/// tuple, to keep messages with many loads small.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HeardLoad(
     pub(super) EngineId,
@@ -113,32 +112,31 @@
     pub(super) u64,
 );
 
-/// Asks the keeper for a model or an adapter.
+/// Asks the leader to place a model or an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Want {
     pub(crate) fence: u64,
     pub(crate) model: String,
     pub(crate) adapter: Option<String>,
     pub(crate) domain: String,
-    /// An engine that was said to hold it and answered that it does not.
+    /// Engine that was listed as holding it and answered that it does not.
     pub(crate) refuted: Option<EngineId>,
 }
 
-/// The keeper's answer.
+/// The leader's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Wish {
     pub(crate) placement: Placement,
     pub(crate) engines: Vec<Told>,
 }
 
-/// Whether something is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Placement {
-    /// It is, now.
+    /// An engine holds it now.
     Placed,
-    /// It is on its way, for so many more milliseconds.
+    /// It is being loaded, for about this many milliseconds.
     Coming(u64),
-    /// The keeper cannot tell, or there is none.
+    /// The leader cannot tell, or there is none.
     Unknown,
 }
 
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other: what is asked for, and what the engines hold.
+//! Communication between nodes: polls for updates, placement requests and load reports.
 
 mod children;
 mod dark;
@@ -43,22 +43,21 @@
 pub(crate) use placements::Placements;
 pub(crate) use sends::{Sends, Word, listen};
 
-/// Longest that the keeper holds an answer back for want of news.
+/// Longest time that a poll waits for an update.
 const NEWS_WAIT: Duration = Duration::from_millis(400);
 
-/// Longest wait for the keeper beyond that.
+/// Timeout for an answer, beyond the time that a poll waits.
 const PATIENCE: Duration = Duration::from_millis(600);
 
-/// Longest wait for the placement of an adapter or the word that a model is coming.
+/// Timeout of a placement request, during which an adapter may be loaded.
 const WANT_PATIENCE: Duration = Duration::from_millis(600);
 
-/// Pause while no keeper is known or it does not answer.
+/// Pause while no leader is known or the polled node does not answer.
 const NO_KEEPER: Duration = Duration::from_millis(150);
 
-/// Bytes of a message.
 const MOST: usize = 1 << 20;
 
-/// Asks that a model or an adapter be placed.
+/// Asks the leader to place a model or an adapter.
 pub(crate) async fn want(node: &Node, wanted: &Wanted, refuted: Option<&EngineId>) -> Placement {
     let keeper = node.holding.borrow().keeper.clone();
     let domain = node.settings.borrow().domain.clone();
@@ -82,15 +81,15 @@
     }
 }
 
-/// The text of the configuration of the node that this one asks for what is new.
+/// Fetches the configuration from the node that this one polls.
 pub(crate) async fn catalog(node: &Node) -> Option<Bytes> {
     let (_, addr) = node.parent()?;
     let req = Request::post("/catalog", "peer", Bytes::new());
     exchange_once(node, addr, &req, PATIENCE).await.ok().filter(|text| !text.is_empty())
 }
 
-/// Takes the configuration of a node that asks this one and has a newer one: the store may have lost that, and this node
-/// may have started since.
+/// Fetches a newer configuration from a node that polls this one. The store may have lost that
+/// version in a restore, and this node may have started since.
 fn take_catalog(node: &Node, from: SocketAddr, newest: u64) {
     if newest <= news::version(node) || node.takes_catalog.replace(true) {
         return;
@@ -98,7 +97,7 @@
     let node = Node::clone(node);
     tokio::task::spawn_local(async move {
         let req = Request::post("/catalog", "peer", Bytes::new());
-        // Where it does not answer, its next question comes soon.
+        // After a failure the next poll of that node tries again.
         if let Ok(text) = exchange_once(&node, from, &req, PATIENCE).await {
             follow::adopt(&node, text);
         }
@@ -106,7 +105,7 @@
     });
 }
 
-/// A node that passes on does not answer: the next is asked for a while.
+/// Makes this node poll another hub for a while.
 pub(crate) fn is_silent(node: &Node, head: SocketAddr) {
     node.heads.borrow_mut().pass_over(head, PassedOver::Silent, node.now());
 }
@@ -121,12 +120,12 @@
     ask(node, addr, path, message, patience).await.ok()
 }
 
-/// Why another node gave no answer.
+/// Why a call to another node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Unanswered {
-    /// It is there, and does not do what it was asked to.
+    /// The node answered with a status other than 200.
     Refused,
-    /// It did not answer in time, or not so that it can be read.
+    /// There was no answer in time, or it cannot be parsed.
     Silent,
 }
 
@@ -137,13 +136,13 @@
     message: &T,
     patience: Duration,
 ) -> Result<R, Unanswered> {
-    let body = serde_json::to_vec(message).expect("a message can be written as JSON");
+    let body = serde_json::to_vec(message).expect("a peer message is valid JSON");
     let req = Request::post(path, "peer", body.into());
     let body = exchange_once(node, addr, &req, patience).await?;
     serde_json::from_slice(&body).map_err(|_| Unanswered::Silent)
 }
 
-/// The body of another node's answer, where it answered in time that all is well.
+/// Sends a request to another node and returns the body of a 200 answer.
 async fn exchange_once(
     node: &Node,
     addr: SocketAddr,
@@ -164,7 +163,6 @@
     }
 }
 
-/// Answers another node.
 pub(crate) async fn answer(node: Node, req: http::Request<Incoming>) -> Answered {
     let (head, body) = req.into_parts();
     let Ok(body) = Limited::new(body, MOST).collect().await else {
@@ -176,26 +174,26 @@
         (&Method::POST, "/want") => answer_want(&node, &body).await,
         (&Method::POST, "/quota") => match quotas::answer(&node, &body).await {
             Ok(Some(given)) => Response::new(AnswerBody::whole(given)),
-            Ok(None) => own(StatusCode::CONFLICT, "gives no allowances"),
-            Err(_) => own(StatusCode::BAD_REQUEST, "not a question for allowances"),
+            Ok(None) => own(StatusCode::CONFLICT, "this node grants no quota allowances"),
+            Err(_) => own(StatusCode::BAD_REQUEST, "the body is not a quota request"),
         },
         (&Method::POST, "/catalog") => {
             Response::new(AnswerBody::whole(node.state.borrow().catalog_text.clone()))
         }
-        _ => own(StatusCode::NOT_FOUND, "no such call"),
+        _ => own(StatusCode::NOT_FOUND, "unknown path"),
     })
 }
 
 async fn answer_tell(node: &Node, body: &Bytes) -> Answer {
     let Ok(tell) = serde_json::from_slice::<Tell>(body) else {
-        return own(StatusCode::BAD_REQUEST, "not a report of demand");
+        return own(StatusCode::BAD_REQUEST, "the body is not a poll request");
     };
     eras::hear(node, tell.era);
     let keeps = node.holding.borrow().is_mine();
-    // Two nodes that asked each other would each take the other's old word for news.
+    // Two nodes that poll each other would each take the other's old data for new.
     let asks_it = node.parent().is_some_and(|(_, addr)| addr == tell.from);
     if !keeps && (node.is_stopping() || asks_it) {
-        return own(StatusCode::CONFLICT, "passes nothing on");
+        return own(StatusCode::CONFLICT, "this node relays no updates");
     }
     node.children.asks(tell.from, node.now());
     take_catalog(node, tell.from, tell.catalog);
@@ -212,7 +210,7 @@
     json(&news::news(node, &tell).await)
 }
 
-/// What the nodes of a domain are asked for goes to the keeper as what this one is asked for.
+/// Adds the demand of nodes behind this hub to its own report to the leader.
 fn pass_on(node: &Node, asked: &[Asked]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
@@ -224,17 +222,17 @@
 
 async fn answer_want(node: &Node, body: &Bytes) -> Answer {
     let Ok(want) = serde_json::from_slice::<Want>(body) else {
-        return own(StatusCode::BAD_REQUEST, "not a wish for a model");
+        return own(StatusCode::BAD_REQUEST, "the body is not a placement request");
     };
     if !is_keeper(node, want.fence) {
-        return own(StatusCode::CONFLICT, "not the keeper");
+        return own(StatusCode::CONFLICT, "this node is not the leader");
     }
     let wanted = Wanted { model: want.model, adapter: want.adapter };
     let placement = keeper::want(node, &wanted, &want.domain, want.refuted.as_ref()).await;
     json(&Wish { placement, engines: keeper::told_of(node, &wanted) })
 }
 
-/// A node that has just come counts at once; the store's count comes seconds later.
+/// A new node counts at once, because the next count in the store takes seconds.
 fn meet(node: &Node, other: SocketAddr) {
     let known = u32::try_from(node.sends.meet(other)).unwrap_or(u32::MAX);
     let mut state = node.state.borrow_mut();
@@ -247,6 +245,6 @@
 }
 
 fn json<T: Serialize>(message: &T) -> Answer {
-    let body = serde_json::to_vec(message).expect("a message can be written as JSON");
+    let body = serde_json::to_vec(message).expect("a peer message is valid JSON");
     Response::new(AnswerBody::whole(body))
 }
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -1,4 +1,4 @@
-//! What a node tells those that ask it for what is new: the keeper all others, or a head the nodes of its domain.
+//! Answers polls: the leader those of all hubs, and a hub those of the nodes in its domain.
 
 use hgw_direct::heads::{Member, candidates, digest};
 use hgw_direct::tells_sends;
@@ -13,14 +13,14 @@
 use super::heard::heard_since;
 use super::message::{News, Tell};
 
-/// Addresses that are told: more are no heads, but nodes that have not found theirs yet.
+/// Longest address list that is sent. A longer one includes nodes that do not know their hub yet.
 const MOST_OTHERS: usize = 41;
 
-/// What is new since a node asked last; waits a while for something.
+/// Returns what changed since the sender's last poll, and waits for a change if there is none.
 pub(super) async fn news(node: &Node, tell: &Tell) -> News {
     let began = node.now();
     if has_nothing(node, tell) {
-        // Without news the wait ends by itself.
+        // After the timeout the answer is sent without a change.
         let _ = timeout(NEWS_WAIT, node.news.notified()).await;
     }
     let (heard, changed) = node.placements.borrow().since(tell.heard);
@@ -57,12 +57,11 @@
     same_list && same_placements && version(node) <= tell.catalog
 }
 
-/// The configuration that this node has.
 pub(super) fn version(node: &Node) -> u64 {
     node.state.borrow().catalog.as_ref().map_or(0, |c| c.version)
 }
 
-/// When loads from the weight store began, as the keeper told, or as this node gave them.
+/// Ages of the loads from the weight store, as started here or reported by the leader.
 fn begun(node: &Node) -> Vec<u64> {
     if node.holding.borrow().is_mine() {
         return keeper::begun_ages(node);
@@ -72,14 +71,14 @@
     begun.map(|at| now.saturating_sub(*at)).collect()
 }
 
-/// The addresses of the nodes that tell each other, where one knows others: all, or the heads.
+/// Addresses of the peers that exchange datagrams, if the sender knows others.
 fn others(node: &Node, tell: &Tell) -> Option<Vec<std::net::SocketAddr>> {
     let tells = tells_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
     let wanted = tells && tell.others != node.sends.digest();
     wanted.then(|| node.sends.others()).filter(|others| others.len() <= MOST_OTHERS)
 }
 
-/// The heads of the domain of the node that asks, where it knows others.
+/// Hub candidates of the sender's domain, if the sender knows others.
 fn heads(node: &Node, tell: &Tell) -> Option<Vec<Member>> {
     let members = node.members.borrow();
     let heads = if !members.is_empty() {
--- a/crates/gateway/src/peers/placements.rs
+++ b/crates/gateway/src/peers/placements.rs
@@ -1,19 +1,19 @@
-//! What engines hold, as it changes: what a node tells those that ask it.
+//! Changes of what engines hold, in order, for the nodes that poll this one.
 
 use hgw_direct::EngineId;
 use indexmap::IndexMap;
 use rand::random;
 use serde::{Deserialize, Serialize};
 
-/// Engines of which one answer tells what they hold: some sixty kilobytes.
+/// Maximum number of engines in one answer, about 60 KB.
 const MOST_TOLD: usize = 256;
 
-/// How far a node has heard of what engines hold, by the count of the node that told it. Each process counts for
-/// itself, so that one that has started again is not taken for the one before.
+/// Position in a node's changes: an identifier of the process, so that a restarted node is not
+/// confused with its predecessor, and a version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Heard(u64, u64);
 
-/// The engines of which it changed what they hold, in the order of the changes.
+/// Version of the last change of each engine.
 #[derive(Debug)]
 pub(crate) struct Placements {
     counter: u64,
@@ -28,23 +28,22 @@
 }
 
 impl Placements {
-    /// What an engine holds has changed.
     pub(crate) fn changed(&mut self, engine: &EngineId) {
         self.version += 1;
         self.versions.insert(engine.clone(), self.version);
     }
 
-    /// Engines that are gone are forgotten.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&EngineId) -> bool) {
         self.versions.retain(|id, _| is_known(id));
     }
 
-    /// Whether a node that has heard so much has heard all.
+    /// Whether there is no change after `heard`.
     pub(crate) fn has_nothing_since(&self, heard: Heard) -> bool {
         heard.0 == self.counter && heard.1 >= self.version || self.versions.is_empty()
     }
 
-    /// The engines that changed since, with how far that goes. The rest comes with the next question.
+    /// Engines that changed after `heard`, the earliest first, and the new position. Later polls
+    /// return what does not fit.
     pub(crate) fn since(&self, heard: Heard) -> (Heard, Vec<EngineId>) {
         let since = if heard.0 == self.counter { heard.1 } else { 0 };
         let newer = self.versions.iter().filter(|(_, version)| **version > since);
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/sends.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the requests that they send, at once and without an answer.
+//! Datagrams between nodes, sent without an acknowledgement.
 
 use std::cell::RefCell;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -16,33 +16,33 @@
 
 use super::{dark, flights};
 
-/// Bytes of a datagram: more than a word has, and no more than networks carry whole.
+/// Larger than any datagram here, and small enough to be sent without fragmentation.
 const MOST: usize = 1_400;
 
-/// What became of a request at an engine.
+/// Event at an engine, sent to other nodes.
 ///
-/// Load: several nodes send to the same engine within a tenth of a second, each for want of knowing of the others, and
-/// the prompts wait there together. A word takes a millisecond and some forty bytes. One that is lost
-/// makes an engine look idle, or full for two seconds at the most.
+/// Without these, several nodes choose the same idle engine at the same time, and the prompts queue
+/// there. A lost datagram makes an engine look idle, or busy for at most two seconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Word {
-    /// It was sent there, with a prompt of so many tokens.
+    /// A request with a prompt of this many tokens was sent.
     Sent(EngineId, Start, SendId, u32),
-    /// Its answer begins, and says how many requests run and wait there.
+    /// The answer begins, with the number of running and waiting requests if the engine reported
+    /// them.
     Answers(EngineId, Start, SendId, Option<(u32, u32)>),
-    /// It has ended without an answer.
+    /// The request ended without an answer.
     Ended(EngineId, Start, SendId),
-    /// What a node, a domain, or all together have at engines.
+    /// In-flight requests of a node, a domain or all nodes.
     Flights(Scope, Told),
-    /// A node could not reach an engine.
+    /// The sender cannot reach the engine.
     Lost(EngineKey),
-    /// An engine cannot be reached from a domain.
+    /// The engine is unreachable from this failure domain.
     Dark(EngineKey, String),
-    /// It can be again.
+    /// The engine is reachable again from this failure domain.
     Back(EngineKey, String),
 }
 
-/// The other nodes, and the socket by which they are told.
+/// UDP socket and addresses of the other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct Sends {
     socket: RefCell<Option<Rc<UdpSocket>>>,
@@ -50,12 +50,12 @@
 }
 
 impl Sends {
-    /// All other nodes are at these addresses.
+    /// Replaces the known addresses.
     pub(crate) fn know(&self, others: Vec<SocketAddr>) {
         *self.others.borrow_mut() = others;
     }
 
-    /// A node is at this address, which may just have come; gives how many are known.
+    /// Adds an address. Returns the number of known addresses.
     pub(crate) fn meet(&self, other: SocketAddr) -> usize {
         let mut others = self.others.borrow_mut();
         if !others.contains(&other) {
@@ -64,29 +64,27 @@
         others.len()
     }
 
-    /// How many nodes but this one are known.
+    /// Number of known addresses without `me`.
     pub(super) fn count_but(&self, me: SocketAddr) -> usize {
         self.others.borrow().iter().filter(|addr| **addr != me).count()
     }
 
-    /// Whether a node is among them.
     pub(super) fn knows(&self, node: SocketAddr) -> bool {
         self.others.borrow().contains(&node)
     }
 
-    /// The nodes' addresses.
     pub(crate) fn others(&self) -> Vec<SocketAddr> {
         self.others.borrow().clone()
     }
 
-    /// Tells whether two nodes know the same addresses.
+    /// Hash by which two nodes compare their known addresses.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.others.borrow().hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Tells the other nodes, where they are few.
+    /// Sends to all other nodes, unless there are too many to broadcast each request.
     pub(crate) fn tell(&self, node: &Node, word: &Word) {
         let nodes = node.state.borrow().nodes;
         let me = node.settings.borrow().peers;
@@ -96,14 +94,13 @@
         }
     }
 
-    /// Tells these nodes.
     pub(super) fn tell_to<'a>(&self, others: impl Iterator<Item = &'a SocketAddr>, word: &Word) {
         let socket = self.socket.borrow();
         let Some(socket) = socket.as_ref() else { return };
         let mut bytes = Vec::with_capacity(MOST);
-        ciborium::into_writer(word, &mut bytes).expect("a word can be written");
+        ciborium::into_writer(word, &mut bytes).expect("a datagram is valid CBOR");
         for other in others {
-            // Where the socket takes no more the word is lost, like one that is lost on its way.
+            // A full send buffer loses the datagram, as the network may.
             if socket.try_send_to(&bytes, *other).is_err() {
                 meter::word_lost();
             }
@@ -111,12 +108,12 @@
     }
 }
 
-/// Listens to other nodes until the process ends.
+/// Receives datagrams until the process ends.
 pub(crate) async fn listen(node: Node, socket: Rc<UdpSocket>) {
     *node.sends.socket.borrow_mut() = Some(Rc::clone(&socket));
     let mut buf = [0; MOST];
     loop {
-        // A node that is gone shows as an error of the socket, which goes on.
+        // An ICMP error of a stopped node is returned here; the socket remains usable.
         let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
         match ciborium::from_reader(&buf[..length]) {
             Ok(Word::Flights(scope, told)) => flights::take_in(&node, from, scope, &told),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -153,7 +153,7 @@
 
 fn ready_answer(node: &Node, head: &http::request::Parts) -> Answer {
     if !node.dialects.callers.asks_ready(head) {
-        return own(StatusCode::NOT_FOUND, "no such call");
+        return own(StatusCode::NOT_FOUND, "unknown path");
     }
     if node.is_ready() {
         Response::new(AnswerBody::Whole(None))
