--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Limits how often a node retries calls to a store that does not answer.
+//! Limits how often a node retries calls to a store that does not respond.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -41,8 +41,8 @@
 ///
 /// The pauses keep many nodes from overloading a store that is down. The leader and the hubs retry
 /// at a constant rate. Nodes behind a hub get its updates and retry less often, in case the store
-/// refuses only the hub. The tasks of a node take turns, because one answer shows all of them that
-/// the store is back.
+/// refuses only the hub. The tasks of a node take turns, because one response shows all of them
+/// that the store is back.
 pub(crate) async fn after_failure(node: &Node) {
     let (failed_at, pause) = (node.now(), pause_after_failure(node));
     let keeps = node.holding.borrow().is_mine();
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -1,8 +1,8 @@
 //! Tracks the era of the store.
 //!
 //! A new era begins each time the store is restored from a backup. A node learns of it from any
-//! answer of the store or from another node, and then ignores answers of earlier eras. Data of the
-//! earlier era stays in use until it has been read again.
+//! response of the store or from another node, and then ignores responses of earlier eras. Data of
+//! the earlier era stays in use until it has been read again.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -21,8 +21,8 @@
 /// Pause before the next read while the store has no configuration.
 const NONE_YET: Duration = Duration::from_millis(300);
 
-/// The leader reads the engine list this many times as often as other nodes, because relaying adds
-/// the delay of an exchange.
+/// The leader reads the engine list this many times as often as other nodes, because forwarding
+/// adds the delay of an exchange.
 const KEEPER_READS: u32 = 3;
 
 /// An outage of the store shorter than this many heartbeats cannot make entries expire, so missing
@@ -39,14 +39,14 @@
 /// restore the entries.
 const KEPT_FOR: Duration = Duration::from_millis(2_000);
 
-/// Longest wait at the start for the leader's first update. A leader that has just started itself
-/// answers hundreds of nodes within a second.
+/// Maximum wait at the start for the leader's first update. A leader that has just started itself
+/// responds to hundreds of nodes within a second.
 const UNTOLD: Duration = Duration::from_millis(1_500);
 
-/// Longest wait at the start while no leader is known.
+/// Maximum wait at the start while no leader is known.
 const UNKNOWN: Duration = Duration::from_millis(600);
 
-/// Wait at the start for a node with a whole processor while no leader is known.
+/// Wait at the start for a node with a full processor while no leader is known.
 const NO_KEEPER: Duration = Duration::from_millis(60);
 
 /// Waits at the start for updates from the leader.
@@ -142,7 +142,7 @@
 /// Version of this node's configuration and the log position to read on from, if another node sent
 /// them.
 ///
-/// Without the position, every node would read the whole configuration from the store when the
+/// Without the position, every node would read the complete configuration from the store when the
 /// leader fails.
 fn told_place(node: &Node) -> Option<(u64, Cursor)> {
     let version = node.state.borrow().catalog.as_ref().map(|c| c.version);
@@ -210,7 +210,7 @@
     let (mut back_at, mut last) = (None, node.now());
     loop {
         if node.is_followed() && !node.reads_list.get() {
-            // The whole list is read again once the leader's updates stop.
+            // The complete list is read again once the leader's updates stop.
             (cursor, back_at, last) = (None, None, node.now());
             sleep(LOOK).await;
             node.pool.sweep();
@@ -234,7 +234,7 @@
                 let keep = since_back.is_some_and(|t| t < KEPT_FOR.as_millis() as u64);
                 take_in(&node, news, keep);
                 if back_at.is_some() && !keep {
-                    // A read of the whole list removes the engines that are still missing.
+                    // A read of the complete list removes the engines that are still missing.
                     back_at = None;
                     cursor = None;
                     continue;
@@ -314,8 +314,8 @@
     node.placed.notify_waiters();
 }
 
-/// Keeps the held models that the leader reported instead of those in a heartbeat, which may have
-/// been written before a command completed. Adapter loads write no heartbeat at all; the leader
+/// Keeps the loaded models that the leader reported instead of those in a heartbeat, which may have
+/// been written before an order completed. Adapter loads write no heartbeat at all; the leader
 /// reports every change.
 fn keep_newer(engines: &hgw_direct::Engines, listed: &mut Listed) {
     let Some(known) = engines.get(&listed.id) else { return };
@@ -336,7 +336,7 @@
         Link { node: Node::clone(node), what, up: None }
     }
 
-    /// Records an answer. Returns whether the previous call failed.
+    /// Records a response. Returns whether the previous call failed.
     pub(crate) fn up(&mut self) -> bool {
         meter::store_call(self.what, Ok(()));
         eras::look(&self.node);
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -24,7 +24,7 @@
     pub(crate) fence: u64,
 }
 
-/// What a node knows of the lease and its holder.
+/// What a node knows of the lease and the leader.
 #[derive(Debug, Default)]
 pub(crate) struct Holding {
     /// Author of the newest claim, unless it was released.
@@ -37,18 +37,18 @@
     renewed: Duration,
     /// End of the log after that renewal.
     renewed_at: Option<Cursor>,
-    /// Whether the leader answers this node, and its last renewal.
+    /// Whether the leader responds to this node, and its last renewal.
     pub(crate) silence: Silence,
     /// Boot time of the last attempt to renew.
     tried: Duration,
 }
 
 impl Holding {
-    /// Fencing token for commands to engines, if this node may send any now.
+    /// Fencing token for orders to engines, if this node may send any now.
     ///
     /// After a suspend the node must try to renew before it acts. Once its lease has expired, a
     /// leader that cannot reach the store goes on only if engines reject outdated tokens, because a
-    /// successor's commands then stop it.
+    /// successor's orders then stop it.
     pub(crate) fn fence(&self, lease: Duration, engines_fence: bool) -> Option<u64> {
         let now = boot_time();
         let renewed = now.saturating_sub(self.renewed) < lease;
@@ -57,7 +57,7 @@
     }
 
     /// Fencing token for actions that only one node may take at a time; none once the lease has
-    /// expired. A successor waits for a whole lease.
+    /// expired. A successor waits for a full lease.
     pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
         let is_sure = boot_time().saturating_sub(self.renewed) < lease;
         self.mine.filter(|_| is_sure).and_then(Cursor::fence)
@@ -79,7 +79,7 @@
     }
 
     /// Records an attempt to renew, unless the last one is at least a lease ago: another node may
-    /// lead by now, so that only the answer decides whether this node may act.
+    /// lead by now, so that only the response decides whether this node may act.
     fn tries(&mut self, began: Duration, lease: Duration) {
         if began.saturating_sub(self.tried) < lease {
             self.tried = began;
--- a/crates/gateway/src/holder/reader.rs
+++ b/crates/gateway/src/holder/reader.rs
@@ -25,18 +25,18 @@
 
 const AFTER_FAILURE: Duration = Duration::from_millis(250);
 
-/// Interval at which a follower checks whether the leader still answers.
+/// Interval at which a follower checks whether the leader still responds.
 const HOLDER_CHECK: Duration = Duration::from_millis(100);
 
 /// After the log showed another leader, time in which this node expects updates from it instead of
 /// reading on.
 const HEARD_NOW: Millis = 300;
 
-/// Wait before a claim for a node with a whole processor, which prevents that all nodes claim at
+/// Wait before a claim for a node with a full processor, which prevents that all nodes claim at
 /// once.
 const SPREAD: Duration = Duration::from_millis(60);
 
-/// Longest wait before a claim. Slower machines wait longer, because the leader does more work.
+/// Maximum wait before a claim. Slower machines wait longer, because the leader does more work.
 const MOST_SPREAD: Duration = Duration::from_millis(700);
 
 /// Additional wait for a node without a current engine list.
@@ -50,7 +50,7 @@
     quiet_since: Option<Millis>,
     /// Wait before a claim, by the machine's processor.
     spread: Duration,
-    /// Boot time before which the lease may be held by a leader whose record was lost.
+    /// Boot time before which the lease may belong to a leader whose record was lost.
     free_from: Duration,
 }
 
@@ -102,7 +102,7 @@
                 sleep(lease / RENEWALS).await;
                 Ok(())
             }
-            // The record there is another node's claim, this node's own renewal whose answer was
+            // The record there is another node's claim, this node's own renewal whose response was
             // lost, or belongs to a log of another era.
             Err(StoreError::Condition | StoreError::NewEra { .. }) => {
                 self.read(Duration::ZERO).await
@@ -125,7 +125,7 @@
             (settings.lease, settings.node.clone())
         };
         if self.node.is_followed() {
-            // The leader answers and reports its renewals itself.
+            // The leader responds and reports its renewals itself.
             self.quiet_since = None;
             sleep(HOLDER_CHECK).await;
             return Ok(());
@@ -165,7 +165,7 @@
     }
 
     /// Wait before a claim. A node that stopped reading the engine list waits longer, because it
-    /// would have to read the whole list before it could lead.
+    /// would have to read the complete list before it could lead.
     fn spread(&self) -> Duration {
         if self.node.reads_on() { self.spread } else { self.spread + NOT_READ }
     }
@@ -176,7 +176,7 @@
         (lease + self.spread()).saturating_sub(Duration::from_millis(quiet)).min(lease / 2)
     }
 
-    /// Whether nobody holds the lease, or an earlier process of this node does.
+    /// Whether nobody has the lease, or an earlier process of this node does.
     fn is_free(&self, me: &str) -> bool {
         let holding = self.node.holding.borrow();
         let is_free = holding.keeper.as_ref().is_none_or(|keeper| keeper.node == me);
@@ -194,7 +194,7 @@
     /// Claims the lease again in an era that began while this node was the leader.
     ///
     /// The restore may have lost its claim, and claims of an earlier era do not count anyway. Until
-    /// its lease expires no other node can have claimed: each waits for a whole lease, counted from
+    /// its lease expires no other node can have claimed: each waits for a full lease, counted from
     /// the start of the new era. Afterwards this node steps down and waits like the others.
     async fn claim_again(&mut self, end: Cursor) -> Result<(), StoreError> {
         let node = Rc::clone(&self.node);
@@ -277,7 +277,7 @@
     }
 
     /// Starts over in a later era, whose log counts only records written in it. A leader of the
-    /// previous era may act until its lease expires, so other nodes wait for a whole lease or for a
+    /// previous era may act until its lease expires, so other nodes wait for a full lease or for a
     /// record.
     fn enter(&mut self) {
         let lease = self.node.settings.borrow().lease;
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -19,14 +19,14 @@
 /// Pause before the first check of a load, about the time that one takes.
 const FIRST_CHECK: Duration = Duration::from_millis(6);
 
-/// Longest pause between checks, each of which is a command.
+/// Maximum pause between checks, each of which is an order.
 const LAST_CHECK: Duration = Duration::from_millis(100);
 
-/// Longest wait for a load.
+/// Maximum wait for a load.
 const LONGEST: Duration = Duration::from_millis(500);
 
-/// Longest wait for an unload, which the engine completes only after the last request with the
-/// adapter. It executes no other command meanwhile.
+/// Maximum wait for an unload, which the engine completes only after the last request with the
+/// adapter. It executes no other order meanwhile.
 const LONGEST_UNLOAD: Duration = Duration::from_millis(3_000);
 
 /// No adapter is placed ahead of requests while this many placements are in progress.
@@ -52,14 +52,14 @@
     if wanted.adapter.is_none() || !is_placed(node, &model) {
         return Placement::Coming(models::coming_in(node, &wanted.model));
     }
-    // Runs as a task of its own, because the caller may leave while a command is pending.
+    // Runs as a task of its own, because the caller may leave while an order is pending.
     let done = begin_placing(node, wanted, domain);
     // The check below shows whether the adapter was loaded.
     let _ = timeout(LONGEST, done.notified()).await;
     if is_placed(node, wanted) { Placement::Placed } else { Placement::Unknown }
 }
 
-/// Corrects the state of an engine that answered that it does not hold `wanted`.
+/// Corrects the state of an engine that responded that `wanted` is not loaded.
 fn disbelieve(node: &Node, wanted: &Wanted, engine: &EngineId) {
     let mut state = node.state.borrow_mut();
     let Some(known) = state.engines.get_mut(engine).filter(|e| e.holds(wanted)) else { return };
@@ -88,7 +88,7 @@
     done
 }
 
-/// Places an adapter in demand that no engine holds, ahead of the next request for it.
+/// Places an adapter in demand that no engine has loaded, ahead of the next request for it.
 pub(super) fn step(node: &Node, service: &ServiceId) {
     let wanted = {
         let keeper = node.keeper.borrow();
@@ -110,14 +110,14 @@
 }
 
 async fn place(node: &Node, wanted: &Wanted, domain: &str) {
-    // An evicted adapter leaves the engine's state before the command is sent.
+    // An evicted adapter leaves the engine's state before the order is sent.
     if !may_give(node) {
         return;
     }
     if let Some((engine, instead_of)) = choose(node, wanted, domain) {
         let turn = desk(node, &engine);
         let _turn = turn.lock().await;
-        // Another command may have taken the place meanwhile.
+        // Another order may have taken the slot meanwhile.
         if choose_again(node, wanted, &engine, instead_of.as_ref()) {
             carry_out(node, &engine, wanted, instead_of).await;
         }
@@ -133,7 +133,7 @@
             .engines
             .of(&service)
             .filter(|e| e.takes_work() && keeper.surveyed.contains_key(&e.listed.id))
-            // Engines execute one command at a time.
+            // Engines execute one order at a time.
             .filter(|e| !keeper.pending.contains_key(&e.listed.id))
             .filter(|e| !keeper.emptying.contains(&e.listed.id))
             .collect();
@@ -194,7 +194,7 @@
     done(node, engine, OrderKind::Load, wanted).await;
 }
 
-/// Repeats a command until the engine has executed it. Returns whether it has.
+/// Repeats an order until the engine has executed it. Returns whether it has.
 async fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) -> bool {
     // An adapter in use is unloaded after its last request.
     let longest = if kind == OrderKind::Unload { LONGEST_UNLOAD } else { LONGEST };
@@ -210,7 +210,7 @@
         match give(node, engine, kind, wanted).await {
             Given::Holds => {
                 if kind == OrderKind::Unload && !accepted {
-                    // An unload that completes at once counts as an accepted command, too.
+                    // An unload that completes at once counts as an accepted order, too.
                     count(node, engine);
                 }
                 if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
@@ -230,7 +230,7 @@
                 sleep(pause).await;
                 pause = (pause * 2).min(LAST_CHECK);
             }
-            // An unknown command is in progress, whose outcome a new survey has to find.
+            // An unknown order is in progress, whose outcome a new survey has to find.
             Given::Conflict => break,
             Given::Lost | Given::NotSent => sleep(LAST_CHECK).await,
             Given::Superseded | Given::Refused => break,
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -1,4 +1,4 @@
-//! Sends single commands to engines.
+//! Sends single orders to engines.
 
 use std::time::Duration;
 
@@ -17,21 +17,21 @@
 
 const MOST: usize = 1 << 20;
 
-/// Result of a command.
+/// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Given {
-    /// The engine is executing the command.
+    /// The engine is executing the order.
     Accepted,
     /// The engine is in the wanted state.
     Holds,
-    /// Another command is in progress, or the engine has accepted one that this node does not know.
+    /// Another order is in progress, or the engine has accepted one that this node does not know.
     Conflict,
     /// A newer leader has taken over.
     Superseded,
-    /// The address belongs to another engine, or the engine rejected the command for good.
+    /// The address belongs to another engine, or the engine rejected the order for good.
     Refused,
     NotSent,
-    /// No answer: the engine may still execute the command.
+    /// No response: the engine may still execute the order.
     Lost,
 }
 
@@ -44,7 +44,7 @@
     node.holding.borrow().fence(settings.lease, settings.engines_fence)
 }
 
-/// Sends a command. Its precondition is the number of commands that the engine has accepted.
+/// Sends an order. Its precondition is the number of orders that the engine has accepted.
 pub(super) async fn give(
     node: &Node,
     engine: &EngineId,
@@ -60,7 +60,7 @@
     let given = match exchange(node, engine, &req).await {
         Exchanged::Answered(status, body) => {
             let still = node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
-            // The engine restarted meanwhile, so the answer says nothing about its state.
+            // The engine restarted meanwhile, so the response says nothing about its state.
             let given = if still { said(status) } else { Given::Conflict };
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
                 ("node", &holder),
@@ -116,7 +116,7 @@
     given
 }
 
-/// Counts a command that the engine accepted. The engine does not count repetitions of a command in
+/// Counts an order that the engine accepted. The engine does not count repetitions of an order in
 /// progress.
 pub(super) fn count(node: &Node, engine: &EngineId) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
@@ -134,11 +134,11 @@
     }
 }
 
-/// Whether an engine has no command in progress.
+/// Whether an engine has no order in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Free(pub(super) bool);
 
-/// Asks an engine for its state; none if it does not answer.
+/// Asks an engine for its state; none if it does not respond.
 pub(super) async fn ask(node: &Node, engine: &EngineId) -> Option<Free> {
     let addr = node.engine(engine, |e| e.listed.addr)?;
     let req = node.dialects.upstreams.ask_report(addr, engine);
@@ -160,7 +160,7 @@
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(known) = state.engines.meet(engine, report.start) else { return false };
-    // A command may have been accepted while the report was under way.
+    // A order may have been accepted while the report was under way.
     if report.seq < known.orders {
         return false;
     }
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -23,11 +23,11 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// Least pause after a plan, as a multiple of the time that it took. A plan for thousands of
-/// engines keeps a small machine busy, and the nodes must be answered meanwhile.
+/// engines keeps a small machine busy, and the nodes need responses meanwhile.
 const REST: u32 = 10;
 
 /// Maximum number of engines asked at a time: connecting to thousands at once would keep a small
-/// machine from answering the other nodes.
+/// machine from responding to other nodes.
 const MOST_ASKING: usize = 64;
 
 /// Largest age of the state in an engine's report.
@@ -36,7 +36,7 @@
 /// Leases after the claim until the previous leader has surely noticed that it lost the lease.
 const LEASES_ALONE: Millis = 2;
 
-/// Pause before an engine is asked again that executes a command of an earlier leader.
+/// Pause before an engine is asked again that executes an order of an earlier leader.
 const BUSY_CHECK: Duration = Duration::from_millis(400);
 
 /// Loads that the previous leader may have started without reporting them.
@@ -67,7 +67,7 @@
     asking: Rc<Asking>,
     /// Engines that wait for requests to end before they unload an adapter.
     emptying: IndexSet<EngineId>,
-    /// Serialize the commands to each engine.
+    /// Serialize the orders to each engine.
     desks: IndexMap<EngineId, Rc<Mutex<()>>>,
     /// Notified when the placement of an adapter has ended.
     placing: IndexMap<Wanted, Rc<Notify>>,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Polls an engine until it has no command of an earlier leader in progress.
+/// Polls an engine until it has no order of an earlier leader in progress.
 async fn survey_one(node: &Node, id: &EngineId) {
     let fence = node.keeper.borrow().fence;
     if !is_new(node, id) {
@@ -203,7 +203,7 @@
 }
 
 /// Whether an engine started so long after the claim that no earlier leader can have sent it a
-/// command. Such an engine is surveyed at once.
+/// order. Such an engine is surveyed at once.
 fn is_new(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
     let Some(start) = node.engine(id, |e| e.listed.start) else { return false };
@@ -273,7 +273,7 @@
     node.keeper.borrow().ceiling.ages(node.now())
 }
 
-/// Contents of the engines that hold `wanted`.
+/// Contents of the engines that have `wanted` loaded.
 pub(crate) fn told_of(node: &Node, wanted: &Wanted) -> Vec<Told> {
     let state = node.state.borrow();
     let holders = state.engines.iter().filter(|e| e.holds(wanted));
@@ -291,7 +291,7 @@
     })
 }
 
-/// Announces that an engine holds something else.
+/// Announces that the loaded models of an engine changed.
 fn changed(node: &Node, engine: &EngineId) {
     let now = node.now();
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -14,16 +14,16 @@
 use super::give::{Given, count, give, may_give};
 use super::{begin_load, ceiling_limits, changed, desk, pools};
 
-/// Interval at which a command in progress is checked.
+/// Interval at which an order in progress is checked.
 const DONE_CHECK: Duration = Duration::from_millis(200);
 
-/// Longest wait for a load, as a multiple of its usual time, which concurrent loads exceed.
+/// Maximum wait for a load, as a multiple of its usual time, which concurrent loads exceed.
 const SLOWEST: u32 = 4;
 
-/// Longest wait for an unload, which ends only after the requests for the model.
+/// Maximum wait for an unload, which ends only after the requests for the model.
 const UNLOAD: Duration = Duration::from_secs(20);
 
-/// Delay between the announcement of an unload and the command, in which requests under way to the
+/// Delay between the announcement of an unload and the order, in which requests under way to the
 /// engine arrive.
 const WORD_AHEAD: Duration = Duration::from_millis(120);
 
@@ -42,8 +42,8 @@
 
 /// Starts the most useful loads that the rate limit of the weight store allows.
 pub(super) fn step(node: &Node, service: &ServiceId, pool: &Pool) {
-    // A step removes evicted models from the engine's state before the command. Without permission
-    // to send the command the model would stay loaded and get no requests.
+    // A step removes evicted models from the engine's state before the order. Without permission
+    // to send the order the model would stay loaded and get no requests.
     while may_give(node) {
         let now = node.now();
         let mut keeper = node.keeper.borrow_mut();
@@ -63,7 +63,7 @@
         let rates = keeper.demand.rates(now);
         let mut taken = keeper.pending.clone();
         for engine in engines.iter().filter(|e| !keeper.surveyed.contains_key(&e.listed.id)) {
-            // The models that it holds count, but it may have an unknown command in progress.
+            // Its loaded models count, but it may have an unknown order in progress.
             taken.entry(engine.listed.id.clone()).or_default();
         }
         let step = next_model_step(&engines, pool, &rates, &taken, allowed, now);
@@ -127,7 +127,7 @@
     carry_out(node, &engine, OrderKind::Load, &wanted, usual).await;
 }
 
-/// Estimated time in milliseconds until an engine holds the model.
+/// Estimated time in milliseconds until an engine has loaded the model.
 pub(super) fn coming_in(node: &Node, model: &str) -> u64 {
     let usual = pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
     let usual = usual.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
@@ -140,7 +140,7 @@
     }
 }
 
-/// Repeats a command until the engine has executed it. Returns whether it has.
+/// Repeats an order until the engine has executed it. Returns whether it has.
 async fn carry_out(
     node: &Node,
     engine: &EngineId,
@@ -180,7 +180,7 @@
                 sleep_while(node, engine, start, pause).await;
             }
             Given::Conflict if accepted => sleep(DONE_CHECK).await,
-            // An unknown command is in progress. A load before its outcome is known could exceed
+            // An unknown order is in progress. A load before its outcome is known could exceed
             // the engine's memory.
             Given::Conflict => break,
             Given::NotSent | Given::Lost => sleep(DONE_CHECK).await,
@@ -195,7 +195,7 @@
     false
 }
 
-/// Whether an engine has not restarted since `start`. A restart voids earlier commands.
+/// Whether an engine has not restarted since `start`. A restart voids earlier orders.
 fn is_still(node: &Node, engine: &EngineId, start: Start) -> bool {
     node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false)
 }
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/dark.rs
@@ -27,11 +27,11 @@
 /// Interval at which the hub probes an unreachable engine.
 const LOOK: Duration = Duration::from_millis(300);
 
-/// A node that heard an engine within this time ignores such reports, because the problem is on the
-/// reporter's side.
+/// A node that received bytes from an engine within this time ignores such reports, because the
+/// problem is on the reporter's side.
 const HEARD_LATELY: Millis = 400;
 
-/// Reports to the hub that an engine refused a connection or was silent on all of them.
+/// Reports to the hub that an engine refused a connection or was unresponsive on all of them.
 pub(crate) fn lost(node: &Node, key: EngineKey) {
     if tells_sends(node.state.borrow().nodes) {
         return;
@@ -107,8 +107,8 @@
     node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.addr)
 }
 
-/// Updates this node, the nodes behind it and the other hubs, unless this node has just heard the
-/// engine.
+/// Updates this node, the nodes behind it and the other hubs, unless this node has just
+/// received bytes from the engine.
 fn tell(node: &Node, key: EngineKey, dark: bool) {
     if !believe(node, key, dark) {
         return;
@@ -132,7 +132,7 @@
 }
 
 /// Updates the state of an engine. Returns false if the report contradicts what this node has just
-/// heard.
+/// received.
 fn believe(node: &Node, key: EngineKey, dark: bool) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -58,7 +58,7 @@
 
 impl Asking {
     /// Polls once. Returns the number of nodes that poll the same node, or none if it did not
-    /// answer.
+    /// respond.
     async fn ask(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
         let fence = node.holding.borrow().keeper.as_ref().map_or(0, |k| k.fence);
         let mut asked = take_asked(node);
@@ -104,7 +104,7 @@
     fn tell(&self, node: &Node, asked: Vec<Asked>, past: Option<CountedBefore>) -> Tell {
         let (catalog, list) = {
             let state = node.state.borrow();
-            // Version 0 requests the whole configuration.
+            // Version 0 requests the complete configuration.
             (state.catalog.as_ref().map_or(0, |c| c.version), state.list_at.unwrap_or_default())
         };
         let settings = node.settings.borrow();
@@ -132,13 +132,13 @@
     }
 }
 
-/// Age from which the answer of another node counts as stale. It is short enough to poll two more
+/// Age from which the response of another node counts as stale. It is short enough to poll two more
 /// nodes before this one reads from the store.
 fn longest_age(node: &Node) -> Millis {
     node.settings.borrow().followed_for(false).as_millis() as Millis
 }
 
-/// Takes in the answer to a poll that was sent at `asked_at`.
+/// Takes in the response to a poll that was sent at `asked_at`.
 fn take_in_news(node: &Node, asked_at: Millis, news: News) {
     let arrived = node.now();
     eras::hear(node, news.era);
@@ -151,7 +151,7 @@
         node.heads.borrow_mut().know(heads);
     }
     take_in_list(node, news.list);
-    // Counted from the request, because the answer may have been delayed on its way.
+    // Counted from the request, because the response may have been delayed on its way.
     node.followed((asked_at + news.held_ms).saturating_sub(news.age_ms));
     take_in(node, news.engines);
     take_in_loads(node, &news.loads);
@@ -167,7 +167,7 @@
     }
 }
 
-/// Tracks whether a node answers and logs changes.
+/// Tracks whether a node responds and logs changes.
 #[derive(Debug, Default)]
 struct PeerLink {
     silent: bool,
--- a/crates/gateway/src/peers/flights.rs
+++ b/crates/gateway/src/peers/flights.rs
@@ -2,7 +2,7 @@
 //! hubs exchange the sums of their domains, and send their nodes the totals.
 //!
 //! The reports are datagrams that nobody waits for. Without them a node uses the loads that engines
-//! report in their answers.
+//! report in their responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/gateway/src/peers/heard.rs
+++ b/crates/gateway/src/peers/heard.rs
@@ -1,4 +1,4 @@
-//! Exchanges the loads that engines report in their answers.
+//! Exchanges the loads that engines report in their responses.
 
 use hgw_direct::{Engine, Load};
 
@@ -13,8 +13,8 @@
 /// nodes.
 const MOST_LOADS: usize = 64;
 
-/// Loads received since `since`, optionally only of engines that hold one of the models. Empty
-/// while nodes exchange in-flight sums.
+/// Loads received since `since`, optionally only of engines that have one of the models loaded.
+/// Empty while nodes exchange in-flight sums.
 pub(crate) fn heard_since(node: &Node, since: u64, models: Option<&[Asked]>) -> Vec<HeardLoad> {
     if node.sums.borrow().are_fresh() {
         return Vec::new();
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -1,4 +1,4 @@
-//! Takes in the engine list and the held models that other nodes send.
+//! Takes in the engine list and the loaded models that other nodes send.
 
 use hgw_direct::{AtHand, Engines, ListNews, ListPart, Listed, Passed, Standing};
 
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -8,13 +8,13 @@
 
 use super::placements::Heard;
 
-/// Models that an engine holds, as the leader knows them.
+/// Models loaded on an engine, as the leader knows them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Told {
     pub(crate) engine: EngineId,
     /// Start of the engine that the entry refers to.
     pub(crate) start: Start,
-    /// Number of commands that the engine has accepted.
+    /// Number of orders that the engine has accepted.
     pub(crate) orders: u64,
     pub(crate) held: Vec<Held>,
 }
@@ -34,7 +34,7 @@
     pub(crate) from: SocketAddr,
     /// Failure domain of the sender.
     pub(crate) domain: String,
-    /// Position in the receiver's changes of held models.
+    /// Position in the receiver's changes of loaded models.
     pub(crate) heard: Heard,
     /// Position of the sender's engine list; the default without a list.
     pub(crate) list: ListPlace,
@@ -62,10 +62,10 @@
     pub(crate) models: Vec<Past>,
 }
 
-/// Answer of the leader or a hub to a poll.
+/// Response of the leader or a hub to a poll.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct News {
-    /// Newest leader known to the answering node.
+    /// Newest leader known to the responding node.
     pub(crate) keeper: Option<Keeper>,
     pub(crate) heard: Heard,
     pub(crate) engines: Vec<Told>,
@@ -73,9 +73,9 @@
     /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
-    /// Version of the answering node's configuration.
+    /// Version of the responding node's configuration.
     pub(crate) catalog: u64,
-    /// Age of the answering node's copy of the store data.
+    /// Age of the responding node's copy of the store data.
     pub(crate) age_ms: u64,
     /// Time that the poll waited for an update.
     pub(crate) held_ms: u64,
@@ -85,7 +85,7 @@
     pub(crate) others: Option<Vec<SocketAddr>>,
     /// Hub candidates of the sender's domain, if the poll's digest differs.
     pub(crate) heads: Option<Vec<Member>>,
-    /// Number of nodes that poll the answering node.
+    /// Number of nodes that poll the responding node.
     pub(crate) children: u32,
     /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
     pub(crate) renewed: Option<(Cursor, u64)>,
@@ -119,11 +119,11 @@
     pub(crate) model: String,
     pub(crate) adapter: Option<String>,
     pub(crate) domain: String,
-    /// Engine that was listed as holding it and answered that it does not.
+    /// Engine that was listed as having it loaded and responded that it does not.
     pub(crate) refuted: Option<EngineId>,
 }
 
-/// The leader's answer.
+/// The leader's response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Wish {
     pub(crate) placement: Placement,
@@ -132,7 +132,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Placement {
-    /// An engine holds it now.
+    /// An engine has it loaded.
     Placed,
     /// It is being loaded, for about this many milliseconds.
     Coming(u64),
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -43,16 +43,16 @@
 pub(crate) use placements::Placements;
 pub(crate) use sends::{Sends, Word, listen};
 
-/// Longest time that a poll waits for an update.
+/// Maximum time that a poll waits for an update.
 const NEWS_WAIT: Duration = Duration::from_millis(400);
 
-/// Timeout for an answer, beyond the time that a poll waits.
+/// Timeout for a response, beyond the time that a poll waits.
 const PATIENCE: Duration = Duration::from_millis(600);
 
 /// Timeout of a placement request, during which an adapter may be loaded.
 const WANT_PATIENCE: Duration = Duration::from_millis(600);
 
-/// Pause while no leader is known or the polled node does not answer.
+/// Pause while no leader is known or the polled node does not respond.
 const NO_KEEPER: Duration = Duration::from_millis(150);
 
 const MOST: usize = 1 << 20;
@@ -123,9 +123,9 @@
 /// Why a call to another node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Unanswered {
-    /// The node answered with a status other than 200.
+    /// The node responded with a status other than 200.
     Refused,
-    /// There was no answer in time, or it cannot be parsed.
+    /// There was no response in time, or it cannot be parsed.
     Silent,
 }
 
@@ -142,7 +142,7 @@
     serde_json::from_slice(&body).map_err(|_| Unanswered::Silent)
 }
 
-/// Sends a request to another node and returns the body of a 200 answer.
+/// Sends a request to another node and returns the body of a 200 response.
 async fn exchange_once(
     node: &Node,
     addr: SocketAddr,
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -20,7 +20,7 @@
 pub(super) async fn news(node: &Node, tell: &Tell) -> News {
     let began = node.now();
     if has_nothing(node, tell) {
-        // After the timeout the answer is sent without a change.
+        // After the timeout the response is sent without a change.
         let _ = timeout(NEWS_WAIT, node.news.notified()).await;
     }
     let (heard, changed) = node.placements.borrow().since(tell.heard);
--- a/crates/gateway/src/peers/placements.rs
+++ b/crates/gateway/src/peers/placements.rs
@@ -1,11 +1,11 @@
-//! Changes of what engines hold, in order, for the nodes that poll this one.
+//! Changes of the models loaded on engines, in order, for the nodes that poll this one.
 
 use hgw_direct::EngineId;
 use indexmap::IndexMap;
 use rand::random;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of engines in one answer, about 60 KB.
+/// Maximum number of engines in one response, about 60 KB.
 const MOST_TOLD: usize = 256;
 
 /// Position in a node's changes: an identifier of the process, so that a restarted node is not
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/sends.rs
@@ -27,10 +27,10 @@
 pub(crate) enum Word {
     /// A request with a prompt of this many tokens was sent.
     Sent(EngineId, Start, SendId, u32),
-    /// The answer begins, with the number of running and waiting requests if the engine reported
+    /// The response begins, with the number of running and waiting requests if the engine reported
     /// them.
     Answers(EngineId, Start, SendId, Option<(u32, u32)>),
-    /// The request ended without an answer.
+    /// The request ended without a response.
     Ended(EngineId, Start, SendId),
     /// In-flight requests of a node, a domain or all nodes.
     Flights(Scope, Told),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -83,7 +83,7 @@
     match words {
         Ok(words) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(words)))),
         // Without datagrams a node balances by its own requests only.
-        Err(e) => listener_failed(&node, "peer datagrams", &e),
+        Err(e) => listener_failed(&node, "words of other nodes", &e),
     }
     match metrics {
         Ok(metrics) => spawn(Box::pin(serve_metrics(Rc::clone(&node), metrics))),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -16,7 +16,7 @@
     pub peers: SocketAddr,
     /// Listen address for metrics.
     pub metrics: SocketAddr,
-    /// Longest time from the stop signal to the end of the process.
+    /// Maximum time from the stop signal to the end of the process.
     pub grace: Duration,
     /// Time within which a changed configuration must be in force.
     pub apply_within: Duration,
@@ -28,7 +28,7 @@
     pub retry_slack: f64,
     /// Time window over which retries are counted.
     pub retry_window: Duration,
-    /// Whether engines reject commands with an outdated fencing token.
+    /// Whether engines reject orders with an outdated fencing token.
     pub engines_fence: bool,
     /// Time for which the leader may act after its last renewal.
     pub lease: Duration,
@@ -52,7 +52,7 @@
 const FOLLOW_MOST: Duration = Duration::from_millis(3_000);
 
 /// Nodes behind a hub wait longer for updates by this factor, because the hub reads the store first
-/// and relays what it read.
+/// and forwards what it read.
 const BEHIND_A_HEAD: f64 = 1.4;
 
 impl Settings {
@@ -61,7 +61,7 @@
         self.apply_within.min(self.drain_within).min(FOLLOW_MOST)
     }
 
-    /// Longest wait of a call for a new configuration. A dead connection is detected shortly after
+    /// Maximum wait of a call for a new configuration. A dead connection is detected shortly after
     /// it.
     pub(crate) fn catalog_wait(&self) -> Duration {
         self.follow_within().mul_f64(0.5)
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -59,9 +59,9 @@
     pub(crate) dark: Notify,
     /// Nodes that poll this one for updates.
     pub(crate) children: Children,
-    /// Engines whose held models changed, for the nodes that poll this one.
+    /// Engines whose loaded models changed, for the nodes that poll this one.
     pub(crate) placements: RefCell<Placements>,
-    /// Candidates for the hub of this node's failure domain, which relays the leader's updates.
+    /// Candidates for the hub of this node's failure domain, which forwards the leader's updates.
     pub(crate) heads: RefCell<Heads>,
     /// All nodes in the store; empty until this node has read them.
     pub(crate) members: RefCell<Vec<Member>>,
@@ -74,7 +74,7 @@
     pub(crate) reads_list: Cell<bool>,
     /// Newest era of the store that this node knows.
     pub(crate) era: Cell<KnownEra>,
-    /// Time of the last answer from the store.
+    /// Time of the last response from the store.
     pub(crate) store_heard: Cell<Millis>,
     /// Time when this node last read the engine list from the store.
     pub(crate) list_read: Cell<Millis>,
@@ -93,7 +93,7 @@
     pub(crate) catalog_news: Notify,
     /// Whether this node reaches neither the store nor engines in other failure domains.
     cut_off: Cell<bool>,
-    /// Notified when an engine is known to hold another model or adapter.
+    /// Notified when an engine is known to have loaded or unloaded a model or adapter.
     pub(crate) placed: Notify,
     /// Notified when an engine has restarted.
     pub(crate) started_anew: Notify,
@@ -220,7 +220,7 @@
     /// Whether the leader's updates are recent enough that this node need not read the store.
     ///
     /// Nodes behind a hub wait longer, so that they do not all read the store at once when the
-    /// leader fails: the hubs read first and relay what they read.
+    /// leader fails: the hubs read first and forward what they read.
     pub(crate) fn is_followed(&self) -> bool {
         let keeps = self.holding.borrow().is_mine();
         let longest = self.settings.borrow().followed_for(self.has_head()).as_millis() as Millis;
@@ -273,7 +273,8 @@
         }
     }
 
-    /// Closes connections to restarted engines and wakes the requests that wait for their answers.
+    /// Closes connections to restarted engines and wakes the requests that wait for their
+    /// responses.
     pub(crate) fn look_for_starts(&self) {
         let anew = self.state.borrow_mut().engines.take_anew();
         for addr in &anew {
