--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -45,17 +45,17 @@
 /// that the store is back.
 pub(crate) async fn after_failure(node: &Node) {
     let (failed_at, pause) = (node.now(), pause_after_failure(node));
-    let keeps = node.holding.borrow().is_mine();
+    let is_leader = node.holding.borrow().is_mine();
     let backoff = &node.backoff;
-    let first = failed_at + pause.as_millis() as Millis;
-    backoff.next.set(backoff.next.get().max(first));
+    let own_retry_at = failed_at + pause.as_millis() as Millis;
+    backoff.next.set(backoff.next.get().max(own_retry_at));
     loop {
         sleep(LOOK).await;
         let now = node.now();
         if node.is_followed() || node.store_heard.get() > failed_at {
             return;
         }
-        if now >= if keeps { first } else { backoff.next.get() } {
+        if now >= if is_leader { own_retry_at } else { backoff.next.get() } {
             backoff.next.set(now + pause.as_millis() as Millis);
             return;
         }
@@ -65,6 +65,6 @@
 /// Pause after a failed call, longer when many nodes poll the same hub.
 pub(crate) fn pause_after_failure(node: &Node) -> Duration {
     let siblings = if node.has_head() { node.backoff.siblings.get() } else { 0 };
-    let crowd = siblings.div_ceil(AS_OFTEN_AS_ONE).clamp(1, MOST_CROWD);
-    (AFTER_FAILURE * crowd).mul_f64(1.0 + random::<f64>())
+    let factor = siblings.div_ceil(AS_OFTEN_AS_ONE).clamp(1, MOST_CROWD);
+    (AFTER_FAILURE * factor).mul_f64(1.0 + random::<f64>())
 }
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -1,8 +1,8 @@
 //! Tracks the era of the store.
 //!
-//! A new era begins each time the store is restored from a backup. A node learns of it from any
-//! response of the store or from another node, and then ignores responses of earlier eras. Data of
-//! the earlier era stays in use until it has been read again.
+//! The era increases by one each time the store is restored from a backup. A node learns of it from
+//! any response of the store or from another node, and then ignores responses of earlier eras. Data
+//! of the earlier era stays in use until it has been read again.
 
 use std::time::Duration;
 
@@ -34,14 +34,14 @@
     learn(node, era, Duration::from_millis(lasted_ms), "peer");
 }
 
-fn learn(node: &Shared, era: Era, lasted: Duration, by: &str) {
+fn learn(node: &Shared, era: Era, lasted: Duration, source: &str) {
     let mut known = node.era.get();
     let is_new = known.hear(era, lasted, boot_time());
     node.era.set(known);
     // A node that has just started always sees a new era, which is not worth logging.
     if is_new && node.state.borrow().listed {
         let name = &node.settings.borrow().node;
-        emit(Event::StoreCameBack, &[("node", name), ("era", &era), ("by", &by)]);
+        emit(Event::StoreCameBack, &[("node", name), ("era", &era), ("by", &source)]);
     }
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -55,16 +55,17 @@
 /// store. Larger machines wait less, so one of them becomes the leader.
 pub(crate) async fn until_told(node: &Node) {
     let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
-    let untold = NO_KEEPER.div_f64(processor).min(UNKNOWN).as_millis() as u64;
+    let max_wait_alone = NO_KEEPER.div_f64(processor).min(UNKNOWN).as_millis() as u64;
     loop {
         let now = node.now();
-        let others = {
-            let holding = node.holding.borrow();
-            let me = node.settings.borrow().peers;
-            !holding.is_mine() && holding.keeper.as_ref().is_some_and(|k| k.addr != me)
+        let has_other_leader = {
+            let leadership = node.holding.borrow();
+            let own_addr = node.settings.borrow().peers;
+            !leadership.is_mine()
+                && leadership.keeper.as_ref().is_some_and(|leader| leader.addr != own_addr)
         };
-        let longest = if others { UNTOLD.as_millis() as u64 } else { untold };
-        if node.is_followed() || now >= longest {
+        let max_wait = if has_other_leader { UNTOLD.as_millis() as u64 } else { max_wait_alone };
+        if node.is_followed() || now >= max_wait {
             return;
         }
         sleep(START_LOOK).await;
@@ -79,14 +80,14 @@
     let mut link = Link::new(&node, "configuration");
     until_told(&node).await;
     loop {
-        let followed = node.is_followed();
-        if followed && !node.lacks_catalog() && !proof_is_due(&node) {
+        let has_leader_updates = node.is_followed();
+        if has_leader_updates && !node.lacks_catalog() && !proof_is_due(&node) {
             // The leader reads the store for all nodes.
             let _ = timeout(LOOK, node.catalog_news.notified()).await;
             continue;
         }
-        let told = followed && node.lacks_catalog();
-        if told
+        let is_reported = has_leader_updates && node.lacks_catalog();
+        if is_reported
             && let Some(text) = peers::catalog(&node).await
             && adopt(&node, text).is_some_and(|adopted| adopted.is_newer)
         {
@@ -94,27 +95,27 @@
         }
         // After an outage, a call that waits for news would delay the detection that the store is
         // back.
-        let usual = proof::longest_wait(&node, node.settings.borrow().catalog_wait());
-        let wait = if link.is_down() || followed { Duration::ZERO } else { usual };
+        let default_wait = proof::longest_wait(&node, node.settings.borrow().catalog_wait());
+        let wait = if link.is_down() || has_leader_updates { Duration::ZERO } else { default_wait };
         let asked = boot_time();
         if let Some((version, at)) = told_place(&node).filter(|(_, at)| cursor < Some(*at)) {
             (newest, cursor) = (Some(version), Some(at));
         }
         let call = node.dialects.store.catalog(cursor, wait);
-        let answered = if told {
+        let response = if is_reported {
             call.await
         } else {
             tokio::select! {
                 biased;
-                answered = call => answered,
+                response = call => response,
                 () = until_lacking(&node) => continue,
             }
         };
-        match answered {
+        match response {
             Ok(news) => {
                 link.up();
                 cursor = Some(news.cursor);
-                let nothing = news.catalog.is_none();
+                let is_unchanged = news.catalog.is_none();
                 if let Some(text) = news.catalog {
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
@@ -122,13 +123,13 @@
                     proof::read(&node, Seen { newest, asked });
                     node.catalog_at.set(cursor.map(|at| (newest, at)));
                 }
-                if nothing && node.state.borrow().catalog.is_none() {
+                if is_unchanged && node.state.borrow().catalog.is_none() {
                     sleep(NONE_YET).await;
                 }
             }
             Err(e) => {
                 link.down(&e);
-                if followed {
+                if has_leader_updates {
                     // Another node may still send a more recent proof.
                     sleep(pause_after_failure(&node).min(proof::longest_pause(&node))).await;
                 } else {
@@ -146,7 +147,7 @@
 /// leader fails.
 fn told_place(node: &Node) -> Option<(u64, Cursor)> {
     let version = node.state.borrow().catalog.as_ref().map(|c| c.version);
-    node.catalog_at.get().filter(|(told, _)| Some(*told) == version)
+    node.catalog_at.get().filter(|(reported, _)| Some(*reported) == version)
 }
 
 /// Whether this node must ask the store if its configuration is current.
@@ -207,11 +208,11 @@
     let mut cursor = None;
     let mut link = Link::new(&node, "engines");
     until_told(&node).await;
-    let (mut back_at, mut last) = (None, node.now());
+    let (mut store_back_at, mut last_read) = (None, node.now());
     loop {
         if node.is_followed() && !node.reads_list.get() {
             // The complete list is read again once the leader's updates stop.
-            (cursor, back_at, last) = (None, None, node.now());
+            (cursor, store_back_at, last_read) = (None, None, node.now());
             sleep(LOOK).await;
             node.pool.sweep();
             continue;
@@ -220,22 +221,22 @@
             Ok(news) => {
                 node.list_read.set(node.now());
                 node.reads_list.set(false);
-                let was_away = link.up()
-                    && down_for(&node, last) >= KEPT_AFTER * node.settings.borrow().heartbeat;
-                if was_away || eras::is_young(&node) && back_at.is_none() {
-                    back_at = Some(node.now());
+                let had_outage = link.up()
+                    && down_for(&node, last_read) >= KEPT_AFTER * node.settings.borrow().heartbeat;
+                if had_outage || eras::is_young(&node) && store_back_at.is_none() {
+                    store_back_at = Some(node.now());
                 }
-                last = node.now();
+                last_read = node.now();
                 // Nodes that poll this one learn the new age of the list, even if no engine
                 // changed.
                 node.news.notify_waiters();
                 cursor = Some(news.cursor);
-                let since_back = back_at.map(|at| node.now().saturating_sub(at));
-                let keep = since_back.is_some_and(|t| t < KEPT_FOR.as_millis() as u64);
-                take_in(&node, news, keep);
-                if back_at.is_some() && !keep {
+                let since_back = store_back_at.map(|at| node.now().saturating_sub(at));
+                let keep_missing = since_back.is_some_and(|t| t < KEPT_FOR.as_millis() as u64);
+                take_in(&node, news, keep_missing);
+                if store_back_at.is_some() && !keep_missing {
                     // A read of the complete list removes the engines that are still missing.
-                    back_at = None;
+                    store_back_at = None;
                     cursor = None;
                     continue;
                 }
@@ -265,7 +266,7 @@
     Duration::from_millis(node.now().saturating_sub(last))
 }
 
-fn take_in(node: &Node, news: EngineNews, keep: bool) {
+fn take_in(node: &Node, news: EngineNews, keep_missing: bool) {
     let now = node.now();
     if let Some(first) = news.malformed.first() {
         let (name, entries) = (&node.settings.borrow().node, news.malformed.len());
@@ -275,7 +276,7 @@
     if news.whole && news.cursor.era > Era::FIRST {
         state.engines.copy_ends(news.cursor);
     }
-    let mut whole = Vec::new();
+    let mut snapshot = Vec::new();
     for EngineChange { at, entry } in news.entries {
         match entry {
             EngineEntry::Listed { mut listed, left } => {
@@ -286,26 +287,26 @@
                 listed.at = at;
                 keep_newer(&state.engines, &mut listed);
                 if news.whole {
-                    whole.push(*listed);
+                    snapshot.push(*listed);
                 } else {
                     state.engines.list(*listed);
                 }
             }
             EngineEntry::Gone(id) => {
-                if !keep {
+                if !keep_missing {
                     state.engines.unlist(&id, at);
                 }
             }
             EngineEntry::Unreadable(id) => {
                 state.engines.spoil(&id, at);
                 if news.whole {
-                    whole.extend(state.engines.get(&id).map(|engine| engine.listed.clone()));
+                    snapshot.extend(state.engines.get(&id).map(|engine| engine.listed.clone()));
                 }
             }
         }
     }
     if news.whole {
-        state.engines.replace(whole, news.cursor, keep);
+        state.engines.replace(snapshot, news.cursor, keep_missing);
     }
     drop(state);
     node.look_for_starts();
@@ -341,13 +342,13 @@
         meter::store_call(self.what, Ok(()));
         eras::look(&self.node);
         self.node.store_heard.set(self.node.now());
-        let back = self.up == Some(false);
-        if back {
+        let recovered = self.up == Some(false);
+        if recovered {
             let name = self.node.settings.borrow().node.clone();
             emit(Event::LogUp, &[("node", &name), ("what", &self.what)]);
         }
         self.up = Some(true);
-        back
+        recovered
     }
 
     pub(crate) fn is_down(&self) -> bool {
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -51,16 +51,18 @@
     /// successor's orders then stop it.
     pub(crate) fn fence(&self, lease: Duration, engines_fence: bool) -> Option<u64> {
         let now = boot_time();
-        let renewed = now.saturating_sub(self.renewed) < lease;
-        let awake = now.saturating_sub(self.tried) < lease / 2;
-        self.mine.filter(|_| awake && (renewed || engines_fence)).and_then(Cursor::fence)
+        let has_lease = now.saturating_sub(self.renewed) < lease;
+        let attempted_lately = now.saturating_sub(self.tried) < lease / 2;
+        self.mine
+            .filter(|_| attempted_lately && (has_lease || engines_fence))
+            .and_then(Cursor::fence)
     }
 
     /// Fencing token for actions that only one node may take at a time; none once the lease has
     /// expired. A successor waits for a full lease.
     pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
-        let is_sure = boot_time().saturating_sub(self.renewed) < lease;
-        self.mine.filter(|_| is_sure).and_then(Cursor::fence)
+        let has_lease = boot_time().saturating_sub(self.renewed) < lease;
+        self.mine.filter(|_| has_lease).and_then(Cursor::fence)
     }
 
     /// End of the log after the last renewal, and the renewal's age in milliseconds.
@@ -70,11 +72,11 @@
     }
 
     /// Takes in a leader that another node reported.
-    pub(crate) fn hear_of(&mut self, keeper: Keeper) {
-        let newer = self.newest.is_none_or(|newest| newest < keeper.fence);
-        if newer && !self.is_mine() {
-            self.newest = Some(keeper.fence);
-            self.keeper = Some(keeper);
+    pub(crate) fn hear_of(&mut self, leader: Keeper) {
+        let is_newer = self.newest.is_none_or(|newest| newest < leader.fence);
+        if is_newer && !self.is_mine() {
+            self.newest = Some(leader.fence);
+            self.keeper = Some(leader);
         }
     }
 
@@ -107,13 +109,13 @@
     if !node.holding.borrow().is_mine() {
         return;
     }
-    let Ok(news) = node.dialects.store.claims(None, Duration::ZERO).await else { return };
-    let last = news.records.iter().rev().find_map(valid);
-    let me = node.settings.borrow().node.clone();
+    let Ok(log) = node.dialects.store.claims(None, Duration::ZERO).await else { return };
+    let last = log.records.iter().rev().find_map(valid);
+    let own_name = node.settings.borrow().node.clone();
     node.holding.borrow_mut().superseded();
-    if last.is_some_and(|entry| entry.node == me) {
+    if last.is_some_and(|entry| entry.node == own_name) {
         // If this fails, the successor waits until the lease expires.
-        let released = entry(&node, EntryKind::Release, news.end);
-        let _ = node.dialects.store.claim(news.end, released).await;
+        let released = entry(&node, EntryKind::Release, log.end);
+        let _ = node.dialects.store.claim(log.end, released).await;
     }
 }
--- a/crates/gateway/src/holder/reader.rs
+++ b/crates/gateway/src/holder/reader.rs
@@ -32,7 +32,7 @@
 /// reading on.
 const HEARD_NOW: Millis = 300;
 
-/// Wait before a claim for a node with a full processor, which prevents that all nodes claim at
+/// Wait before a claim for a node with a full processor, randomized so that nodes do not all claim at
 /// once.
 const SPREAD: Duration = Duration::from_millis(60);
 
@@ -59,16 +59,16 @@
     let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
     let spread = SPREAD.div_f64(processor).min(MOST_SPREAD).mul_f64(0.5 + random::<f64>() / 2.0);
     let free_from = Duration::ZERO;
-    let mut reader =
+    let mut participant =
         Reader { node: Rc::clone(&node), end: None, quiet_since: None, spread, free_from };
     let mut link = Link::new(&node, "claim");
     loop {
-        let step = if node.holding.borrow().is_mine() {
-            reader.renew().await
+        let result = if node.holding.borrow().is_mine() {
+            participant.renew().await
         } else {
-            reader.follow().await
+            participant.follow().await
         };
-        match step {
+        match result {
             Ok(()) => {
                 link.up();
             }
@@ -109,8 +109,8 @@
             }
             Err(e) => {
                 // A closed connection does not show that the store is down, so a read checks it.
-                let lost = matches!(e, StoreError::Lost { .. });
-                if lost && self.read(Duration::ZERO).await.is_ok() {
+                let no_response = matches!(e, StoreError::Lost { .. });
+                if no_response && self.read(Duration::ZERO).await.is_ok() {
                     return Ok(());
                 }
                 node.holding.borrow_mut().tried = boot_time();
@@ -120,7 +120,7 @@
     }
 
     async fn follow(&mut self) -> Result<(), StoreError> {
-        let (lease, me) = {
+        let (lease, own_name) = {
             let settings = self.node.settings.borrow();
             (settings.lease, settings.node.clone())
         };
@@ -130,12 +130,12 @@
             sleep(HOLDER_CHECK).await;
             return Ok(());
         }
-        if self.has_just_heard(&me) {
+        if self.has_just_heard(&own_name) {
             sleep(HOLDER_CHECK).await;
             return Ok(());
         }
         let spread = self.spread();
-        let wait = if self.is_free(&me) { spread } else { self.until_out(lease) };
+        let wait = if self.is_free(&own_name) { spread } else { self.until_out(lease) };
         if let Err(e) = self.read(wait).await {
             // The leader cannot renew either while the store is down.
             self.quiet_since = None;
@@ -150,18 +150,18 @@
         let unrenewed_since = self.end.map_or(now, since);
         let quiet_since = self.quiet_since.unwrap_or(now).min(unrenewed_since);
         self.quiet_since = Some(quiet_since);
-        let quiet = now - quiet_since;
-        let free = self.is_free(&me) && quiet >= spread.as_millis() as Millis;
-        let out = quiet >= (lease + spread).as_millis() as Millis;
-        let listed = self.node.state.borrow().listed;
-        if listed && (free || out) { self.claim().await } else { Ok(()) }
+        let quiet_ms = now - quiet_since;
+        let is_free = self.is_free(&own_name) && quiet_ms >= spread.as_millis() as Millis;
+        let expired = quiet_ms >= (lease + spread).as_millis() as Millis;
+        let has_list = self.node.state.borrow().listed;
+        if has_list && (is_free || expired) { self.claim().await } else { Ok(()) }
     }
 
     /// Whether the log has just shown another leader, which will send this node its updates.
-    fn has_just_heard(&self, me: &str) -> bool {
+    fn has_just_heard(&self, own_name: &str) -> bool {
         let now = self.node.now();
-        let lately = self.quiet_since.is_some_and(|since| now.saturating_sub(since) < HEARD_NOW);
-        lately && !self.is_free(me)
+        let is_recent = self.quiet_since.is_some_and(|since| now.saturating_sub(since) < HEARD_NOW);
+        is_recent && !self.is_free(own_name)
     }
 
     /// Wait before a claim. A node that stopped reading the engine list waits longer, because it
@@ -172,14 +172,14 @@
 
     /// Time until the leader's lease and this node's own wait are over.
     fn until_out(&self, lease: Duration) -> Duration {
-        let quiet = self.quiet_since.map_or(0, |since| self.node.now().saturating_sub(since));
-        (lease + self.spread()).saturating_sub(Duration::from_millis(quiet)).min(lease / 2)
+        let quiet_ms = self.quiet_since.map_or(0, |since| self.node.now().saturating_sub(since));
+        (lease + self.spread()).saturating_sub(Duration::from_millis(quiet_ms)).min(lease / 2)
     }
 
     /// Whether nobody has the lease, or an earlier process of this node does.
-    fn is_free(&self, me: &str) -> bool {
-        let holding = self.node.holding.borrow();
-        let is_free = holding.keeper.as_ref().is_none_or(|keeper| keeper.node == me);
+    fn is_free(&self, own_name: &str) -> bool {
+        let leadership = self.node.holding.borrow();
+        let is_free = leadership.keeper.as_ref().is_none_or(|leader| leader.node == own_name);
         is_free && boot_time() >= self.free_from
     }
 
@@ -199,17 +199,17 @@
     async fn claim_again(&mut self, end: Cursor) -> Result<(), StoreError> {
         let node = Rc::clone(&self.node);
         let lease = node.settings.borrow().lease;
-        let Some(before) = node.holding.borrow().sure(lease) else {
+        let Some(old_fence) = node.holding.borrow().sure(lease) else {
             let name = node.settings.borrow().node.clone();
-            let lost = node.holding.borrow_mut().mine.take();
-            if let Some(fence) = lost.and_then(Cursor::fence) {
+            let lost_claim = node.holding.borrow_mut().mine.take();
+            if let Some(fence) = lost_claim.and_then(Cursor::fence) {
                 emit(Event::KeeperLost, &[("node", &name), ("term", &fence)]);
             }
             return Ok(());
         };
         if let Some((fence, _)) = self.claim_at(end).await? {
             keeper::go_on(&node, fence);
-            quotas::go_on(&node, before, fence);
+            quotas::go_on(&node, old_fence, fence);
         }
         Ok(())
     }
@@ -219,7 +219,10 @@
     async fn claim_at(&mut self, end: Cursor) -> Result<Option<(u64, Option<u64>)>, StoreError> {
         let Some(fence) = end.fence() else {
             let why = format!("{end} is out of range for a fencing token");
-            return Err(StoreError::Malformed(Malformed { what: "position of a lease claim", why }));
+            return Err(StoreError::Malformed(Malformed {
+                what: "position of a lease claim",
+                why,
+            }));
         };
         let node = Rc::clone(&self.node);
         let began = boot_time();
@@ -235,18 +238,18 @@
         }
     }
 
-    fn gain(&mut self, at: Cursor, fence: u64, began: Duration) -> Option<u64> {
+    fn gain(&mut self, claim_position: Cursor, fence: u64, began: Duration) -> Option<u64> {
         let node = &self.node;
         let (name, addr) = {
             let settings = node.settings.borrow();
             (settings.node.clone(), settings.peers)
         };
         emit(Event::KeeperGained, &[("node", &name), ("term", &fence)]);
-        let mut holding = node.holding.borrow_mut();
-        holding.keeper = Some(Keeper { node: name, addr, fence });
-        holding.mine = Some(at);
-        holding.was_renewed(began, at.plus(1));
-        holding.newest.replace(fence)
+        let mut leadership = node.holding.borrow_mut();
+        leadership.keeper = Some(Keeper { node: name, addr, fence });
+        leadership.mine = Some(claim_position);
+        leadership.was_renewed(began, claim_position.plus(1));
+        leadership.newest.replace(fence)
     }
 
     async fn read(&mut self, wait: Duration) -> Result<(), StoreError> {
@@ -259,15 +262,15 @@
             return Ok(());
         }
         let known = self.end.map_or(Era::FIRST, |known| known.era);
-        let entered = known < end.era;
+        let is_new_era = known < end.era;
         self.end = Some(end);
-        if entered {
+        if is_new_era {
             eras::look(&self.node);
         }
-        if !records.is_empty() || entered {
+        if !records.is_empty() || is_new_era {
             self.quiet_since = Some(self.node.now());
         }
-        if entered {
+        if is_new_era {
             self.enter();
         }
         for record in &records {
@@ -285,30 +288,35 @@
     }
 
     fn apply(&mut self, record: &Record, began: Duration) {
-        let Some(entry) = valid(record) else { return };
-        eras::hear(&self.node, entry.era);
+        let Some(lease_record) = valid(record) else { return };
+        eras::hear(&self.node, lease_record.era);
         self.free_from = Duration::ZERO;
-        let me = self.node.settings.borrow().node.clone();
-        let mut holding = self.node.holding.borrow_mut();
-        let lost = holding.mine.filter(|mine| {
-            entry.node != me || (entry.kind == EntryKind::Claim && record.at != *mine)
+        let own_name = self.node.settings.borrow().node.clone();
+        let mut leadership = self.node.holding.borrow_mut();
+        let lost_claim = leadership.mine.filter(|mine| {
+            lease_record.node != own_name
+                || (lease_record.kind == EntryKind::Claim && record.at != *mine)
         });
-        if let Some(fence) = lost.and_then(Cursor::fence) {
-            emit(Event::KeeperLost, &[("node", &me), ("term", &fence)]);
-            holding.mine = None;
+        if let Some(fence) = lost_claim.and_then(Cursor::fence) {
+            emit(Event::KeeperLost, &[("node", &own_name), ("term", &fence)]);
+            leadership.mine = None;
         }
-        if holding.mine.is_some() {
-            holding.renewed = began;
+        if leadership.mine.is_some() {
+            leadership.renewed = began;
         }
-        let Entry { kind, node, addr, .. } = entry;
+        let Entry { kind, node, addr, .. } = lease_record;
         let Some(fence) = record.at.fence() else { return };
-        let known = holding.keeper.as_ref().filter(|k| k.node == node).map(|k| k.fence);
+        let known_fence = leadership
+            .keeper
+            .as_ref()
+            .filter(|leader| leader.node == node)
+            .map(|leader| leader.fence);
         if kind == EntryKind::Claim {
-            holding.newest = Some(fence);
+            leadership.newest = Some(fence);
         }
-        holding.keeper = match kind {
+        leadership.keeper = match kind {
             EntryKind::Claim => Some(Keeper { node, addr, fence }),
-            EntryKind::Renewal => Some(Keeper { node, addr, fence: known.unwrap_or(fence) }),
+            EntryKind::Renewal => Some(Keeper { node, addr, fence: known_fence.unwrap_or(fence) }),
             EntryKind::Release => None,
         };
     }
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -37,9 +37,9 @@
     node: &Node,
     wanted: &Wanted,
     domain: &str,
-    refuted: Option<&EngineId>,
+    stale_engine: Option<&EngineId>,
 ) -> Placement {
-    if let Some(engine) = refuted {
+    if let Some(engine) = stale_engine {
         disbelieve(node, wanted, engine);
     }
     if is_placed(node, wanted) {
@@ -71,12 +71,12 @@
 
 /// Starts to place an adapter unless that is in progress. The result is notified at the end.
 fn begin_placing(node: &Node, wanted: &Wanted, domain: &str) -> Rc<Notify> {
-    let mut keeper = node.keeper.borrow_mut();
-    if let Some(under_way) = keeper.placing.get(wanted) {
-        return Rc::clone(under_way);
+    let mut leader = node.keeper.borrow_mut();
+    if let Some(in_progress) = leader.placing.get(wanted) {
+        return Rc::clone(in_progress);
     }
     let done = Rc::new(Notify::new());
-    keeper.placing.insert(wanted.clone(), Rc::clone(&done));
+    leader.placing.insert(wanted.clone(), Rc::clone(&done));
     let (node, wanted, domain) = (Rc::clone(node), wanted.clone(), domain.to_owned());
     tokio::task::spawn_local(async move {
         place(&node, &wanted, &domain).await;
@@ -91,13 +91,13 @@
 /// Places an adapter in demand that no engine has loaded, ahead of the next request for it.
 pub(super) fn step(node: &Node, service: &ServiceId) {
     let wanted = {
-        let keeper = node.keeper.borrow();
-        if keeper.placing.len() >= MOST_AHEAD {
+        let leader = node.keeper.borrow();
+        if leader.placing.len() >= MOST_AHEAD {
             return;
         }
         let state = node.state.borrow();
         let engines: Vec<&Engine> = state.engines.of(service).filter(|e| e.takes_work()).collect();
-        spread_adapters(&engines, &keeper.demand, node.now())
+        spread_adapters(&engines, &leader.demand, node.now())
     };
     let Some(wanted) = wanted else { return };
     begin_placing(node, &wanted, "");
@@ -105,8 +105,8 @@
 
 fn is_placed(node: &Node, wanted: &Wanted) -> bool {
     let now = node.now();
-    let reached = |e: &Engine| e.takes_work() && !e.judge.is_dark(now);
-    node.state.borrow().engines.iter().any(|e| reached(e) && e.holds(wanted))
+    let is_reachable = |e: &Engine| e.takes_work() && !e.judge.is_dark(now);
+    node.state.borrow().engines.iter().any(|e| is_reachable(e) && e.holds(wanted))
 }
 
 async fn place(node: &Node, wanted: &Wanted, domain: &str) {
@@ -115,8 +115,8 @@
         return;
     }
     if let Some((engine, instead_of)) = choose(node, wanted, domain) {
-        let turn = desk(node, &engine);
-        let _turn = turn.lock().await;
+        let lock = desk(node, &engine);
+        let _guard = lock.lock().await;
         // Another order may have taken the slot meanwhile.
         if choose_again(node, wanted, &engine, instead_of.as_ref()) {
             carry_out(node, &engine, wanted, instead_of).await;
@@ -128,17 +128,17 @@
     let now = node.now();
     for (service, pool) in pools(node) {
         let state = node.state.borrow();
-        let keeper = node.keeper.borrow();
+        let leader = node.keeper.borrow();
         let engines: Vec<&Engine> = state
             .engines
             .of(&service)
-            .filter(|e| e.takes_work() && keeper.surveyed.contains_key(&e.listed.id))
+            .filter(|e| e.takes_work() && leader.surveyed.contains_key(&e.listed.id))
             // Engines execute one order at a time.
-            .filter(|e| !keeper.pending.contains_key(&e.listed.id))
-            .filter(|e| !keeper.emptying.contains(&e.listed.id))
+            .filter(|e| !leader.pending.contains_key(&e.listed.id))
+            .filter(|e| !leader.emptying.contains(&e.listed.id))
             .collect();
-        let step = place_adapter(&engines, &pool, &keeper.demand, wanted, domain, now);
-        if let AdapterStep::Load { engine, instead_of } = step {
+        let action = place_adapter(&engines, &pool, &leader.demand, wanted, domain, now);
+        if let AdapterStep::Load { engine, instead_of } = action {
             return Some((engine, instead_of));
         }
     }
@@ -152,19 +152,19 @@
     engine: &EngineId,
     instead_of: Option<&Wanted>,
 ) -> bool {
-    let slots = pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
+    let max_slots = pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
     let fits = node.engine(engine, |e| {
         let freed = usize::from(instead_of.is_some_and(|w| e.holds(w)));
-        e.holds_model(&wanted.model) && !e.holds(wanted) && e.places_taken() - freed < slots
+        e.holds_model(&wanted.model) && !e.holds(wanted) && e.places_taken() - freed < max_slots
     });
-    let keeper = node.keeper.borrow();
-    let known = keeper.surveyed.contains_key(engine) && !keeper.pending.contains_key(engine);
-    known && fits.unwrap_or(false)
+    let leader = node.keeper.borrow();
+    let is_surveyed = leader.surveyed.contains_key(engine) && !leader.pending.contains_key(engine);
+    is_surveyed && fits.unwrap_or(false)
 }
 
 fn tell(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<&Wanted>) {
     let rate = format!("{:.1}", node.keeper.borrow().demand.rate(node.now(), wanted));
-    let drop = instead_of.map(Wanted::to_string).unwrap_or_default();
+    let evict = instead_of.map(Wanted::to_string).unwrap_or_default();
     emit(
         Event::AdapterPlanned,
         &[
@@ -172,22 +172,22 @@
             ("upstream", engine),
             ("load", wanted),
             ("load_rate", &rate),
-            ("drop", &drop),
+            ("drop", &evict),
         ],
     );
 }
 
 async fn carry_out(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<Wanted>) {
     tell(node, engine, wanted, instead_of.as_ref());
-    if let Some(victim) = instead_of {
+    if let Some(evicted) = instead_of {
         if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
-            e.drop_held(&victim);
+            e.drop_held(&evicted);
         }
         changed(node, engine);
         node.keeper.borrow_mut().emptying.insert(engine.clone());
-        let dropped = done(node, engine, OrderKind::Unload, &victim).await;
+        let unloaded = done(node, engine, OrderKind::Unload, &evicted).await;
         node.keeper.borrow_mut().emptying.shift_remove(engine);
-        if !dropped {
+        if !unloaded {
             return;
         }
     }
@@ -197,8 +197,8 @@
 /// Repeats an order until the engine has executed it. Returns whether it has.
 async fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) -> bool {
     // An adapter in use is unloaded after its last request.
-    let longest = if kind == OrderKind::Unload { LONGEST_UNLOAD } else { LONGEST };
-    let until = Instant::now() + longest;
+    let max_wait = if kind == OrderKind::Unload { LONGEST_UNLOAD } else { LONGEST };
+    let deadline = Instant::now() + max_wait;
     let mut pause = FIRST_CHECK;
     if kind == OrderKind::Load
         && let Some(e) = node.state.borrow_mut().engines.get_mut(engine)
@@ -206,7 +206,7 @@
         e.expect(wanted);
     }
     let mut accepted = false;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         match give(node, engine, kind, wanted).await {
             Given::Holds => {
                 if kind == OrderKind::Unload && !accepted {
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -57,11 +57,12 @@
     let Some((addr, seq, start)) = known else { return Given::Refused };
     let order = Order { addr, engine, kind, wanted, seq, holder: &holder, fence };
     let req = node.dialects.upstreams.order(&order);
-    let given = match exchange(node, engine, &req).await {
+    let result = match exchange(node, engine, &req).await {
         Exchanged::Answered(status, body) => {
-            let still = node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
+            let is_same_start =
+                node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
             // The engine restarted meanwhile, so the response says nothing about its state.
-            let given = if still { said(status) } else { Given::Conflict };
+            let result = if is_same_start { said(status) } else { Given::Conflict };
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
                 ("node", &holder),
                 ("upstream", engine),
@@ -73,14 +74,14 @@
                 ("answer", &String::from_utf8_lossy(&body)),
             ];
             emit(
-                if given == Given::Accepted || given == Given::Holds {
+                if result == Given::Accepted || result == Given::Holds {
                     Event::OrderSent
                 } else {
                     Event::OrderNotDone
                 },
                 fields,
             );
-            given
+            result
         }
         Exchanged::NotSent => Given::NotSent,
         Exchanged::Lost => {
@@ -98,7 +99,7 @@
             Given::Lost
         }
     };
-    let outcome = match given {
+    let outcome = match result {
         Given::Accepted => "accepted",
         Given::Holds => "holds",
         Given::Conflict => "conflict",
@@ -109,11 +110,11 @@
     };
     let kind_name = if kind == OrderKind::Load { "load" } else { "unload" };
     meter::order(kind_name, outcome);
-    if given == Given::Superseded {
+    if result == Given::Superseded {
         emit(Event::KeeperLost, &[("node", &holder), ("term", &fence)]);
         node.holding.borrow_mut().superseded();
     }
-    given
+    result
 }
 
 /// Counts an order that the engine accepted. The engine does not count repetitions of an order in
@@ -192,12 +193,12 @@
     let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return Exchanged::NotSent };
     let connected = timeout(PATIENCE, node.pool.get(addr, node.connect_limits())).await;
     let Ok(Ok(mut conn)) = connected else { return Exchanged::NotSent };
-    let answered = async {
+    let response = async {
         let head = conn.send(req).await.ok()?;
         let body = conn.collect(Body::new(head.framing), MOST).await.ok()?;
         Some((head.status, body))
     };
-    match timeout(PATIENCE, answered).await {
+    match timeout(PATIENCE, response).await {
         Ok(Some((status, body))) => {
             node.heard(engine);
             node.pool.put(addr, conn);
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -90,21 +90,21 @@
 /// Starts the leader's work under a new claim.
 pub(crate) fn begin(node: &Node, fence: u64, predecessor: Option<u64>) {
     let now = node.now();
-    let begun = begun_under(node, predecessor);
-    let mut keeper = KeeperState { fence, begun: now, ..KeeperState::default() };
+    let load_starts = begun_under(node, predecessor);
+    let mut leader = KeeperState { fence, begun: now, ..KeeperState::default() };
     {
         let mut state = node.state.borrow_mut();
         // The demand below includes these counts.
         state.asked.clear();
-        keeper.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
+        leader.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
     }
     for (_, pool) in pools(node) {
-        match &begun {
-            Some(begun) => keeper.ceiling.go_on_from(now, begun, UNHEARD_LOADS),
-            None => keeper.ceiling.assume_full(now, &ceiling_limits(node, &pool), FIRST_LOADS),
+        match &load_starts {
+            Some(load_starts) => leader.ceiling.go_on_from(now, load_starts, UNHEARD_LOADS),
+            None => leader.ceiling.assume_full(now, &ceiling_limits(node, &pool), FIRST_LOADS),
         }
     }
-    *node.keeper.borrow_mut() = keeper;
+    *node.keeper.borrow_mut() = leader;
     tokio::task::spawn_local(run(Rc::clone(node), fence));
 }
 
@@ -120,13 +120,13 @@
 /// them.
 fn begun_under(node: &Node, claim: Option<u64>) -> Option<Vec<Millis>> {
     let claim = claim?;
-    let keeper = node.keeper.borrow();
-    if keeper.fence == claim && keeper.begun > 0 {
+    let leader = node.keeper.borrow();
+    if leader.fence == claim && leader.begun > 0 {
         let now = node.now();
-        return Some(keeper.ceiling.ages(now).iter().map(|age| now - age).collect());
+        return Some(leader.ceiling.ages(now).iter().map(|age| now - age).collect());
     }
-    let told = node.state.borrow().begun.clone();
-    told.filter(|(fence, _)| *fence == claim).map(|(_, begun)| begun)
+    let reported = node.state.borrow().begun.clone();
+    reported.filter(|(fence, _)| *fence == claim).map(|(_, load_starts)| load_starts)
 }
 
 /// Counts a load from the weight store. Nodes are notified at once, because one of them may be the
@@ -156,18 +156,18 @@
     let state = node.state.borrow();
     let engines = state.engines.iter().filter(|e| services.contains(&e.listed.service));
     let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
-    let mut keeper = node.keeper.borrow_mut();
-    keeper.surveyed.retain(|id, start| {
+    let mut leader = node.keeper.borrow_mut();
+    leader.surveyed.retain(|id, start| {
         let engine = state.engines.get(id).filter(|_| ids.contains(id));
         engine.is_some_and(|e| !start.is_before(e.listed.start))
     });
     drop(state);
     node.placements.borrow_mut().retain(|id| ids.contains(id));
-    keeper.desks.retain(|id, _| ids.contains(id));
-    keeper.pending.retain(|id, _| ids.contains(id));
-    keeper.loading.retain(|id, _| ids.contains(id));
+    leader.desks.retain(|id, _| ids.contains(id));
+    leader.pending.retain(|id, _| ids.contains(id));
+    leader.loading.retain(|id, _| ids.contains(id));
     for id in ids {
-        if !keeper.surveyed.contains_key(&id) && keeper.surveying.insert(id.clone()) {
+        if !leader.surveyed.contains_key(&id) && leader.surveying.insert(id.clone()) {
             let node = Rc::clone(node);
             tokio::task::spawn_local(async move {
                 survey_one(&node, &id).await;
@@ -186,15 +186,15 @@
     while node.keeper.borrow().fence == fence
         && let Some(start) = node.engine(id, |e| e.listed.start)
     {
-        let state = {
-            let _asks = asking.0.acquire().await;
-            let desk = desk(node, id);
-            let _turn = desk.lock().await;
+        let report = {
+            let _permit = asking.0.acquire().await;
+            let lock = desk(node, id);
+            let _guard = lock.lock().await;
             give::ask(node, id).await
         };
-        if state == Some(give::Free(true)) {
-            let mut keeper = node.keeper.borrow_mut();
-            keeper.surveyed.insert(id.clone(), start);
+        if report == Some(give::Free(true)) {
+            let mut leader = node.keeper.borrow_mut();
+            leader.surveyed.insert(id.clone(), start);
             break;
         }
         sleep(BUSY_CHECK).await;
@@ -207,10 +207,10 @@
 fn is_new(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
     let Some(start) = node.engine(id, |e| e.listed.start) else { return false };
-    let mut keeper = node.keeper.borrow_mut();
-    let held_for = node.now().saturating_sub(keeper.begun);
-    let known = keeper.met.insert(id.clone(), start);
-    held_for > LEASES_ALONE * lease && known != Some(start)
+    let mut leader = node.keeper.borrow_mut();
+    let leads_for = node.now().saturating_sub(leader.begun);
+    let seen_before = leader.met.insert(id.clone(), start);
+    leads_for > LEASES_ALONE * lease && seen_before != Some(start)
 }
 
 /// Services whose engines load models on demand.
@@ -227,8 +227,8 @@
 }
 
 fn desk(node: &Node, engine: &EngineId) -> Rc<Mutex<()>> {
-    let mut keeper = node.keeper.borrow_mut();
-    Rc::clone(keeper.desks.entry(engine.clone()).or_default())
+    let mut leader = node.keeper.borrow_mut();
+    Rc::clone(leader.desks.entry(engine.clone()).or_default())
 }
 
 /// Notifies nodes that poll this one of a new configuration.
@@ -239,10 +239,10 @@
 /// Adds the demand that a node reported.
 pub(crate) fn asked(node: &Node, asked: &[Asked]) {
     let now = node.now();
-    let mut keeper = node.keeper.borrow_mut();
-    for one in asked {
-        let (wanted, count) = one.clone().parts();
-        keeper.demand.saw(now, &wanted, count);
+    let mut leader = node.keeper.borrow_mut();
+    for entry in asked {
+        let (wanted, count) = entry.clone().parts();
+        leader.demand.saw(now, &wanted, count);
     }
 }
 
@@ -261,9 +261,9 @@
     let Some(place) = node.state.borrow().list_at else { return };
     node.listed_to(place, ListedBy::Known);
     let changed_at = node.state.borrow().listing.changed_at();
-    let mut keeper = node.keeper.borrow_mut();
-    if keeper.list_told < changed_at {
-        keeper.list_told = changed_at;
+    let mut leader = node.keeper.borrow_mut();
+    if leader.list_told < changed_at {
+        leader.list_told = changed_at;
         node.news.notify_waiters();
     }
 }
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -46,40 +46,40 @@
     // to send the order the model would stay loaded and get no requests.
     while may_give(node) {
         let now = node.now();
-        let mut keeper = node.keeper.borrow_mut();
-        if making_room(&keeper.pending, &keeper.loading) >= MOST_MAKING_ROOM {
+        let mut leader = node.keeper.borrow_mut();
+        if making_room(&leader.pending, &leader.loading) >= MOST_MAKING_ROOM {
             return;
         }
-        let seen_for = keeper.demand.since().map_or(0, |since| now.saturating_sub(since));
-        let told = now.saturating_sub(keeper.begun) >= NODES_TELL.as_millis() as u64;
+        let demand_age = leader.demand.since().map_or(0, |since| now.saturating_sub(since));
+        let nodes_reported = now.saturating_sub(leader.begun) >= NODES_TELL.as_millis() as u64;
         let allowed = Allowed {
-            store: keeper.ceiling.allows(now, &ceiling_limits(node, pool)),
-            drop: told && seen_for >= SEEN_FOR.as_millis() as u64,
+            store: leader.ceiling.allows(now, &ceiling_limits(node, pool)),
+            drop: nodes_reported && demand_age >= SEEN_FOR.as_millis() as u64,
         };
         let state = node.state.borrow();
         // Copies on unreachable engines do not count, although their entries have not expired yet.
         let engines = state.engines.of(service).filter(|e| e.takes_work());
         let engines: Vec<&Engine> = engines.filter(|e| !e.judge.is_dark(now)).collect();
-        let rates = keeper.demand.rates(now);
-        let mut taken = keeper.pending.clone();
-        for engine in engines.iter().filter(|e| !keeper.surveyed.contains_key(&e.listed.id)) {
+        let rates = leader.demand.rates(now);
+        let mut busy = leader.pending.clone();
+        for engine in engines.iter().filter(|e| !leader.surveyed.contains_key(&e.listed.id)) {
             // Its loaded models count, but it may have an unknown order in progress.
-            taken.entry(engine.listed.id.clone()).or_default();
+            busy.entry(engine.listed.id.clone()).or_default();
         }
-        let step = next_model_step(&engines, pool, &rates, &taken, allowed, now);
+        let step = next_model_step(&engines, pool, &rates, &busy, allowed, now);
         let Some(step) = step else { return };
         tell(node, &step, &engines, &rates);
         drop(state);
         step.make_way(&mut node.state.borrow_mut().engines);
-        keeper.pending.insert(step.engine.clone(), step.load.clone());
-        drop(keeper);
+        leader.pending.insert(step.engine.clone(), step.load.clone());
+        drop(leader);
         let (node, pool) = (Rc::clone(node), pool.clone());
         tokio::task::spawn_local(async move {
             let engine = step.engine.clone();
             put(&node, &pool, step).await;
-            let mut keeper = node.keeper.borrow_mut();
-            keeper.pending.shift_remove(&engine);
-            keeper.loading.shift_remove(&engine);
+            let mut leader = node.keeper.borrow_mut();
+            leader.pending.shift_remove(&engine);
+            leader.loading.shift_remove(&engine);
         });
     }
 }
@@ -110,8 +110,8 @@
 async fn put(node: &Node, pool: &Pool, step: ModelStep) {
     let ModelStep { engine, drop, load, source } = step;
     for model in drop {
-        let victim = Wanted { model, adapter: None };
-        if !carry_out(node, &engine, OrderKind::Unload, &victim, Duration::ZERO).await {
+        let evicted = Wanted { model, adapter: None };
+        if !carry_out(node, &engine, OrderKind::Unload, &evicted, Duration::ZERO).await {
             return;
         }
     }
@@ -121,21 +121,24 @@
         }
         begin_load(node);
     }
-    let usual = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.time(m));
-    node.keeper.borrow_mut().loading.insert(engine.clone(), node.now() + usual.as_millis() as u64);
+    let usual_time = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.time(m));
+    node.keeper
+        .borrow_mut()
+        .loading
+        .insert(engine.clone(), node.now() + usual_time.as_millis() as u64);
     let wanted = Wanted { model: load, adapter: None };
-    carry_out(node, &engine, OrderKind::Load, &wanted, usual).await;
+    carry_out(node, &engine, OrderKind::Load, &wanted, usual_time).await;
 }
 
 /// Estimated time in milliseconds until an engine has loaded the model.
 pub(super) fn coming_in(node: &Node, model: &str) -> u64 {
     let usual = pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
     let usual = usual.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
-    let keeper = node.keeper.borrow();
-    let on_its_way = keeper.pending.iter().filter(|(_, m)| *m == model);
-    let done = on_its_way.filter_map(|(engine, _)| keeper.loading.get(engine)).min();
-    match done {
-        Some(done) => done.saturating_sub(node.now()) + DONE_CHECK.as_millis() as u64,
+    let leader = node.keeper.borrow();
+    let loading = leader.pending.iter().filter(|(_, m)| *m == model);
+    let done_at = loading.filter_map(|(engine, _)| leader.loading.get(engine)).min();
+    match done_at {
+        Some(done_at) => done_at.saturating_sub(node.now()) + DONE_CHECK.as_millis() as u64,
         None => usual + usual / 2,
     }
 }
@@ -148,7 +151,7 @@
     wanted: &Wanted,
     usual: Duration,
 ) -> bool {
-    let turn = desk(node, engine);
+    let lock = desk(node, engine);
     let Some(start) = node.engine(engine, |e| e.listed.start) else { return false };
     if kind == OrderKind::Unload {
         // Requests are sent elsewhere from now on.
@@ -158,15 +161,15 @@
         changed(node, engine);
         sleep(WORD_AHEAD).await;
     }
-    let patience = if kind == OrderKind::Load { usual * SLOWEST } else { UNLOAD };
-    let until = Instant::now() + patience;
+    let max_wait = if kind == OrderKind::Load { usual * SLOWEST } else { UNLOAD };
+    let deadline = Instant::now() + max_wait;
     let mut accepted = false;
-    while Instant::now() < until && is_still(node, engine, start) {
-        let given = {
-            let _turn = turn.lock().await;
+    while Instant::now() < deadline && is_still(node, engine, start) {
+        let result = {
+            let _guard = lock.lock().await;
             give(node, engine, kind, wanted).await
         };
-        match given {
+        match result {
             Given::Holds => {
                 done(node, engine, kind, wanted);
                 return true;
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -27,9 +27,9 @@
 /// Registers this node, and counts the nodes if it is the leader or there is none, until the
 /// process ends.
 pub(crate) async fn count(node: Node) {
-    let (mut announced, mut counted, mut at) = (announce(&node).await, 0, None);
+    let (mut announced, mut counts_done, mut counted_at) = (announce(&node).await, 0, None);
     let mut era = node.era.get().era();
-    let mut kept = false;
+    let mut was_leader = false;
     until_told(&node).await;
     loop {
         if !announced {
@@ -37,24 +37,25 @@
             announced = announce(&node).await;
         }
         // A store restored from a backup may have lost the registration.
-        let now_in = node.era.get().era();
-        if std::mem::replace(&mut era, now_in) != now_in {
+        let current_era = node.era.get().era();
+        if std::mem::replace(&mut era, current_era) != current_era {
             announced = announce(&node).await;
-            (counted, at) = (0, None);
+            (counts_done, counted_at) = (0, None);
         }
-        let keeps = node.holding.borrow().is_mine();
-        if keeps && !kept {
-            (counted, at) = (0, None);
+        let is_leader = node.holding.borrow().is_mine();
+        if is_leader && !was_leader {
+            (counts_done, counted_at) = (0, None);
         }
-        kept = keeps;
-        let pause = if counted < FIRST { FIRST_COUNTS } else { COUNT };
-        let due = at.is_none_or(|at| node.now().saturating_sub(at) >= pause);
+        was_leader = is_leader;
+        let pause = if counts_done < FIRST { FIRST_COUNTS } else { COUNT };
+        let due =
+            counted_at.is_none_or(|counted_at| node.now().saturating_sub(counted_at) >= pause);
         // Only the leader counts. While there is no leader, the last count remains in use.
-        let counts = keeps || node.members.borrow().is_empty() && !node.was_followed();
-        if announced && due && counts {
-            at = Some(node.now());
+        let should_count = is_leader || node.members.borrow().is_empty() && !node.was_followed();
+        if announced && due && should_count {
+            counted_at = Some(node.now());
             match read(&node).await {
-                true => counted += 1,
+                true => counts_done += 1,
                 false => after_failure(&node).await,
             }
         }
@@ -63,7 +64,7 @@
 }
 
 async fn announce(node: &Node) -> bool {
-    let me = {
+    let member = {
         let settings = node.settings.borrow();
         Member {
             node: settings.node.clone(),
@@ -72,8 +73,8 @@
             processor: settings.processor,
         }
     };
-    let entry = serde_json::to_vec(&me).expect("a member is valid JSON");
-    node.dialects.store.announce(&me.node, entry.into()).await.is_ok()
+    let entry = serde_json::to_vec(&member).expect("a member is valid JSON");
+    node.dialects.store.announce(&member.node, entry.into()).await.is_ok()
 }
 
 async fn read(node: &Node) -> bool {
--- a/crates/gateway/src/peers/children.rs
+++ b/crates/gateway/src/peers/children.rs
@@ -16,9 +16,9 @@
 impl Children {
     /// Records a request and forgets nodes that stopped polling.
     pub(crate) fn asks(&self, node: SocketAddr, now: Millis) {
-        let mut asked = self.0.borrow_mut();
-        asked.insert(node, now);
-        asked.retain(|_, at| now.saturating_sub(*at) < COUNTS_FOR);
+        let mut last_polls = self.0.borrow_mut();
+        last_polls.insert(node, now);
+        last_polls.retain(|_, at| now.saturating_sub(*at) < COUNTS_FOR);
     }
 
     pub(crate) fn all(&self) -> Vec<SocketAddr> {
@@ -31,9 +31,9 @@
 
     /// Number of nodes with a request within the last `age` milliseconds.
     pub(crate) fn heard_within(&self, age: Millis, now: Millis) -> u32 {
-        let asked = self.0.borrow();
-        let lately = asked.values().filter(|at| now.saturating_sub(**at) < age);
-        u32::try_from(lately.count()).unwrap_or(u32::MAX)
+        let last_polls = self.0.borrow();
+        let recent = last_polls.values().filter(|at| now.saturating_sub(**at) < age);
+        u32::try_from(recent.count()).unwrap_or(u32::MAX)
     }
 
     pub(crate) fn count(&self) -> u32 {
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/dark.rs
@@ -31,14 +31,14 @@
 /// problem is on the reporter's side.
 const HEARD_LATELY: Millis = 400;
 
-/// Reports to the hub that an engine refused a connection or was unresponsive on all of them.
+/// Reports to the hub that an engine refused a connection or stopped responding on all of them.
 pub(crate) fn lost(node: &Node, key: EngineKey) {
     if tells_sends(node.state.borrow().nodes) {
         return;
     }
     match node.parent() {
-        Some((Parent::Head(head), _)) => {
-            node.sends.tell_to([&head].into_iter(), &Word::Lost(key));
+        Some((Parent::Head(hub), _)) => {
+            node.sends.tell_to([&hub].into_iter(), &Word::Lost(key));
         }
         _ => watch(node, key),
     }
@@ -58,19 +58,19 @@
     from: SocketAddr,
     key: EngineKey,
     domain: &str,
-    dark: bool,
+    is_unreachable: bool,
 ) {
-    let mine = node.settings.borrow().domain == domain;
-    if !mine && domain_of(node, key).is_none_or(|of_engine| of_engine != domain) {
+    let is_own_domain = node.settings.borrow().domain == domain;
+    if !is_own_domain && domain_of(node, key).is_none_or(|engine_domain| engine_domain != domain) {
         return;
     }
     match relation(node, from) {
         // A node behind this hub hears an engine that the hub believes unreachable.
-        Relation::Child if !dark => tell(node, key, false),
+        Relation::Child if !is_unreachable => tell(node, key, false),
         Relation::Child | Relation::Stranger => {}
         relation => {
-            if believe(node, key, dark) {
-                tell_children(node, &circle(node), key, dark);
+            if believe(node, key, is_unreachable) {
+                tell_children(node, &circle(node), key, is_unreachable);
             } else if relation == Relation::Head {
                 node.sends.tell_to([&from].into_iter(), &word(node, key, false));
             }
@@ -109,44 +109,44 @@
 
 /// Updates this node, the nodes behind it and the other hubs, unless this node has just
 /// received bytes from the engine.
-fn tell(node: &Node, key: EngineKey, dark: bool) {
-    if !believe(node, key, dark) {
+fn tell(node: &Node, key: EngineKey, is_unreachable: bool) {
+    if !believe(node, key, is_unreachable) {
         return;
     }
-    let circle = circle(node);
-    tell_children(node, &circle, key, dark);
-    node.sends.tell_to(circle.heads.iter(), &word(node, key, dark));
+    let neighbors = circle(node);
+    tell_children(node, &neighbors, key, is_unreachable);
+    node.sends.tell_to(neighbors.heads.iter(), &word(node, key, is_unreachable));
 }
 
 fn domain_of(node: &Node, key: EngineKey) -> Option<String> {
     node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.domain.clone())
 }
 
-fn tell_children(node: &Node, circle: &Circle, key: EngineKey, dark: bool) {
-    node.sends.tell_to(circle.children.iter(), &word(node, key, dark));
+fn tell_children(node: &Node, neighbors: &Circle, key: EngineKey, is_unreachable: bool) {
+    node.sends.tell_to(neighbors.children.iter(), &word(node, key, is_unreachable));
 }
 
-fn word(node: &Node, key: EngineKey, dark: bool) -> Word {
+fn word(node: &Node, key: EngineKey, is_unreachable: bool) -> Word {
     let domain = node.settings.borrow().domain.clone();
-    if dark { Word::Dark(key, domain) } else { Word::Back(key, domain) }
+    if is_unreachable { Word::Dark(key, domain) } else { Word::Back(key, domain) }
 }
 
 /// Updates the state of an engine. Returns false if the report contradicts what this node has just
 /// received.
-fn believe(node: &Node, key: EngineKey, dark: bool) -> bool {
+fn believe(node: &Node, key: EngineKey, is_unreachable: bool) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(engine) = state.engines.by_key(key) else { return false };
-    if dark && now.saturating_sub(engine.heard) < HEARD_LATELY {
+    if is_unreachable && now.saturating_sub(engine.heard) < HEARD_LATELY {
         return false;
     }
-    let was_dark = engine.judge.is_dark(now);
-    if dark {
+    let was_unreachable = engine.judge.is_dark(now);
+    if is_unreachable {
         engine.judge.told_dark(now + DARK_FOR.as_millis() as Millis);
     } else {
         engine.judge.told_back();
     }
-    if was_dark != dark {
+    if was_unreachable != is_unreachable {
         let opinion = engine.judge.opinion(now);
         let (name, engine) = (&node.settings.borrow().node, engine.listed.id.clone());
         emit(
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -26,7 +26,7 @@
 
 /// Polls the leader or the hub of this node's domain until the process ends.
 pub(crate) async fn exchange(node: Node) {
-    let mut asking = Asking::default();
+    let mut poller = Asking::default();
     loop {
         if node.holding.borrow().is_mine() {
             keeper::asked(&node, &take_asked(&node));
@@ -37,7 +37,7 @@
             sleep(NO_KEEPER).await;
             continue;
         };
-        let pause = match asking.ask(&node, parent, addr).await {
+        let pause = match poller.ask(&node, parent, addr).await {
             Some(children) => EXCHANGE_LEAST * crowd(children, node.state.borrow().nodes),
             None => NO_KEEPER,
         };
@@ -60,31 +60,31 @@
     /// Polls once. Returns the number of nodes that poll the same node, or none if it did not
     /// respond.
     async fn ask(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
-        let fence = node.holding.borrow().keeper.as_ref().map_or(0, |k| k.fence);
+        let fence = node.holding.borrow().keeper.as_ref().map_or(0, |leader| leader.fence);
         let mut asked = take_asked(node);
-        let introduces = parent == Parent::Holder && self.introduced != Some(fence);
-        let past = introduces.then(|| counted_before(node));
-        if introduces {
+        let reports_earlier_demand = parent == Parent::Holder && self.introduced != Some(fence);
+        let earlier_demand = reports_earlier_demand.then(|| counted_before(node));
+        if reports_earlier_demand {
             // The earlier demand includes these counts.
             asked.clear();
         }
-        let tell = self.tell(node, asked, past);
+        let request = self.tell(node, asked, earlier_demand);
         let (now, asked) = (node.now(), boot_time());
         self.told = now;
-        let news: News = match ask(node, addr, "/tell", &tell, NEWS_WAIT + PATIENCE).await {
+        let news: News = match ask(node, addr, "/tell", &request, NEWS_WAIT + PATIENCE).await {
             Ok(news) => news,
-            Err(why) => {
+            Err(error) => {
                 self.is_silent(node, parent, addr);
                 // A node that no longer leads refuses at once, so its successor need not wait until
                 // its updates are too old.
-                node.keeper_refuses.set(parent == Parent::Holder && why == Unanswered::Refused);
-                give_back(node, tell.asked);
+                node.keeper_refuses.set(parent == Parent::Holder && error == Unanswered::Refused);
+                give_back(node, request.asked);
                 return None;
             }
         };
         node.keeper_refuses.set(false);
         self.links.entry(addr).or_default().answers(node, addr);
-        if introduces {
+        if reports_earlier_demand {
             self.introduced = Some(fence);
         }
         proof::hear(node, asked, news.held_ms, news.proof);
@@ -101,7 +101,7 @@
         Some(children)
     }
 
-    fn tell(&self, node: &Node, asked: Vec<Asked>, past: Option<CountedBefore>) -> Tell {
+    fn tell(&self, node: &Node, asked: Vec<Asked>, earlier_demand: Option<CountedBefore>) -> Tell {
         let (catalog, list) = {
             let state = node.state.borrow();
             // Version 0 requests the complete configuration.
@@ -117,7 +117,7 @@
             catalog,
             loads: heard_since(node, self.told, None),
             asked,
-            past,
+            past: earlier_demand,
             others: node.sends.digest(),
             heads: digest(node.heads.borrow().candidates()),
         }
@@ -139,11 +139,11 @@
 }
 
 /// Takes in the response to a poll that was sent at `asked_at`.
-fn take_in_news(node: &Node, asked_at: Millis, news: News) {
+fn take_in_news(node: &Node, polled_at: Millis, news: News) {
     let arrived = node.now();
     eras::hear(node, news.era);
-    if let Some(keeper) = news.keeper {
-        node.holding.borrow_mut().hear_of(keeper);
+    if let Some(leader) = news.keeper {
+        node.holding.borrow_mut().hear_of(leader);
     }
     let renewed = news.renewed.map(|(end, age)| (end, arrived.saturating_sub(age)));
     node.holding.borrow_mut().silence.answers(renewed);
@@ -152,18 +152,18 @@
     }
     take_in_list(node, news.list);
     // Counted from the request, because the response may have been delayed on its way.
-    node.followed((asked_at + news.held_ms).saturating_sub(news.age_ms));
+    node.followed((polled_at + news.held_ms).saturating_sub(news.age_ms));
     take_in(node, news.engines);
     take_in_loads(node, &news.loads);
-    let fence = node.holding.borrow().keeper.as_ref().map(|k| k.fence);
+    let fence = node.holding.borrow().keeper.as_ref().map(|leader| leader.fence);
     if let Some(fence) = fence {
         let begun = news.begun.iter().map(|age| arrived.saturating_sub(*age));
         node.state.borrow_mut().begun = Some((fence, begun.collect()));
     }
     node.catalog_told(news.catalog);
     node.state.borrow_mut().nodes = news.nodes.max(1);
-    if let Some(others) = news.others {
-        node.sends.know(others);
+    if let Some(peer_addrs) = news.others {
+        node.sends.know(peer_addrs);
     }
 }
 
@@ -195,17 +195,22 @@
 
 /// Name of the node at `addr`, or the address if the name is unknown.
 fn name_of(node: &Node, addr: SocketAddr) -> String {
-    let holding = node.holding.borrow();
-    let keeper = holding.keeper.as_ref().filter(|k| k.addr == addr).map(|k| k.node.clone());
-    let heads = node.heads.borrow();
-    let head = heads.candidates().iter().find(|c| c.addr == addr).map(|c| c.node.clone());
-    keeper.or(head).unwrap_or_else(|| addr.to_string())
+    let leadership = node.holding.borrow();
+    let leader = leadership
+        .keeper
+        .as_ref()
+        .filter(|leader| leader.addr == addr)
+        .map(|leader| leader.node.clone());
+    let hubs = node.heads.borrow();
+    let hub = hubs.candidates().iter().find(|c| c.addr == addr).map(|c| c.node.clone());
+    leader.or(hub).unwrap_or_else(|| addr.to_string())
 }
 
 fn take_asked(node: &Node) -> Vec<Asked> {
     let asked = std::mem::take(&mut node.state.borrow_mut().asked);
-    let one = |(w, count): (Wanted, f64)| Asked { model: w.model, adapter: w.adapter, count };
-    asked.into_iter().map(one).collect()
+    let into_entry =
+        |(w, count): (Wanted, f64)| Asked { model: w.model, adapter: w.adapter, count };
+    asked.into_iter().map(into_entry).collect()
 }
 
 fn counted_before(node: &Node) -> CountedBefore {
@@ -217,8 +222,8 @@
 
 fn give_back(node: &Node, asked: Vec<Asked>) {
     let mut state = node.state.borrow_mut();
-    for one in asked {
-        let (wanted, count) = one.parts();
+    for entry in asked {
+        let (wanted, count) = entry.parts();
         *state.asked.entry(wanted).or_default() += count;
     }
 }
--- a/crates/gateway/src/peers/flights.rs
+++ b/crates/gateway/src/peers/flights.rs
@@ -31,12 +31,12 @@
 
 /// Nodes that this one exchanges sums with.
 pub(super) fn circle(node: &Node) -> Circle {
-    let (me, view) = (node.settings.borrow().peers, View::of(node));
-    let is = |relation| move |addr: &SocketAddr| view.relation(node, *addr) == relation;
-    let others = node.sends.others().into_iter().filter(|addr| *addr != me);
-    let heads = others.filter(is(Relation::OtherHead)).collect();
+    let (own_addr, topology) = (node.settings.borrow().peers, View::of(node));
+    let is = |relation| move |addr: &SocketAddr| topology.relation(node, *addr) == relation;
+    let peers = node.sends.others().into_iter().filter(|addr| *addr != own_addr);
+    let heads = peers.filter(is(Relation::OtherHead)).collect();
     let children = node.children.all().into_iter().filter(is(Relation::Child)).collect();
-    Circle { head: view.head, heads, children }
+    Circle { head: topology.head, heads, children }
 }
 
 /// What a node knows when it classifies other nodes.
@@ -49,13 +49,13 @@
 
 impl View {
     fn of(node: &Node) -> View {
-        let head = match node.parent() {
+        let hub = match node.parent() {
             Some((Parent::Head(addr), _)) => Some(addr),
             _ => None,
         };
-        let me = node.settings.borrow().peers;
-        let tells_heads = head.is_none() && node.sends.count_but(me) <= MOST_HEADS;
-        View { head, tells_heads }
+        let own_addr = node.settings.borrow().peers;
+        let tells_heads = hub.is_none() && node.sends.count_but(own_addr) <= MOST_HEADS;
+        View { head: hub, tells_heads }
     }
 
     fn relation(self, node: &Node, other: SocketAddr) -> Relation {
@@ -91,9 +91,9 @@
     if node.holding.borrow().is_mine() {
         know_heads(node);
     }
-    let said = node.sums.borrow_mut().next(node.now(), own(node), &circle(node));
-    for saying in said {
-        node.sends.tell_to(saying.to.iter(), &Word::Flights(saying.scope, saying.told));
+    let updates = node.sums.borrow_mut().next(node.now(), own(node), &circle(node));
+    for update in updates {
+        node.sends.tell_to(update.to.iter(), &Word::Flights(update.scope, update.told));
     }
     apply_to_all(node);
 }
@@ -103,8 +103,8 @@
 fn know_heads(node: &Node) {
     let members = node.members.borrow();
     let mut by_domain = IndexMap::new();
-    let mut heads = node.children.all();
-    heads.retain(|addr| {
+    let mut hubs = node.children.all();
+    hubs.retain(|addr| {
         let domain = members.iter().find(|m| m.addr == *addr).map(|m| m.domain.as_str());
         let domain = domain.unwrap_or_default();
         let candidates = by_domain.entry(domain).or_insert_with(|| candidates(&members, domain));
@@ -112,9 +112,9 @@
     });
     drop(by_domain);
     drop(members);
-    heads.push(node.settings.borrow().peers);
-    heads.sort_unstable();
-    node.sends.know(heads);
+    hubs.push(node.settings.borrow().peers);
+    hubs.sort_unstable();
+    node.sends.know(hubs);
 }
 
 /// In-flight requests of this node.
--- a/crates/gateway/src/peers/heard.rs
+++ b/crates/gateway/src/peers/heard.rs
@@ -22,17 +22,17 @@
     let now = node.now();
     let since = since.max(now.saturating_sub(HEARD_FOR));
     let state = node.state.borrow();
-    let told = state.engines.iter().filter_map(|e| Some((e, e.told?)));
-    let newer = told.filter(|(_, (_, at, _))| *at > since);
-    let meant = |e: &Engine| {
+    let reported = state.engines.iter().filter_map(|e| Some((e, e.told?)));
+    let heard = reported.filter(|(_, (_, at, _))| *at > since);
+    let has_model = |e: &Engine| {
         models.is_none_or(|models| models.iter().any(|asked| e.holds_model(&asked.model)))
     };
-    let newer = newer.filter(|(e, _)| meant(e)).take(MOST_LOADS);
-    let heard = newer.map(|(e, (load, at, _))| {
+    let heard = heard.filter(|(e, _)| has_model(e)).take(MOST_LOADS);
+    let recent = heard.map(|(e, (load, at, _))| {
         let (id, start) = (e.listed.id.clone(), e.listed.start);
         HeardLoad(id, start, load.running, load.waiting, now.saturating_sub(at))
     });
-    heard.collect()
+    recent.collect()
 }
 
 pub(super) fn take_in_loads(node: &Node, loads: &[HeardLoad]) {
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -41,7 +41,7 @@
 }
 
 fn listed_as(engines: &Engines, passed: Passed) -> Listed {
-    let known = engines.get(&passed.engine).filter(|k| !k.listed.start.is_before(passed.start));
+    let known = engines.get(&passed.engine).filter(|e| !e.listed.start.is_before(passed.start));
     let standing = match (passed.leaving, passed.unreadable) {
         (_, true) => Standing::Unreadable,
         (true, false) => Standing::Leaving { gone_at: None },
@@ -56,7 +56,7 @@
         domain: passed.domain,
         slots: passed.slots,
         standing,
-        held: known.filter(|k| k.told_at.is_some()).map_or(passed.held, |k| k.listed.held.clone()),
+        held: known.filter(|e| e.told_at.is_some()).map_or(passed.held, |e| e.listed.held.clone()),
         at_hand: AtHand::default(),
         cold_ms: u64::from(passed.cold),
     }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -59,23 +59,23 @@
 
 /// Asks the leader to place a model or an adapter.
 pub(crate) async fn want(node: &Node, wanted: &Wanted, refuted: Option<&EngineId>) -> Placement {
-    let keeper = node.holding.borrow().keeper.clone();
+    let leader = node.holding.borrow().keeper.clone();
     let domain = node.settings.borrow().domain.clone();
     if node.holding.borrow().is_mine() {
         return keeper::want(node, wanted, &domain, refuted).await;
     }
-    let Some(keeper) = keeper else { return Placement::Unknown };
+    let Some(leader) = leader else { return Placement::Unknown };
     let want = Want {
-        fence: keeper.fence,
+        fence: leader.fence,
         model: wanted.model.clone(),
         adapter: wanted.adapter.clone(),
         domain,
         refuted: refuted.cloned(),
     };
-    match call::<_, Wish>(node, keeper.addr, "/want", &want, WANT_PATIENCE).await {
-        Some(wish) => {
-            take_in(node, wish.engines);
-            wish.placement
+    match call::<_, Wish>(node, leader.addr, "/want", &want, WANT_PATIENCE).await {
+        Some(response) => {
+            take_in(node, response.engines);
+            response.placement
         }
         None => Placement::Unknown,
     }
@@ -106,8 +106,8 @@
 }
 
 /// Makes this node poll another hub for a while.
-pub(crate) fn is_silent(node: &Node, head: SocketAddr) {
-    node.heads.borrow_mut().pass_over(head, PassedOver::Silent, node.now());
+pub(crate) fn is_silent(node: &Node, hub: SocketAddr) {
+    node.heads.borrow_mut().pass_over(hub, PassedOver::Silent, node.now());
 }
 
 pub(crate) async fn call<T: Serialize, R: for<'a> Deserialize<'a>>(
@@ -185,50 +185,50 @@
 }
 
 async fn answer_tell(node: &Node, body: &Bytes) -> Answer {
-    let Ok(tell) = serde_json::from_slice::<Tell>(body) else {
+    let Ok(request) = serde_json::from_slice::<Tell>(body) else {
         return own(StatusCode::BAD_REQUEST, "the body is not a poll request");
     };
-    eras::hear(node, tell.era);
-    let keeps = node.holding.borrow().is_mine();
+    eras::hear(node, request.era);
+    let is_leader = node.holding.borrow().is_mine();
     // Two nodes that poll each other would each take the other's old data for new.
-    let asks_it = node.parent().is_some_and(|(_, addr)| addr == tell.from);
-    if !keeps && (node.is_stopping() || asks_it) {
+    let polls_sender = node.parent().is_some_and(|(_, addr)| addr == request.from);
+    if !is_leader && (node.is_stopping() || polls_sender) {
         return own(StatusCode::CONFLICT, "this node relays no updates");
     }
-    node.children.asks(tell.from, node.now());
-    take_catalog(node, tell.from, tell.catalog);
-    if keeps {
-        if let Some(past) = &tell.past {
-            keeper::counted_before(node, tell.from, past);
+    node.children.asks(request.from, node.now());
+    take_catalog(node, request.from, request.catalog);
+    if is_leader {
+        if let Some(past) = &request.past {
+            keeper::counted_before(node, request.from, past);
         }
-        keeper::asked(node, &tell.asked);
-        meet(node, tell.from);
+        keeper::asked(node, &request.asked);
+        meet(node, request.from);
     } else {
-        pass_on(node, &tell.asked);
+        pass_on(node, &request.asked);
     }
-    take_in_loads(node, &tell.loads);
-    json(&news::news(node, &tell).await)
+    take_in_loads(node, &request.loads);
+    json(&news::news(node, &request).await)
 }
 
 /// Adds the demand of nodes behind this hub to its own report to the leader.
 fn pass_on(node: &Node, asked: &[Asked]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    for one in asked {
-        let (wanted, count) = one.clone().parts();
+    for entry in asked {
+        let (wanted, count) = entry.clone().parts();
         state.asked_for(now, &wanted, count);
     }
 }
 
 async fn answer_want(node: &Node, body: &Bytes) -> Answer {
-    let Ok(want) = serde_json::from_slice::<Want>(body) else {
+    let Ok(request) = serde_json::from_slice::<Want>(body) else {
         return own(StatusCode::BAD_REQUEST, "the body is not a placement request");
     };
-    if !is_keeper(node, want.fence) {
+    if !is_keeper(node, request.fence) {
         return own(StatusCode::CONFLICT, "this node is not the leader");
     }
-    let wanted = Wanted { model: want.model, adapter: want.adapter };
-    let placement = keeper::want(node, &wanted, &want.domain, want.refuted.as_ref()).await;
+    let wanted = Wanted { model: request.model, adapter: request.adapter };
+    let placement = keeper::want(node, &wanted, &request.domain, request.refuted.as_ref()).await;
     json(&Wish { placement, engines: keeper::told_of(node, &wanted) })
 }
 
@@ -240,8 +240,8 @@
 }
 
 fn is_keeper(node: &Node, fence: u64) -> bool {
-    let holding = node.holding.borrow();
-    holding.is_mine() && holding.keeper.as_ref().is_some_and(|k| k.fence == fence)
+    let leadership = node.holding.borrow();
+    leadership.is_mine() && leadership.keeper.as_ref().is_some_and(|leader| leader.fence == fence)
 }
 
 fn json<T: Serialize>(message: &T) -> Answer {
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -17,17 +17,17 @@
 const MOST_OTHERS: usize = 41;
 
 /// Returns what changed since the sender's last poll, and waits for a change if there is none.
-pub(super) async fn news(node: &Node, tell: &Tell) -> News {
+pub(super) async fn news(node: &Node, request: &Tell) -> News {
     let began = node.now();
-    if has_nothing(node, tell) {
+    if has_nothing(node, request) {
         // After the timeout the response is sent without a change.
         let _ = timeout(NEWS_WAIT, node.news.notified()).await;
     }
-    let (heard, changed) = node.placements.borrow().since(tell.heard);
+    let (heard, changed) = node.placements.borrow().since(request.heard);
     let engines = changed.iter().filter_map(|id| keeper::told(node, id)).collect();
     let (list, catalog, nodes) = {
         let state = node.state.borrow();
-        let list = state.listing.since(&state.engines, Some(tell.list));
+        let list = state.listing.since(&state.engines, Some(request.list));
         (list, version(node), state.nodes)
     };
     News {
@@ -40,21 +40,21 @@
         age_ms: node.word_age(),
         held_ms: node.now().saturating_sub(began),
         nodes,
-        others: others(node, tell),
-        heads: heads(node, tell),
+        others: others(node, request),
+        heads: heads(node, request),
         children: node.children.count(),
         renewed: node.last_renewal(),
         begun: begun(node),
-        loads: heard_since(node, 0, Some(&tell.asked)),
+        loads: heard_since(node, 0, Some(&request.asked)),
         proof: proof::told(node),
         catalog_at: node.catalog_at.get(),
     }
 }
 
-fn has_nothing(node: &Node, tell: &Tell) -> bool {
-    let same_list = node.state.borrow().listing.has_nothing_since(Some(tell.list));
-    let same_placements = node.placements.borrow().has_nothing_since(tell.heard);
-    same_list && same_placements && version(node) <= tell.catalog
+fn has_nothing(node: &Node, request: &Tell) -> bool {
+    let list_is_current = node.state.borrow().listing.has_nothing_since(Some(request.list));
+    let placements_are_current = node.placements.borrow().has_nothing_since(request.heard);
+    list_is_current && placements_are_current && version(node) <= request.catalog
 }
 
 pub(super) fn version(node: &Node) -> u64 {
@@ -72,21 +72,21 @@
 }
 
 /// Addresses of the peers that exchange datagrams, if the sender knows others.
-fn others(node: &Node, tell: &Tell) -> Option<Vec<std::net::SocketAddr>> {
-    let tells = tells_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
-    let wanted = tells && tell.others != node.sends.digest();
-    wanted.then(|| node.sends.others()).filter(|others| others.len() <= MOST_OTHERS)
+fn others(node: &Node, request: &Tell) -> Option<Vec<std::net::SocketAddr>> {
+    let exchanges = tells_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
+    let should_send = exchanges && request.others != node.sends.digest();
+    should_send.then(|| node.sends.others()).filter(|others| others.len() <= MOST_OTHERS)
 }
 
 /// Hub candidates of the sender's domain, if the sender knows others.
-fn heads(node: &Node, tell: &Tell) -> Option<Vec<Member>> {
+fn heads(node: &Node, request: &Tell) -> Option<Vec<Member>> {
     let members = node.members.borrow();
     let heads = if !members.is_empty() {
-        candidates(&members, &tell.domain)
-    } else if node.settings.borrow().domain == tell.domain {
+        candidates(&members, &request.domain)
+    } else if node.settings.borrow().domain == request.domain {
         node.heads.borrow().candidates().to_vec()
     } else {
         return None;
     };
-    (digest(&heads) != tell.heads).then_some(heads)
+    (digest(&heads) != request.heads).then_some(heads)
 }
--- a/crates/gateway/src/peers/placements.rs
+++ b/crates/gateway/src/peers/placements.rs
@@ -38,14 +38,14 @@
     }
 
     /// Whether there is no change after `heard`.
-    pub(crate) fn has_nothing_since(&self, heard: Heard) -> bool {
-        heard.0 == self.counter && heard.1 >= self.version || self.versions.is_empty()
+    pub(crate) fn has_nothing_since(&self, position: Heard) -> bool {
+        position.0 == self.counter && position.1 >= self.version || self.versions.is_empty()
     }
 
     /// Engines that changed after `heard`, the earliest first, and the new position. Later polls
     /// return what does not fit.
-    pub(crate) fn since(&self, heard: Heard) -> (Heard, Vec<EngineId>) {
-        let since = if heard.0 == self.counter { heard.1 } else { 0 };
+    pub(crate) fn since(&self, position: Heard) -> (Heard, Vec<EngineId>) {
+        let since = if position.0 == self.counter { position.1 } else { 0 };
         let newer = self.versions.iter().filter(|(_, version)| **version > since);
         let mut newer: Vec<(u64, &EngineId)> = newer.map(|(id, version)| (*version, id)).collect();
         newer.sort_unstable_by_key(|(version, _)| *version);
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/sends.rs
@@ -51,22 +51,22 @@
 
 impl Sends {
     /// Replaces the known addresses.
-    pub(crate) fn know(&self, others: Vec<SocketAddr>) {
-        *self.others.borrow_mut() = others;
+    pub(crate) fn know(&self, peers: Vec<SocketAddr>) {
+        *self.others.borrow_mut() = peers;
     }
 
     /// Adds an address. Returns the number of known addresses.
-    pub(crate) fn meet(&self, other: SocketAddr) -> usize {
-        let mut others = self.others.borrow_mut();
-        if !others.contains(&other) {
-            others.push(other);
+    pub(crate) fn meet(&self, peer: SocketAddr) -> usize {
+        let mut peers = self.others.borrow_mut();
+        if !peers.contains(&peer) {
+            peers.push(peer);
         }
-        others.len()
+        peers.len()
     }
 
     /// Number of known addresses without `me`.
-    pub(super) fn count_but(&self, me: SocketAddr) -> usize {
-        self.others.borrow().iter().filter(|addr| **addr != me).count()
+    pub(super) fn count_but(&self, own_addr: SocketAddr) -> usize {
+        self.others.borrow().iter().filter(|addr| **addr != own_addr).count()
     }
 
     pub(super) fn knows(&self, node: SocketAddr) -> bool {
@@ -85,23 +85,23 @@
     }
 
     /// Sends to all other nodes, unless there are too many to broadcast each request.
-    pub(crate) fn tell(&self, node: &Node, word: &Word) {
+    pub(crate) fn tell(&self, node: &Node, datagram: &Word) {
         let nodes = node.state.borrow().nodes;
-        let me = node.settings.borrow().peers;
+        let own_addr = node.settings.borrow().peers;
         if tells_sends(nodes) {
-            let others = self.others.borrow();
-            self.tell_to(others.iter().filter(|other| **other != me), word);
+            let peers = self.others.borrow();
+            self.tell_to(peers.iter().filter(|other| **other != own_addr), datagram);
         }
     }
 
-    pub(super) fn tell_to<'a>(&self, others: impl Iterator<Item = &'a SocketAddr>, word: &Word) {
+    pub(super) fn tell_to<'a>(&self, peers: impl Iterator<Item = &'a SocketAddr>, datagram: &Word) {
         let socket = self.socket.borrow();
         let Some(socket) = socket.as_ref() else { return };
         let mut bytes = Vec::with_capacity(MOST);
-        ciborium::into_writer(word, &mut bytes).expect("a datagram is valid CBOR");
-        for other in others {
+        ciborium::into_writer(datagram, &mut bytes).expect("a datagram is valid CBOR");
+        for peer in peers {
             // A full send buffer loses the datagram, as the network may.
-            if socket.try_send_to(&bytes, *other).is_err() {
+            if socket.try_send_to(&bytes, *peer).is_err() {
                 meter::word_lost();
             }
         }
@@ -120,18 +120,18 @@
             Ok(Word::Lost(key)) => dark::take_in_lost(&node, from, key),
             Ok(Word::Dark(key, domain)) => dark::take_in_dark(&node, from, key, &domain, true),
             Ok(Word::Back(key, domain)) => dark::take_in_dark(&node, from, key, &domain, false),
-            Ok(word) => take_in(&node, word),
+            Ok(datagram) => take_in(&node, datagram),
             Err(_) => {}
         }
     }
 }
 
-fn take_in(node: &Node, word: Word) {
+fn take_in(node: &Node, datagram: Word) {
     let now = node.now();
-    let reads_less = !matches!(word, Word::Sent(..));
+    let ends_prefill = !matches!(datagram, Word::Sent(..));
     let mut state = node.state.borrow_mut();
     let engines = &mut state.engines;
-    match word {
+    match datagram {
         Word::Sent(engine, start, id, tokens) => {
             let Some(engine) = engines.meet(&engine, start) else { return };
             engine.unread.told(id, tokens, now);
@@ -151,7 +151,7 @@
     }
     drop(state);
     node.look_for_starts();
-    if reads_less {
+    if ends_prefill {
         node.turns.next.notify_waiters();
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -62,12 +62,12 @@
 ) -> io::Result<Ended> {
     let callers = listen::listen(settings.callers)?;
     let ready = listen::listen(settings.ready)?;
-    let others = listen::listen(settings.peers)?;
-    let words = UdpSocket::bind(settings.peers).await;
+    let peer_listener = listen::listen(settings.peers)?;
+    let datagrams = UdpSocket::bind(settings.peers).await;
     let metrics = listen::listen(settings.metrics);
     let node = Shared::new(settings, dialects);
-    let spawn = |work: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
-        tokio::task::spawn_local(work);
+    let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
+        tokio::task::spawn_local(task);
     };
     spawn(Box::pin(follow::catalog(Rc::clone(&node))));
     spawn(Box::pin(follow::engines(Rc::clone(&node))));
@@ -75,13 +75,13 @@
     spawn(Box::pin(peers::exchange(Rc::clone(&node))));
     spawn(Box::pin(peers::tell_flights(Rc::clone(&node))));
     spawn(Box::pin(quotas::keep(Rc::clone(&node))));
-    spawn(Box::pin(listen::serve(Rc::clone(&node), others, peers::answer)));
+    spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::answer)));
     spawn(Box::pin(members::count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
     spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
-    match words {
-        Ok(words) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(words)))),
+    match datagrams {
+        Ok(datagrams) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(datagrams)))),
         // Without datagrams a node balances by its own requests only.
         Err(e) => listener_failed(&node, "words of other nodes", &e),
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -179,17 +179,17 @@
 
     /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
-        let holding = self.holding.borrow();
-        if holding.is_mine() {
-            return holding.last_renewal();
+        let leadership = self.holding.borrow();
+        if leadership.is_mine() {
+            return leadership.last_renewal();
         }
-        holding.silence.last_renewal(self.now())
+        leadership.silence.last_renewal(self.now())
     }
 
     /// Age of this node's copy of the store data, read directly or received from the leader.
     pub(crate) fn word_age(&self) -> Millis {
-        let told = self.followed_at.get().unwrap_or(0).max(self.list_read.get());
-        self.now().saturating_sub(told)
+        let updated_at = self.followed_at.get().unwrap_or(0).max(self.list_read.get());
+        self.now().saturating_sub(updated_at)
     }
 
     /// Node that this one polls for updates: the hub of its domain or the leader. None if this node
@@ -198,12 +198,12 @@
         if self.holding.borrow().is_mine() {
             return None;
         }
-        let keeper = self.holding.borrow().keeper.as_ref().map(|k| k.addr);
-        let me = self.settings.borrow().peers;
-        let parent = self.heads.borrow().parent(me, keeper, self.now());
+        let leader_addr = self.holding.borrow().keeper.as_ref().map(|leader| leader.addr);
+        let own_addr = self.settings.borrow().peers;
+        let parent = self.heads.borrow().parent(own_addr, leader_addr, self.now());
         match parent {
             Parent::Head(addr) => Some((parent, addr)),
-            Parent::Holder => keeper.map(|addr| (parent, addr)),
+            Parent::Holder => leader_addr.map(|addr| (parent, addr)),
         }
     }
 
@@ -222,10 +222,10 @@
     /// Nodes behind a hub wait longer, so that they do not all read the store at once when the
     /// leader fails: the hubs read first and forward what they read.
     pub(crate) fn is_followed(&self) -> bool {
-        let keeps = self.holding.borrow().is_mine();
-        let longest = self.settings.borrow().followed_for(self.has_head()).as_millis() as Millis;
+        let is_leader = self.holding.borrow().is_mine();
+        let max_age = self.settings.borrow().followed_for(self.has_head()).as_millis() as Millis;
         let age = self.followed_at.get().map(|at| self.now().saturating_sub(at));
-        !keeps && !self.keeper_refuses.get() && age.is_some_and(|age| age < longest)
+        !is_leader && !self.keeper_refuses.get() && age.is_some_and(|age| age < max_age)
     }
 
     /// Records the configuration version that the leader reports.
@@ -238,8 +238,8 @@
 
     /// Whether the leader reported a newer configuration than this node has.
     pub(crate) fn lacks_catalog(&self) -> bool {
-        let has = self.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
-        has < self.told_catalog.get()
+        let version = self.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
+        version < self.told_catalog.get()
     }
 
     /// Factor by which poll intervals grow with the number of nodes, which bounds the load on the
@@ -262,10 +262,10 @@
     /// Updates whether this node is cut off.
     pub(crate) fn look_around(&self) {
         let now = self.now();
-        let silent_for = now.saturating_sub(self.store_heard.get());
+        let store_silent_for = now.saturating_sub(self.store_heard.get());
         let cut_off = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
-            is_cut_off(silent_for, &state.engines, &settings.domain, now)
+            is_cut_off(store_silent_for, &state.engines, &settings.domain, now)
         };
         if cut_off != self.cut_off.replace(cut_off) {
             let node = self.settings.borrow().node.clone();
@@ -276,19 +276,19 @@
     /// Closes connections to restarted engines and wakes the requests that wait for their
     /// responses.
     pub(crate) fn look_for_starts(&self) {
-        let anew = self.state.borrow_mut().engines.take_anew();
-        for addr in &anew {
+        let restarted = self.state.borrow_mut().engines.take_anew();
+        for addr in &restarted {
             self.pool.forget(*addr);
             let node = &self.settings.borrow().node;
             emit(Event::EngineStartedAnew, &[("node", node), ("addr", addr)]);
         }
-        if !anew.is_empty() {
+        if !restarted.is_empty() {
             self.started_anew.notify_waiters();
         }
     }
 
     /// Records that the engine list is known up to `place`.
-    pub(crate) fn listed_to(&self, place: ListPlace, by: ListedBy) {
+    pub(crate) fn listed_to(&self, place: ListPlace, source: ListedBy) {
         let changes = {
             let mut state = self.state.borrow_mut();
             let State { engines, listing, list_at, listed, .. } = &mut *state;
@@ -304,7 +304,7 @@
                     ("node", node),
                     ("upstream", &change.engine),
                     ("standing", change),
-                    ("by", &by),
+                    ("by", &source),
                     ("place", &place.cursor()),
                 ],
             );
@@ -330,12 +330,17 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.engines.get_mut(engine) else { return };
-        let Some(opinion) = known.judge.saw(now, verdict) else { return };
-        let failing = format!("{:.2}", known.judge.failing(now));
+        let Some(health) = known.judge.saw(now, verdict) else { return };
+        let failure_rate = format!("{:.2}", known.judge.failing(now));
         let node = &self.settings.borrow().node;
         emit(
             Event::EngineJudged,
-            &[("node", node), ("upstream", engine), ("opinion", &opinion), ("failing", &failing)],
+            &[
+                ("node", node),
+                ("upstream", engine),
+                ("opinion", &health),
+                ("failing", &failure_rate),
+            ],
         );
     }
 
@@ -367,7 +372,7 @@
         Duration::from_millis(self.now().saturating_sub(heard))
     }
 
-    pub(crate) fn engine<R>(&self, id: &EngineId, look: impl FnOnce(&Engine) -> R) -> Option<R> {
-        self.state.borrow().engines.get(id).map(look)
+    pub(crate) fn engine<R>(&self, id: &EngineId, f: impl FnOnce(&Engine) -> R) -> Option<R> {
+        self.state.borrow().engines.get(id).map(f)
     }
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -34,15 +34,16 @@
     let name = node.settings.borrow().node.clone();
     let grace = node.settings.borrow().grace;
     let began = Instant::now();
-    let until = began + grace.saturating_sub(LAST);
+    let deadline = began + grace.saturating_sub(LAST);
     node.stop.since.set(Some(node.now()));
     node.stop.changed.notify_waiters();
     emit(Event::ProcessStopping, &[("node", &name)]);
     tokio::task::spawn_local(holder::release(Node::clone(node)));
-    sleep_until((began + STILL_SENT).min(until)).await;
+    sleep_until((began + STILL_SENT).min(deadline)).await;
     node.stop.closing.set(true);
     node.stop.changed.notify_waiters();
-    while Instant::now() < until && (node.stop.active.get() > 0 || node.stop.connections.get() > 0)
+    while Instant::now() < deadline
+        && (node.stop.active.get() > 0 || node.stop.connections.get() > 0)
     {
         sleep(Duration::from_millis(20)).await;
     }
