--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -11,28 +11,28 @@
 
 /// Shortest pause after a failed call; the longest is twice that, so that nodes do not retry in
 /// step. The store counts refused calls against its rate limit.
-const AFTER_FAILURE: Duration = Duration::from_millis(300);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Nodes behind one hub that together retry as often as the hub itself.
-const AS_OFTEN_AS_ONE: u32 = 4;
+const NODES_RETRYING_AS_ONE: u32 = 4;
 
 /// Largest factor by which nodes behind a hub stretch the pause.
-const MOST_CROWD: u32 = 12;
+const MAX_PAUSE_FACTOR: u32 = 12;
 
 /// Interval at which a waiting node checks whether the store is back.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
     /// Earliest time at which any task of this node retries.
-    next: Cell<Millis>,
+    next_retry_at: Cell<Millis>,
     /// Nodes that poll the same hub as this one.
     siblings: Cell<u32>,
 }
 
 impl Backoff {
     /// Sets the number of nodes that poll the same hub.
-    pub(crate) fn siblings(&self, count: u32) {
+    pub(crate) fn set_siblings(&self, count: u32) {
         self.siblings.set(count);
     }
 }
@@ -43,28 +43,28 @@
 /// at a constant rate. Nodes behind a hub get its updates and retry less often, in case the store
 /// refuses only the hub. The tasks of a node take turns, because one response shows all of them
 /// that the store is back.
-pub(crate) async fn after_failure(node: &Node) {
-    let (failed_at, pause) = (node.now(), pause_after_failure(node));
+pub(crate) async fn wait_to_retry(node: &Node) {
+    let (failed_at, pause) = (node.now(), retry_pause(node));
     let is_leader = node.holding.borrow().is_mine();
     let backoff = &node.backoff;
     let own_retry_at = failed_at + pause.as_millis() as Millis;
-    backoff.next.set(backoff.next.get().max(own_retry_at));
+    backoff.next_retry_at.set(backoff.next_retry_at.get().max(own_retry_at));
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let now = node.now();
-        if node.is_followed() || node.store_heard.get() > failed_at {
+        if node.has_recent_leader_updates() || node.store_responded_at.get() > failed_at {
             return;
         }
-        if now >= if is_leader { own_retry_at } else { backoff.next.get() } {
-            backoff.next.set(now + pause.as_millis() as Millis);
+        if now >= if is_leader { own_retry_at } else { backoff.next_retry_at.get() } {
+            backoff.next_retry_at.set(now + pause.as_millis() as Millis);
             return;
         }
     }
 }
 
 /// Pause after a failed call, longer when many nodes poll the same hub.
-pub(crate) fn pause_after_failure(node: &Node) -> Duration {
+pub(crate) fn retry_pause(node: &Node) -> Duration {
     let siblings = if node.has_head() { node.backoff.siblings.get() } else { 0 };
-    let factor = siblings.div_ceil(AS_OFTEN_AS_ONE).clamp(1, MOST_CROWD);
-    (AFTER_FAILURE * factor).mul_f64(1.0 + random::<f64>())
+    let factor = siblings.div_ceil(NODES_RETRYING_AS_ONE).clamp(1, MAX_PAUSE_FACTOR);
+    (MIN_RETRY_PAUSE * factor).mul_f64(1.0 + random::<f64>())
 }
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -13,28 +13,28 @@
 use crate::shared::Shared;
 
 /// Time after a restore in which operators and engines write again what the backup lacked.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(2_000);
+const RECOVERY_TIME: Duration = Duration::from_millis(2_000);
 
 /// Checks for a new era after a call to the store.
-pub(crate) fn look(node: &Shared) {
-    learn(node, node.dialects.store.era(), Duration::ZERO, "store");
+pub(crate) fn check(node: &Shared) {
+    record(node, node.dialects.store.era(), Duration::ZERO, "store");
 }
 
 /// Era for other nodes and its least age in milliseconds; none in the first era.
-pub(crate) fn told(node: &Shared) -> Option<(Era, u64)> {
+pub(crate) fn to_report(node: &Shared) -> Option<(Era, u64)> {
     let known = node.era.get();
     let lasted = known.lasted(boot_time()).as_millis() as u64;
     (known.era() > Era::FIRST).then_some((known.era(), lasted))
 }
 
 /// Takes in the era that another node reported.
-pub(crate) fn hear(node: &Shared, told: Option<(Era, u64)>) {
+pub(crate) fn record_reported(node: &Shared, told: Option<(Era, u64)>) {
     let Some((era, lasted_ms)) = told else { return };
     node.dialects.store.heard_of(era);
-    learn(node, era, Duration::from_millis(lasted_ms), "peer");
+    record(node, era, Duration::from_millis(lasted_ms), "peer");
 }
 
-fn learn(node: &Shared, era: Era, lasted: Duration, source: &str) {
+fn record(node: &Shared, era: Era, lasted: Duration, source: &str) {
     let mut known = node.era.get();
     let is_new = known.hear(era, lasted, boot_time());
     node.era.set(known);
@@ -49,10 +49,10 @@
 pub(crate) fn written_again_at(node: &Shared) -> Duration {
     let known = node.era.get();
     let is_first = known.era() == Era::FIRST;
-    if is_first { Duration::ZERO } else { known.since() + WRITTEN_AGAIN }
+    if is_first { Duration::ZERO } else { known.since() + RECOVERY_TIME }
 }
 
 /// Whether data that a restore lost may still be missing.
-pub(crate) fn is_young(node: &Shared) -> bool {
+pub(crate) fn is_recovering(node: &Shared) -> bool {
     boot_time() < written_again_at(node)
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -8,7 +8,7 @@
 use hgw_events::{Event, emit};
 use tokio::time::{sleep, timeout};
 
-use crate::backoff::{after_failure, pause_after_failure};
+use crate::backoff::{retry_pause, wait_to_retry};
 use crate::clock::boot_time;
 use crate::dialect::{Cursor, EngineChange, EngineEntry, EngineNews, StoreError};
 use crate::eras;
@@ -16,46 +16,48 @@
 use crate::meter;
 use crate::peers;
 use crate::proof;
-use crate::shared::{ListedBy, Node};
+use crate::shared::{ListSource, Node};
 
 /// Pause before the next read while the store has no configuration.
-const NONE_YET: Duration = Duration::from_millis(300);
+const NO_CONFIG_PAUSE: Duration = Duration::from_millis(300);
 
 /// The leader reads the engine list this many times as often as other nodes, because forwarding
 /// adds the delay of an exchange.
-const KEEPER_READS: u32 = 3;
+const LEADER_READ_FACTOR: u32 = 3;
 
 /// An outage of the store shorter than this many heartbeats cannot make entries expire, so missing
 /// engines are really gone.
-const KEPT_AFTER: u32 = 2;
+const MIN_OUTAGE_HEARTBEATS: u32 = 2;
 
 /// Interval at which a starting node checks for updates from the leader.
-const START_LOOK: Duration = Duration::from_millis(20);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval at which a node checks whether the leader still sends updates.
-const LOOK: Duration = Duration::from_millis(100);
+const UPDATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// After an outage of the store, time for which missing engines are kept: their next heartbeats
 /// restore the entries.
-const KEPT_FOR: Duration = Duration::from_millis(2_000);
+const KEEP_MISSING_FOR: Duration = Duration::from_millis(2_000);
 
 /// Maximum wait at the start for the leader's first update. A leader that has just started itself
 /// responds to hundreds of nodes within a second.
-const UNTOLD: Duration = Duration::from_millis(1_500);
+const MAX_START_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Maximum wait at the start while no leader is known.
-const UNKNOWN: Duration = Duration::from_millis(600);
+const MAX_START_WAIT_WITHOUT_LEADER: Duration = Duration::from_millis(600);
 
 /// Wait at the start for a node with a full processor while no leader is known.
-const NO_KEEPER: Duration = Duration::from_millis(60);
+const START_WAIT_WITHOUT_LEADER: Duration = Duration::from_millis(60);
 
 /// Waits at the start for updates from the leader.
 ///
 /// Without the wait, hundreds of nodes that start together would all read everything from the
 /// store. Larger machines wait less, so one of them becomes the leader.
-pub(crate) async fn until_told(node: &Node) {
+pub(crate) async fn wait_for_first_update(node: &Node) {
     let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
-    let max_wait_alone = NO_KEEPER.div_f64(processor).min(UNKNOWN).as_millis() as u64;
+    let max_wait_alone =
+        START_WAIT_WITHOUT_LEADER.div_f64(processor).min(MAX_START_WAIT_WITHOUT_LEADER).as_millis()
+            as u64;
     loop {
         let now = node.now();
         let has_other_leader = {
@@ -64,11 +66,12 @@
             !leadership.is_mine()
                 && leadership.keeper.as_ref().is_some_and(|leader| leader.addr != own_addr)
         };
-        let max_wait = if has_other_leader { UNTOLD.as_millis() as u64 } else { max_wait_alone };
-        if node.is_followed() || now >= max_wait {
+        let max_wait =
+            if has_other_leader { MAX_START_WAIT.as_millis() as u64 } else { max_wait_alone };
+        if node.has_recent_leader_updates() || now >= max_wait {
             return;
         }
-        sleep(START_LOOK).await;
+        sleep(START_CHECK_INTERVAL).await;
     }
 }
 
@@ -77,16 +80,16 @@
     let mut cursor = None;
     // Newest version up to `cursor`, unless it could not be parsed.
     let mut newest = None;
-    let mut link = Link::new(&node, "configuration");
-    until_told(&node).await;
+    let mut link = StoreLink::new(&node, "configuration");
+    wait_for_first_update(&node).await;
     loop {
-        let has_leader_updates = node.is_followed();
-        if has_leader_updates && !node.lacks_catalog() && !proof_is_due(&node) {
+        let has_leader_updates = node.has_recent_leader_updates();
+        if has_leader_updates && !node.is_catalog_outdated() && !needs_store_check(&node) {
             // The leader reads the store for all nodes.
-            let _ = timeout(LOOK, node.catalog_news.notified()).await;
+            let _ = timeout(UPDATE_CHECK_INTERVAL, node.catalog_reported.notified()).await;
             continue;
         }
-        let is_reported = has_leader_updates && node.lacks_catalog();
+        let is_reported = has_leader_updates && node.is_catalog_outdated();
         if is_reported
             && let Some(text) = peers::catalog(&node).await
             && adopt(&node, text).is_some_and(|adopted| adopted.is_newer)
@@ -95,10 +98,12 @@
         }
         // After an outage, a call that waits for news would delay the detection that the store is
         // back.
-        let default_wait = proof::longest_wait(&node, node.settings.borrow().catalog_wait());
+        let default_wait = proof::longest_wait(&node, node.settings.borrow().max_catalog_wait());
         let wait = if link.is_down() || has_leader_updates { Duration::ZERO } else { default_wait };
         let asked = boot_time();
-        if let Some((version, at)) = told_place(&node).filter(|(_, at)| cursor < Some(*at)) {
+        if let Some((version, at)) =
+            reported_catalog_position(&node).filter(|(_, at)| cursor < Some(*at))
+        {
             (newest, cursor) = (Some(version), Some(at));
         }
         let call = node.dialects.store.catalog(cursor, wait);
@@ -108,12 +113,12 @@
             tokio::select! {
                 biased;
                 response = call => response,
-                () = until_lacking(&node) => continue,
+                () = until_catalog_outdated(&node) => continue,
             }
         };
         match response {
             Ok(news) => {
-                link.up();
+                link.record_success();
                 cursor = Some(news.cursor);
                 let is_unchanged = news.catalog.is_none();
                 if let Some(text) = news.catalog {
@@ -121,19 +126,19 @@
                 }
                 if let Some(newest) = newest {
                     proof::read(&node, Seen { newest, asked });
-                    node.catalog_at.set(cursor.map(|at| (newest, at)));
+                    node.catalog_position.set(cursor.map(|at| (newest, at)));
                 }
                 if is_unchanged && node.state.borrow().catalog.is_none() {
-                    sleep(NONE_YET).await;
+                    sleep(NO_CONFIG_PAUSE).await;
                 }
             }
             Err(e) => {
-                link.down(&e);
+                link.record_failure(&e);
                 if has_leader_updates {
                     // Another node may still send a more recent proof.
-                    sleep(pause_after_failure(&node).min(proof::longest_pause(&node))).await;
+                    sleep(retry_pause(&node).min(proof::longest_pause(&node))).await;
                 } else {
-                    after_failure(&node).await;
+                    wait_to_retry(&node).await;
                 }
             }
         }
@@ -145,22 +150,22 @@
 ///
 /// Without the position, every node would read the complete configuration from the store when the
 /// leader fails.
-fn told_place(node: &Node) -> Option<(u64, Cursor)> {
+fn reported_catalog_position(node: &Node) -> Option<(u64, Cursor)> {
     let version = node.state.borrow().catalog.as_ref().map(|c| c.version);
-    node.catalog_at.get().filter(|(reported, _)| Some(*reported) == version)
+    node.catalog_position.get().filter(|(reported, _)| Some(*reported) == version)
 }
 
 /// Whether this node must ask the store if its configuration is current.
-fn proof_is_due(node: &Node) -> bool {
+fn needs_store_check(node: &Node) -> bool {
     proof::is_due(node, node.has_head())
 }
 
 /// Resolves when another node reports a newer configuration. Requests would be served with the old
 /// one if the pending call to the store had to end first.
-async fn until_lacking(node: &Node) {
+async fn until_catalog_outdated(node: &Node) {
     loop {
-        let told = node.catalog_news.notified();
-        if node.is_followed() && node.lacks_catalog() {
+        let told = node.catalog_reported.notified();
+        if node.has_recent_leader_updates() && node.is_catalog_outdated() {
             return;
         }
         told.await;
@@ -206,67 +211,69 @@
 /// Keeps the engine list up to date until the process ends.
 pub(crate) async fn engines(node: Node) {
     let mut cursor = None;
-    let mut link = Link::new(&node, "engines");
-    until_told(&node).await;
+    let mut link = StoreLink::new(&node, "engines");
+    wait_for_first_update(&node).await;
     let (mut store_back_at, mut last_read) = (None, node.now());
     loop {
-        if node.is_followed() && !node.reads_list.get() {
+        if node.has_recent_leader_updates() && !node.must_read_list.get() {
             // The complete list is read again once the leader's updates stop.
             (cursor, store_back_at, last_read) = (None, None, node.now());
-            sleep(LOOK).await;
+            sleep(UPDATE_CHECK_INTERVAL).await;
             node.pool.sweep();
             continue;
         }
         match node.dialects.store.engines(cursor).await {
             Ok(news) => {
-                node.list_read.set(node.now());
-                node.reads_list.set(false);
-                let had_outage = link.up()
-                    && down_for(&node, last_read) >= KEPT_AFTER * node.settings.borrow().heartbeat;
-                if had_outage || eras::is_young(&node) && store_back_at.is_none() {
+                node.list_read_at.set(node.now());
+                node.must_read_list.set(false);
+                let had_outage = link.record_success()
+                    && time_since(&node, last_read)
+                        >= MIN_OUTAGE_HEARTBEATS * node.settings.borrow().heartbeat;
+                if had_outage || eras::is_recovering(&node) && store_back_at.is_none() {
                     store_back_at = Some(node.now());
                 }
                 last_read = node.now();
                 // Nodes that poll this one learn the new age of the list, even if no engine
                 // changed.
-                node.news.notify_waiters();
+                node.update_available.notify_waiters();
                 cursor = Some(news.cursor);
                 let since_back = store_back_at.map(|at| node.now().saturating_sub(at));
-                let keep_missing = since_back.is_some_and(|t| t < KEPT_FOR.as_millis() as u64);
-                take_in(&node, news, keep_missing);
+                let keep_missing =
+                    since_back.is_some_and(|t| t < KEEP_MISSING_FOR.as_millis() as u64);
+                apply_list_update(&node, news, keep_missing);
                 if store_back_at.is_some() && !keep_missing {
                     // A read of the complete list removes the engines that are still missing.
                     store_back_at = None;
                     cursor = None;
                     continue;
                 }
-                sleep(pause_before_next(&node)).await;
+                sleep(list_read_pause(&node)).await;
             }
             Err(e) => {
-                link.down(&e);
-                after_failure(&node).await;
+                link.record_failure(&e);
+                wait_to_retry(&node).await;
             }
         }
         node.pool.sweep();
     }
 }
 
-fn pause_before_next(node: &Node) -> Duration {
-    let pause = node.settings.borrow().list_pause();
+fn list_read_pause(node: &Node) -> Duration {
+    let pause = node.settings.borrow().list_read_interval();
     if node.holding.borrow().is_mine() {
-        pause / KEEPER_READS
-    } else if node.reads_on() {
+        pause / LEADER_READ_FACTOR
+    } else if node.polls_store() {
         pause
     } else {
-        pause * node.crowd()
+        pause * node.poll_interval_factor()
     }
 }
 
-fn down_for(node: &Node, last: hgw_direct::Millis) -> Duration {
+fn time_since(node: &Node, last: hgw_direct::Millis) -> Duration {
     Duration::from_millis(node.now().saturating_sub(last))
 }
 
-fn take_in(node: &Node, news: EngineNews, keep_missing: bool) {
+fn apply_list_update(node: &Node, news: EngineNews, keep_missing: bool) {
     let now = node.now();
     if let Some(first) = news.malformed.first() {
         let (name, entries) = (&node.settings.borrow().node, news.malformed.len());
@@ -285,7 +292,7 @@
                     listed.standing = Standing::Leaving { gone_at };
                 }
                 listed.at = at;
-                keep_newer(&state.engines, &mut listed);
+                keep_reported_models(&state.engines, &mut listed);
                 if news.whole {
                     snapshot.push(*listed);
                 } else {
@@ -309,8 +316,8 @@
         state.engines.replace(snapshot, news.cursor, keep_missing);
     }
     drop(state);
-    node.look_for_starts();
-    node.listed_to(ListPlace::read(news.cursor), ListedBy::Store);
+    node.handle_restarts();
+    node.record_list_version(ListPlace::read(news.cursor), ListSource::Store);
     keeper::look_at_list(node);
     node.placed.notify_waiters();
 }
@@ -318,7 +325,7 @@
 /// Keeps the loaded models that the leader reported instead of those in a heartbeat, which may have
 /// been written before an order completed. Adapter loads write no heartbeat at all; the leader
 /// reports every change.
-fn keep_newer(engines: &hgw_direct::Engines, listed: &mut Listed) {
+fn keep_reported_models(engines: &hgw_direct::Engines, listed: &mut Listed) {
     let Some(known) = engines.get(&listed.id) else { return };
     if known.told_at.is_some() && !known.listed.start.is_before(listed.start) {
         listed.held = known.listed.held.clone();
@@ -326,22 +333,22 @@
 }
 
 /// Tracks whether the store answers one kind of call and logs changes.
-pub(crate) struct Link {
+pub(crate) struct StoreLink {
     node: Node,
     what: &'static str,
     up: Option<bool>,
 }
 
-impl Link {
-    pub(crate) fn new(node: &Node, what: &'static str) -> Link {
-        Link { node: Node::clone(node), what, up: None }
+impl StoreLink {
+    pub(crate) fn new(node: &Node, what: &'static str) -> StoreLink {
+        StoreLink { node: Node::clone(node), what, up: None }
     }
 
     /// Records a response. Returns whether the previous call failed.
-    pub(crate) fn up(&mut self) -> bool {
+    pub(crate) fn record_success(&mut self) -> bool {
         meter::store_call(self.what, Ok(()));
-        eras::look(&self.node);
-        self.node.store_heard.set(self.node.now());
+        eras::check(&self.node);
+        self.node.store_responded_at.set(self.node.now());
         let recovered = self.up == Some(false);
         if recovered {
             let name = self.node.settings.borrow().node.clone();
@@ -356,9 +363,9 @@
     }
 
     /// Records a failed call.
-    pub(crate) fn down(&mut self, why: &StoreError) {
+    pub(crate) fn record_failure(&mut self, why: &StoreError) {
         meter::store_call(self.what, Err(why));
-        eras::look(&self.node);
+        eras::check(&self.node);
         if self.up != Some(false) {
             let name = self.node.settings.borrow().node.clone();
             emit(Event::LogDown, &[("node", &name), ("what", &self.what), ("why", why)]);
--- a/crates/gateway/src/holder/reader.rs
+++ b/crates/gateway/src/holder/reader.rs
@@ -8,11 +8,11 @@
 use rand::random;
 use tokio::time::sleep;
 
-use crate::backoff::after_failure;
+use crate::backoff::wait_to_retry;
 use crate::clock::boot_time;
 use crate::dialect::{ClaimNews, Cursor, Malformed, Record, StoreError};
 use crate::eras;
-use crate::follow::Link;
+use crate::follow::StoreLink;
 use crate::keeper;
 use crate::quotas;
 use crate::shared::Node;
@@ -61,7 +61,7 @@
     let free_from = Duration::ZERO;
     let mut participant =
         Reader { node: Rc::clone(&node), end: None, quiet_since: None, spread, free_from };
-    let mut link = Link::new(&node, "claim");
+    let mut link = StoreLink::new(&node, "claim");
     loop {
         let result = if node.holding.borrow().is_mine() {
             participant.renew().await
@@ -70,14 +70,14 @@
         };
         match result {
             Ok(()) => {
-                link.up();
+                link.record_success();
             }
             Err(e) => {
-                link.down(&e);
+                link.record_failure(&e);
                 if node.holding.borrow().is_mine() {
                     sleep(AFTER_FAILURE).await;
                 } else {
-                    after_failure(&node).await;
+                    wait_to_retry(&node).await;
                 }
             }
         }
@@ -124,7 +124,7 @@
             let settings = self.node.settings.borrow();
             (settings.lease, settings.node.clone())
         };
-        if self.node.is_followed() {
+        if self.node.has_recent_leader_updates() {
             // The leader responds and reports its renewals itself.
             self.quiet_since = None;
             sleep(HOLDER_CHECK).await;
@@ -167,7 +167,7 @@
     /// Wait before a claim. A node that stopped reading the engine list waits longer, because it
     /// would have to read the complete list before it could lead.
     fn spread(&self) -> Duration {
-        if self.node.reads_on() { self.spread } else { self.spread + NOT_READ }
+        if self.node.polls_store() { self.spread } else { self.spread + NOT_READ }
     }
 
     /// Time until the leader's lease and this node's own wait are over.
@@ -265,7 +265,7 @@
         let is_new_era = known < end.era;
         self.end = Some(end);
         if is_new_era {
-            eras::look(&self.node);
+            eras::check(&self.node);
         }
         if !records.is_empty() || is_new_era {
             self.quiet_since = Some(self.node.now());
@@ -289,7 +289,7 @@
 
     fn apply(&mut self, record: &Record, began: Duration) {
         let Some(lease_record) = valid(record) else { return };
-        eras::hear(&self.node, lease_record.era);
+        eras::record_reported(&self.node, lease_record.era);
         self.free_from = Duration::ZERO;
         let own_name = self.node.settings.borrow().node.clone();
         let mut leadership = self.node.holding.borrow_mut();
--- a/crates/gateway/src/holder/record.rs
+++ b/crates/gateway/src/holder/record.rs
@@ -42,7 +42,7 @@
 
 /// Serializes a record for the log that ends at `at`.
 pub(super) fn entry(node: &Node, kind: EntryKind, at: Cursor) -> Bytes {
-    let lasted = eras::told(node).filter(|(era, _)| *era == at.era).map_or(0, |(_, ms)| ms);
+    let lasted = eras::to_report(node).filter(|(era, _)| *era == at.era).map_or(0, |(_, ms)| ms);
     let era = (at.era > Era::FIRST).then_some((at.era, lasted));
     let settings = node.settings.borrow();
     let entry = Entry { kind, node: settings.node.clone(), addr: settings.peers, era };
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -176,7 +176,7 @@
     // is sent to them; for a large list the engine list itself is enough.
     let tells = changes || !is_long(&state.engines);
     drop(state);
-    node.look_for_starts();
+    node.handle_restarts();
     if tells {
         changed(node, engine);
     }
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use crate::peers::{Asked, CountedBefore, Told};
-use crate::shared::{ListedBy, Node};
+use crate::shared::{ListSource, Node};
 
 pub(crate) use adapters::want;
 
@@ -95,7 +95,7 @@
     {
         let mut state = node.state.borrow_mut();
         // The demand below includes these counts.
-        state.asked.clear();
+        state.unreported_demand.clear();
         leader.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
     }
     for (_, pool) in pools(node) {
@@ -113,7 +113,7 @@
     node.keeper.borrow_mut().fence = fence;
     tokio::task::spawn_local(run(Rc::clone(node), fence));
     // Nodes send the old token, and are refused, until they receive the new one.
-    node.news.notify_waiters();
+    node.update_available.notify_waiters();
 }
 
 /// Start times of loads from the weight store under a claim, if this node led then or was told of
@@ -125,7 +125,7 @@
         let now = node.now();
         return Some(leader.ceiling.ages(now).iter().map(|age| now - age).collect());
     }
-    let reported = node.state.borrow().begun.clone();
+    let reported = node.state.borrow().leader_loads.clone();
     reported.filter(|(fence, _)| *fence == claim).map(|(_, load_starts)| load_starts)
 }
 
@@ -133,7 +133,7 @@
 /// next leader.
 fn begin_load(node: &Node) {
     node.keeper.borrow_mut().ceiling.begin(node.now());
-    node.news.notify_waiters();
+    node.update_available.notify_waiters();
 }
 
 async fn run(node: Node, fence: u64) {
@@ -162,7 +162,7 @@
         engine.is_some_and(|e| !start.is_before(e.listed.start))
     });
     drop(state);
-    node.placements.borrow_mut().retain(|id| ids.contains(id));
+    node.placement_changes.borrow_mut().retain(|id| ids.contains(id));
     leader.desks.retain(|id, _| ids.contains(id));
     leader.pending.retain(|id, _| ids.contains(id));
     leader.loading.retain(|id, _| ids.contains(id));
@@ -233,7 +233,7 @@
 
 /// Notifies nodes that poll this one of a new configuration.
 pub(crate) fn catalog_changed(node: &Node) {
-    node.news.notify_waiters();
+    node.update_available.notify_waiters();
 }
 
 /// Adds the demand that a node reported.
@@ -258,13 +258,13 @@
 
 /// Notifies waiting nodes if the engine list has changed.
 pub(crate) fn look_at_list(node: &Node) {
-    let Some(place) = node.state.borrow().list_at else { return };
-    node.listed_to(place, ListedBy::Known);
-    let changed_at = node.state.borrow().listing.changed_at();
+    let Some(place) = node.state.borrow().list_version else { return };
+    node.record_list_version(place, ListSource::Known);
+    let changed_at = node.state.borrow().list_changes.changed_at();
     let mut leader = node.keeper.borrow_mut();
     if leader.list_told < changed_at {
         leader.list_told = changed_at;
-        node.news.notify_waiters();
+        node.update_available.notify_waiters();
     }
 }
 
@@ -297,7 +297,7 @@
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         engine.told_at = Some(now);
     }
-    node.placements.borrow_mut().changed(engine);
-    node.news.notify_waiters();
+    node.placement_changes.borrow_mut().changed(engine);
+    node.update_available.notify_waiters();
     node.placed.notify_waiters();
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -6,40 +6,40 @@
 use hgw_direct::{Millis, tells_sends};
 use tokio::time::sleep;
 
-use crate::backoff::after_failure;
-use crate::follow::until_told;
+use crate::backoff::wait_to_retry;
+use crate::follow::wait_for_first_update;
 use crate::shared::Node;
 
-const COUNT: Millis = 10_000;
+const COUNT_INTERVAL_MS: Millis = 10_000;
 
 /// Interval of a new leader's first counts: nodes that started together may register just after a
 /// count.
-const FIRST_COUNTS: Millis = 1_000;
+const FIRST_COUNT_INTERVAL_MS: Millis = 1_000;
 
 /// Number of such counts.
-const FIRST: u32 = 3;
+const FAST_COUNTS: u32 = 3;
 
 /// Pause before a failed registration is retried.
-const ANNOUNCE_AGAIN: Duration = Duration::from_millis(1_000);
+const REGISTER_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Registers this node, and counts the nodes if it is the leader or there is none, until the
 /// process ends.
-pub(crate) async fn count(node: Node) {
-    let (mut announced, mut counts_done, mut counted_at) = (announce(&node).await, 0, None);
+pub(crate) async fn register_and_count(node: Node) {
+    let (mut announced, mut counts_done, mut counted_at) = (register(&node).await, 0, None);
     let mut era = node.era.get().era();
     let mut was_leader = false;
-    until_told(&node).await;
+    wait_for_first_update(&node).await;
     loop {
         if !announced {
-            sleep(ANNOUNCE_AGAIN).await;
-            announced = announce(&node).await;
+            sleep(REGISTER_RETRY_PAUSE).await;
+            announced = register(&node).await;
         }
         // A store restored from a backup may have lost the registration.
         let current_era = node.era.get().era();
         if std::mem::replace(&mut era, current_era) != current_era {
-            announced = announce(&node).await;
+            announced = register(&node).await;
             (counts_done, counted_at) = (0, None);
         }
         let is_leader = node.holding.borrow().is_mine();
@@ -47,23 +47,24 @@
             (counts_done, counted_at) = (0, None);
         }
         was_leader = is_leader;
-        let pause = if counts_done < FIRST { FIRST_COUNTS } else { COUNT };
+        let pause =
+            if counts_done < FAST_COUNTS { FIRST_COUNT_INTERVAL_MS } else { COUNT_INTERVAL_MS };
         let due =
             counted_at.is_none_or(|counted_at| node.now().saturating_sub(counted_at) >= pause);
         // Only the leader counts. While there is no leader, the last count remains in use.
         let should_count = is_leader || node.members.borrow().is_empty() && !node.was_followed();
         if announced && due && should_count {
             counted_at = Some(node.now());
-            match read(&node).await {
+            match count_nodes(&node).await {
                 true => counts_done += 1,
-                false => after_failure(&node).await,
+                false => wait_to_retry(&node).await,
             }
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn announce(node: &Node) -> bool {
+async fn register(node: &Node) -> bool {
     let member = {
         let settings = node.settings.borrow();
         Member {
@@ -77,7 +78,7 @@
     node.dialects.store.announce(&member.node, entry.into()).await.is_ok()
 }
 
-async fn read(node: &Node) -> bool {
+async fn count_nodes(node: &Node) -> bool {
     let Ok(nodes) = node.dialects.store.nodes().await else { return false };
     // An entry that cannot be parsed is from another version of the program and still counts.
     let count = u32::try_from(nodes.len()).unwrap_or(u32::MAX);
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/dark.rs
@@ -80,13 +80,13 @@
 
 /// Reports an engine unreachable and probes it until it is back.
 fn watch(node: &Node, key: EngineKey) {
-    if !node.watched.borrow_mut().insert(key) {
+    if !node.probed_engines.borrow_mut().insert(key) {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
         look_until_back(&node, key).await;
-        node.watched.borrow_mut().swap_remove(&key);
+        node.probed_engines.borrow_mut().swap_remove(&key);
     });
 }
 
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -77,23 +77,23 @@
                 self.is_silent(node, parent, addr);
                 // A node that no longer leads refuses at once, so its successor need not wait until
                 // its updates are too old.
-                node.keeper_refuses.set(parent == Parent::Holder && error == Unanswered::Refused);
+                node.leader_refuses.set(parent == Parent::Holder && error == Unanswered::Refused);
                 give_back(node, request.asked);
                 return None;
             }
         };
-        node.keeper_refuses.set(false);
+        node.leader_refuses.set(false);
         self.links.entry(addr).or_default().answers(node, addr);
         if reports_earlier_demand {
             self.introduced = Some(fence);
         }
         proof::hear(node, asked, news.held_ms, news.proof);
-        if news.catalog_at > node.catalog_at.get() {
-            node.catalog_at.set(news.catalog_at);
+        if news.catalog_at > node.catalog_position.get() {
+            node.catalog_position.set(news.catalog_at);
         }
         self.heard = news.heard;
         let children = news.children;
-        node.backoff.siblings(children);
+        node.backoff.set_siblings(children);
         if news.age_ms > longest_age(node) {
             node.heads.borrow_mut().pass_over(addr, PassedOver::Stale, node.now());
         }
@@ -105,7 +105,10 @@
         let (catalog, list) = {
             let state = node.state.borrow();
             // Version 0 requests the complete configuration.
-            (state.catalog.as_ref().map_or(0, |c| c.version), state.list_at.unwrap_or_default())
+            (
+                state.catalog.as_ref().map_or(0, |c| c.version),
+                state.list_version.unwrap_or_default(),
+            )
         };
         let settings = node.settings.borrow();
         Tell {
@@ -113,7 +116,7 @@
             domain: settings.domain.clone(),
             heard: self.heard,
             list,
-            era: eras::told(node),
+            era: eras::to_report(node),
             catalog,
             loads: heard_since(node, self.told, None),
             asked,
@@ -135,13 +138,13 @@
 /// Age from which the response of another node counts as stale. It is short enough to poll two more
 /// nodes before this one reads from the store.
 fn longest_age(node: &Node) -> Millis {
-    node.settings.borrow().followed_for(false).as_millis() as Millis
+    node.settings.borrow().max_leader_update_age(false).as_millis() as Millis
 }
 
 /// Takes in the response to a poll that was sent at `asked_at`.
 fn take_in_news(node: &Node, polled_at: Millis, news: News) {
     let arrived = node.now();
-    eras::hear(node, news.era);
+    eras::record_reported(node, news.era);
     if let Some(leader) = news.keeper {
         node.holding.borrow_mut().hear_of(leader);
     }
@@ -152,15 +155,15 @@
     }
     take_in_list(node, news.list);
     // Counted from the request, because the response may have been delayed on its way.
-    node.followed((polled_at + news.held_ms).saturating_sub(news.age_ms));
+    node.record_leader_update((polled_at + news.held_ms).saturating_sub(news.age_ms));
     take_in(node, news.engines);
     take_in_loads(node, &news.loads);
     let fence = node.holding.borrow().keeper.as_ref().map(|leader| leader.fence);
     if let Some(fence) = fence {
         let begun = news.begun.iter().map(|age| arrived.saturating_sub(*age));
-        node.state.borrow_mut().begun = Some((fence, begun.collect()));
+        node.state.borrow_mut().leader_loads = Some((fence, begun.collect()));
     }
-    node.catalog_told(news.catalog);
+    node.record_reported_catalog(news.catalog);
     node.state.borrow_mut().nodes = news.nodes.max(1);
     if let Some(peer_addrs) = news.others {
         node.sends.know(peer_addrs);
@@ -207,7 +210,7 @@
 }
 
 fn take_asked(node: &Node) -> Vec<Asked> {
-    let asked = std::mem::take(&mut node.state.borrow_mut().asked);
+    let asked = std::mem::take(&mut node.state.borrow_mut().unreported_demand);
     let into_entry =
         |(w, count): (Wanted, f64)| Asked { model: w.model, adapter: w.adapter, count };
     asked.into_iter().map(into_entry).collect()
@@ -224,6 +227,6 @@
     let mut state = node.state.borrow_mut();
     for entry in asked {
         let (wanted, count) = entry.parts();
-        *state.asked.entry(wanted).or_default() += count;
+        *state.unreported_demand.entry(wanted).or_default() += count;
     }
 }
--- a/crates/gateway/src/peers/heard.rs
+++ b/crates/gateway/src/peers/heard.rs
@@ -45,5 +45,5 @@
         }
     }
     drop(state);
-    node.look_for_starts();
+    node.handle_restarts();
 }
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -2,7 +2,7 @@
 
 use hgw_direct::{AtHand, Engines, ListNews, ListPart, Listed, Passed, Standing};
 
-use crate::shared::{ListedBy, Node};
+use crate::shared::{ListSource, Node};
 
 use super::message::Told;
 
@@ -13,8 +13,8 @@
         return;
     }
     if news.part == ListPart::ReadAnew {
-        state.list_at = None;
-        node.reads_list.set(true);
+        state.list_version = None;
+        node.must_read_list.set(true);
         return;
     }
     let changes = news.part == ListPart::Whole || !news.engines.is_empty() || !news.gone.is_empty();
@@ -33,10 +33,10 @@
         }
     }
     drop(state);
-    node.look_for_starts();
-    node.listed_to(news.place, ListedBy::Peer);
+    node.handle_restarts();
+    node.record_list_version(news.place, ListSource::Peer);
     if changes {
-        node.news.notify_waiters();
+        node.update_available.notify_waiters();
     }
 }
 
@@ -68,7 +68,7 @@
     }
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let mut placements = node.placements.borrow_mut();
+    let mut placements = node.placement_changes.borrow_mut();
     for told in engines {
         let Some(engine) = state.engines.meet(&told.engine, told.start) else { continue };
         if told.orders >= engine.orders {
@@ -83,7 +83,7 @@
     }
     placements.retain(|id| state.engines.get(id).is_some());
     drop((state, placements));
-    node.look_for_starts();
+    node.handle_restarts();
     node.placed.notify_waiters();
-    node.news.notify_waiters();
+    node.update_available.notify_waiters();
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -91,7 +91,7 @@
 /// Fetches a newer configuration from a node that polls this one. The store may have lost that
 /// version in a restore, and this node may have started since.
 fn take_catalog(node: &Node, from: SocketAddr, newest: u64) {
-    if newest <= news::version(node) || node.takes_catalog.replace(true) {
+    if newest <= news::version(node) || node.is_fetching_catalog.replace(true) {
         return;
     }
     let node = Node::clone(node);
@@ -101,7 +101,7 @@
         if let Ok(text) = exchange_once(&node, from, &req, PATIENCE).await {
             follow::adopt(&node, text);
         }
-        node.takes_catalog.set(false);
+        node.is_fetching_catalog.set(false);
     });
 }
 
@@ -188,7 +188,7 @@
     let Ok(request) = serde_json::from_slice::<Tell>(body) else {
         return own(StatusCode::BAD_REQUEST, "the body is not a poll request");
     };
-    eras::hear(node, request.era);
+    eras::record_reported(node, request.era);
     let is_leader = node.holding.borrow().is_mine();
     // Two nodes that poll each other would each take the other's old data for new.
     let polls_sender = node.parent().is_some_and(|(_, addr)| addr == request.from);
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -21,13 +21,13 @@
     let began = node.now();
     if has_nothing(node, request) {
         // After the timeout the response is sent without a change.
-        let _ = timeout(NEWS_WAIT, node.news.notified()).await;
+        let _ = timeout(NEWS_WAIT, node.update_available.notified()).await;
     }
-    let (heard, changed) = node.placements.borrow().since(request.heard);
+    let (heard, changed) = node.placement_changes.borrow().since(request.heard);
     let engines = changed.iter().filter_map(|id| keeper::told(node, id)).collect();
     let (list, catalog, nodes) = {
         let state = node.state.borrow();
-        let list = state.listing.since(&state.engines, Some(request.list));
+        let list = state.list_changes.since(&state.engines, Some(request.list));
         (list, version(node), state.nodes)
     };
     News {
@@ -35,7 +35,7 @@
         heard,
         engines,
         list,
-        era: eras::told(node),
+        era: eras::to_report(node),
         catalog,
         age_ms: node.word_age(),
         held_ms: node.now().saturating_sub(began),
@@ -47,13 +47,13 @@
         begun: begun(node),
         loads: heard_since(node, 0, Some(&request.asked)),
         proof: proof::told(node),
-        catalog_at: node.catalog_at.get(),
+        catalog_at: node.catalog_position.get(),
     }
 }
 
 fn has_nothing(node: &Node, request: &Tell) -> bool {
-    let list_is_current = node.state.borrow().listing.has_nothing_since(Some(request.list));
-    let placements_are_current = node.placements.borrow().has_nothing_since(request.heard);
+    let list_is_current = node.state.borrow().list_changes.has_nothing_since(Some(request.list));
+    let placements_are_current = node.placement_changes.borrow().has_nothing_since(request.heard);
     list_is_current && placements_are_current && version(node) <= request.catalog
 }
 
@@ -67,7 +67,7 @@
         return keeper::begun_ages(node);
     }
     let (now, state) = (node.now(), node.state.borrow());
-    let begun = state.begun.iter().flat_map(|(_, begun)| begun);
+    let begun = state.leader_loads.iter().flat_map(|(_, begun)| begun);
     begun.map(|at| now.saturating_sub(*at)).collect()
 }
 
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/sends.rs
@@ -150,7 +150,7 @@
         }
     }
     drop(state);
-    node.look_for_starts();
+    node.handle_restarts();
     if ends_prefill {
         node.turns.next.notify_waiters();
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -37,10 +37,10 @@
 }
 
 /// Interval at which the boot clock is checked for a suspended machine.
-const CLOCK_CHECK: Duration = Duration::from_millis(200);
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pauses longer than this count as suspended: pooled connections may be dead.
-const STOOD_STILL: Duration = Duration::from_millis(1_000);
+const MIN_SUSPEND_TIME: Duration = Duration::from_millis(1_000);
 
 /// Runs a node until it is told to end.
 pub fn run(
@@ -76,7 +76,7 @@
     spawn(Box::pin(peers::tell_flights(Rc::clone(&node))));
     spawn(Box::pin(quotas::keep(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::answer)));
-    spawn(Box::pin(members::count(Rc::clone(&node))));
+    spawn(Box::pin(members::register_and_count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
     spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
@@ -98,7 +98,7 @@
         }
     }
     tokio::select! {
-        () = stop::stop(&node) => Ok(Ended::Stopped),
+        () = stop::shut_down(&node) => Ok(Ended::Stopped),
         () = until_killed(&mut signals) => Ok(Ended::Killed),
     }
 }
@@ -122,16 +122,16 @@
 async fn watch_clocks(node: Node) {
     let mut last = boot_time();
     loop {
-        sleep(CLOCK_CHECK).await;
+        sleep(CLOCK_CHECK_INTERVAL).await;
         let now = boot_time();
-        if now - last > CLOCK_CHECK + STOOD_STILL {
+        if now - last > CLOCK_CHECK_INTERVAL + MIN_SUSPEND_TIME {
             node.pool.clear();
             let ms = (now - last).as_millis();
             let name = node.settings.borrow().node.clone();
             emit(Event::StoodStill, &[("node", &name), ("ms", &ms)]);
         }
         last = now;
-        node.look_around();
+        node.update_cut_off();
         proof::look(&node);
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -49,33 +49,33 @@
 
 /// Upper bound of the reaction time, so that deployments which allow more do not read the store
 /// less often.
-const FOLLOW_MOST: Duration = Duration::from_millis(3_000);
+const MAX_FOLLOW_TIME: Duration = Duration::from_millis(3_000);
 
 /// Nodes behind a hub wait longer for updates by this factor, because the hub reads the store first
 /// and forwards what it read.
-const BEHIND_A_HEAD: f64 = 1.4;
+const HUB_WAIT_FACTOR: f64 = 1.4;
 
 impl Settings {
     /// Time within which changes must be noticed.
-    fn follow_within(&self) -> Duration {
-        self.apply_within.min(self.drain_within).min(FOLLOW_MOST)
+    fn follow_time(&self) -> Duration {
+        self.apply_within.min(self.drain_within).min(MAX_FOLLOW_TIME)
     }
 
     /// Maximum wait of a call for a new configuration. A dead connection is detected shortly after
     /// it.
-    pub(crate) fn catalog_wait(&self) -> Duration {
-        self.follow_within().mul_f64(0.5)
+    pub(crate) fn max_catalog_wait(&self) -> Duration {
+        self.follow_time().mul_f64(0.5)
     }
 
     /// Interval between two reads of the engine list.
-    pub(crate) fn list_pause(&self) -> Duration {
-        self.follow_within().mul_f64(0.375)
+    pub(crate) fn list_read_interval(&self) -> Duration {
+        self.follow_time().mul_f64(0.375)
     }
 
     /// Age of the leader's updates after which a node reads the store itself: longer than the
     /// leader's read interval, and short enough to catch up in time.
-    pub(crate) fn followed_for(&self, has_head: bool) -> Duration {
-        let longest = if has_head { BEHIND_A_HEAD } else { 1.0 };
-        self.follow_within().mul_f64(0.625 * longest)
+    pub(crate) fn max_leader_update_age(&self, has_head: bool) -> Duration {
+        let longest = if has_head { HUB_WAIT_FACTOR } else { 1.0 };
+        self.follow_time().mul_f64(0.625 * longest)
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -31,9 +31,9 @@
 use crate::turn::Turns;
 
 /// Engines are a few milliseconds away, so a slower connection attempt has failed.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-const UNACKED: Duration = Duration::from_secs(1);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// State shared by all tasks of a node.
 pub(crate) struct Shared {
@@ -54,43 +54,43 @@
     /// In-flight requests at engines, as reported by other nodes.
     pub(crate) sums: RefCell<Sums>,
     /// Unreachable engines that this node probes until they are back.
-    pub(crate) watched: RefCell<IndexSet<EngineKey>>,
+    pub(crate) probed_engines: RefCell<IndexSet<EngineKey>>,
     /// Notified when another node reports an engine unreachable or reachable again.
     pub(crate) dark: Notify,
     /// Nodes that poll this one for updates.
     pub(crate) children: Children,
     /// Engines whose loaded models changed, for the nodes that poll this one.
-    pub(crate) placements: RefCell<Placements>,
+    pub(crate) placement_changes: RefCell<Placements>,
     /// Candidates for the hub of this node's failure domain, which forwards the leader's updates.
     pub(crate) heads: RefCell<Heads>,
     /// All nodes in the store; empty until this node has read them.
     pub(crate) members: RefCell<Vec<Member>>,
     /// Notified when there is an update for the nodes that poll this one.
-    pub(crate) news: Notify,
+    pub(crate) update_available: Notify,
     /// Random number of this process, which spreads periodic work over the nodes.
     pub(crate) draw: u32,
     /// Set when the engine list is too long to be sent by another node, so that this node reads it
     /// from the store.
-    pub(crate) reads_list: Cell<bool>,
+    pub(crate) must_read_list: Cell<bool>,
     /// Newest era of the store that this node knows.
     pub(crate) era: Cell<KnownEra>,
     /// Time of the last response from the store.
-    pub(crate) store_heard: Cell<Millis>,
+    pub(crate) store_responded_at: Cell<Millis>,
     /// Time when this node last read the engine list from the store.
-    pub(crate) list_read: Cell<Millis>,
+    pub(crate) list_read_at: Cell<Millis>,
     /// Time up to which the leader's updates reflect the store.
-    followed_at: Cell<Option<Millis>>,
+    leader_updated_at: Cell<Option<Millis>>,
     /// Whether the presumed leader refused the last request because it no longer leads.
-    pub(crate) keeper_refuses: Cell<bool>,
+    pub(crate) leader_refuses: Cell<bool>,
     /// Newest configuration version that the leader reported.
-    told_catalog: Cell<u64>,
+    reported_catalog: Cell<u64>,
     /// A configuration version, and the position in the store's log up to which there is no newer
     /// one.
-    pub(crate) catalog_at: Cell<Option<(u64, Cursor)>>,
+    pub(crate) catalog_position: Cell<Option<(u64, Cursor)>>,
     /// Whether a newer configuration is being fetched from a node that polls this one.
-    pub(crate) takes_catalog: Cell<bool>,
+    pub(crate) is_fetching_catalog: Cell<bool>,
     /// Notified when the leader reports a newer configuration.
-    pub(crate) catalog_news: Notify,
+    pub(crate) catalog_reported: Notify,
     /// Whether this node reaches neither the store nor engines in other failure domains.
     cut_off: Cell<bool>,
     /// Notified when an engine is known to have loaded or unloaded a model or adapter.
@@ -101,7 +101,7 @@
 
 /// Source of a change in the engine list.
 #[derive(Debug, Clone, Copy, Display)]
-pub(crate) enum ListedBy {
+pub(crate) enum ListSource {
     /// Read from the store by this node.
     #[display("store")]
     Store,
@@ -132,24 +132,24 @@
             proofs: Proofs::default(),
             quotas: Quotas::default(),
             sums: RefCell::default(),
-            watched: RefCell::default(),
+            probed_engines: RefCell::default(),
             dark: Notify::new(),
             children: Children::default(),
-            placements: RefCell::default(),
+            placement_changes: RefCell::default(),
             heads: RefCell::default(),
             members: RefCell::default(),
-            news: Notify::new(),
+            update_available: Notify::new(),
             draw: random(),
-            reads_list: Cell::new(false),
+            must_read_list: Cell::new(false),
             era: Cell::default(),
-            store_heard: Cell::new(0),
-            list_read: Cell::new(0),
-            followed_at: Cell::new(None),
-            keeper_refuses: Cell::new(false),
-            told_catalog: Cell::new(0),
-            catalog_at: Cell::new(None),
-            takes_catalog: Cell::new(false),
-            catalog_news: Notify::new(),
+            store_responded_at: Cell::new(0),
+            list_read_at: Cell::new(0),
+            leader_updated_at: Cell::new(None),
+            leader_refuses: Cell::new(false),
+            reported_catalog: Cell::new(0),
+            catalog_position: Cell::new(None),
+            is_fetching_catalog: Cell::new(false),
+            catalog_reported: Notify::new(),
             cut_off: Cell::new(false),
             placed: Notify::new(),
             started_anew: Notify::new(),
@@ -161,7 +161,7 @@
     }
 
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stop.since.get().is_some()
+        self.stop.started_at.get().is_some()
     }
 
     /// Whether the readiness check succeeds.
@@ -172,9 +172,9 @@
     }
 
     /// Records that the leader's updates reflect the store up to `at`.
-    pub(crate) fn followed(&self, at: Millis) {
-        self.followed_at.set(self.followed_at.get().max(Some(at)));
-        self.store_heard.set(self.store_heard.get().max(at));
+    pub(crate) fn record_leader_update(&self, at: Millis) {
+        self.leader_updated_at.set(self.leader_updated_at.get().max(Some(at)));
+        self.store_responded_at.set(self.store_responded_at.get().max(at));
     }
 
     /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
@@ -188,7 +188,7 @@
 
     /// Age of this node's copy of the store data, read directly or received from the leader.
     pub(crate) fn word_age(&self) -> Millis {
-        let updated_at = self.followed_at.get().unwrap_or(0).max(self.list_read.get());
+        let updated_at = self.leader_updated_at.get().unwrap_or(0).max(self.list_read_at.get());
         self.now().saturating_sub(updated_at)
     }
 
@@ -214,44 +214,45 @@
 
     /// Whether an update from the leader has ever arrived.
     pub(crate) fn was_followed(&self) -> bool {
-        self.followed_at.get().is_some()
+        self.leader_updated_at.get().is_some()
     }
 
     /// Whether the leader's updates are recent enough that this node need not read the store.
     ///
     /// Nodes behind a hub wait longer, so that they do not all read the store at once when the
     /// leader fails: the hubs read first and forward what they read.
-    pub(crate) fn is_followed(&self) -> bool {
+    pub(crate) fn has_recent_leader_updates(&self) -> bool {
         let is_leader = self.holding.borrow().is_mine();
-        let max_age = self.settings.borrow().followed_for(self.has_head()).as_millis() as Millis;
-        let age = self.followed_at.get().map(|at| self.now().saturating_sub(at));
-        !is_leader && !self.keeper_refuses.get() && age.is_some_and(|age| age < max_age)
+        let max_age =
+            self.settings.borrow().max_leader_update_age(self.has_head()).as_millis() as Millis;
+        let age = self.leader_updated_at.get().map(|at| self.now().saturating_sub(at));
+        !is_leader && !self.leader_refuses.get() && age.is_some_and(|age| age < max_age)
     }
 
     /// Records the configuration version that the leader reports.
-    pub(crate) fn catalog_told(&self, version: u64) {
-        self.told_catalog.set(version);
-        if self.lacks_catalog() {
-            self.catalog_news.notify_waiters();
+    pub(crate) fn record_reported_catalog(&self, version: u64) {
+        self.reported_catalog.set(version);
+        if self.is_catalog_outdated() {
+            self.catalog_reported.notify_waiters();
         }
     }
 
     /// Whether the leader reported a newer configuration than this node has.
-    pub(crate) fn lacks_catalog(&self) -> bool {
+    pub(crate) fn is_catalog_outdated(&self) -> bool {
         let version = self.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
-        version < self.told_catalog.get()
+        version < self.reported_catalog.get()
     }
 
     /// Factor by which poll intervals grow with the number of nodes, which bounds the load on the
     /// leader.
-    pub(crate) fn crowd(&self) -> u32 {
+    pub(crate) fn poll_interval_factor(&self) -> u32 {
         let nodes = self.state.borrow().nodes;
         crowd(nodes, nodes)
     }
 
     /// Whether this node keeps reading the engine list from the store while no leader does.
-    pub(crate) fn reads_on(&self) -> bool {
-        reads_on(&self.state.borrow().engines, self.crowd(), self.draw)
+    pub(crate) fn polls_store(&self) -> bool {
+        reads_on(&self.state.borrow().engines, self.poll_interval_factor(), self.draw)
     }
 
     /// Whether callers should reconnect to another node.
@@ -260,9 +261,9 @@
     }
 
     /// Updates whether this node is cut off.
-    pub(crate) fn look_around(&self) {
+    pub(crate) fn update_cut_off(&self) {
         let now = self.now();
-        let store_silent_for = now.saturating_sub(self.store_heard.get());
+        let store_silent_for = now.saturating_sub(self.store_responded_at.get());
         let cut_off = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
             is_cut_off(store_silent_for, &state.engines, &settings.domain, now)
@@ -275,7 +276,7 @@
 
     /// Closes connections to restarted engines and wakes the requests that wait for their
     /// responses.
-    pub(crate) fn look_for_starts(&self) {
+    pub(crate) fn handle_restarts(&self) {
         let restarted = self.state.borrow_mut().engines.take_anew();
         for addr in &restarted {
             self.pool.forget(*addr);
@@ -288,10 +289,11 @@
     }
 
     /// Records that the engine list is known up to `place`.
-    pub(crate) fn listed_to(&self, place: ListPlace, source: ListedBy) {
+    pub(crate) fn record_list_version(&self, place: ListPlace, source: ListSource) {
         let changes = {
             let mut state = self.state.borrow_mut();
-            let State { engines, listing, list_at, listed, .. } = &mut *state;
+            let State { engines, list_changes: listing, list_version: list_at, listed, .. } =
+                &mut *state;
             *listed = true;
             *list_at = (*list_at).max(Some(place));
             listing.look(engines, place.cursor())
@@ -322,7 +324,7 @@
     }
 
     pub(crate) fn connect_limits(&self) -> ConnectLimits {
-        ConnectLimits { connect: CONNECT, silence: UNACKED }
+        ConnectLimits { connect: CONNECT_TIMEOUT, silence: UNACKED_TIMEOUT }
     }
 
     /// Records the outcome of a request at an engine.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 /// Bounds the memory used for names that callers make up while no leader collects them.
-const MOST_ASKED: usize = 4_096;
+const MAX_UNREPORTED_NAMES: usize = 4_096;
 
 /// A node's view of the configuration, the engines and the demand.
 #[derive(Debug, Default)]
@@ -17,16 +17,16 @@
     pub(crate) listed: bool,
     pub(crate) engines: Engines,
     /// Position up to which the engine list is known.
-    pub(crate) list_at: Option<ListPlace>,
+    pub(crate) list_version: Option<ListPlace>,
     /// Changes in the engine list, for other nodes.
-    pub(crate) listing: Listing,
+    pub(crate) list_changes: Listing,
     pub(crate) budgets: IndexMap<ServiceId, Budget>,
     /// Demand seen by this node, which a new leader starts from.
     pub(crate) demand: Demand,
     /// Requests by model and adapter since the last report to the leader.
-    pub(crate) asked: IndexMap<Wanted, f64>,
+    pub(crate) unreported_demand: IndexMap<Wanted, f64>,
     /// Fencing token of a leader, and the start times of its loads from the weight store.
-    pub(crate) begun: Option<(u64, Vec<Millis>)>,
+    pub(crate) leader_loads: Option<(u64, Vec<Millis>)>,
     /// Number of nodes that share budgets and connections, this one included.
     pub(crate) nodes: u32,
 }
@@ -35,8 +35,8 @@
     /// Counts requests for a model or an adapter.
     pub(crate) fn asked_for(&mut self, now: Millis, wanted: &Wanted, count: f64) {
         self.demand.saw(now, wanted, count);
-        if self.asked.len() < MOST_ASKED {
-            *self.asked.entry(wanted.clone()).or_default() += count;
+        if self.unreported_demand.len() < MAX_UNREPORTED_NAMES {
+            *self.unreported_demand.entry(wanted.clone()).or_default() += count;
         }
     }
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -14,32 +14,32 @@
 
 /// Time for which the load balancer may still send callers here: it checks once a second, removes a
 /// node after two failures, and requests already sent have to arrive.
-const STILL_SENT: Duration = Duration::from_millis(3_300);
+const BALANCER_DELAY: Duration = Duration::from_millis(3_300);
 
 /// Time after which requests are refused, because they may not complete before the process ends.
-const SERVED_FOR: Duration = Duration::from_millis(2_700);
+const SERVE_TIME: Duration = Duration::from_millis(2_700);
 
 /// Whether new requests are refused because the process is about to end.
 pub(crate) fn takes_no_more(node: &Node) -> bool {
-    let since = node.stop.since.get();
-    since.is_some_and(|since| node.now() - since > SERVED_FOR.as_millis() as u64)
+    let since = node.stop.started_at.get();
+    since.is_some_and(|since| node.now() - since > SERVE_TIME.as_millis() as u64)
 }
 
 /// Part of the grace period that is kept for closing; requests that still run then are aborted.
-const LAST: Duration = Duration::from_millis(400);
+const CLOSE_TIME: Duration = Duration::from_millis(400);
 
 /// Shuts down as planned: fails the readiness check, serves the callers that still arrive, then
 /// closes idle connections and returns with the last request.
-pub(crate) async fn stop(node: &Node) {
+pub(crate) async fn shut_down(node: &Node) {
     let name = node.settings.borrow().node.clone();
     let grace = node.settings.borrow().grace;
     let began = Instant::now();
-    let deadline = began + grace.saturating_sub(LAST);
-    node.stop.since.set(Some(node.now()));
+    let deadline = began + grace.saturating_sub(CLOSE_TIME);
+    node.stop.started_at.set(Some(node.now()));
     node.stop.changed.notify_waiters();
     emit(Event::ProcessStopping, &[("node", &name)]);
     tokio::task::spawn_local(holder::release(Node::clone(node)));
-    sleep_until((began + STILL_SENT).min(deadline)).await;
+    sleep_until((began + BALANCER_DELAY).min(deadline)).await;
     node.stop.closing.set(true);
     node.stop.changed.notify_waiters();
     while Instant::now() < deadline
@@ -52,7 +52,7 @@
 /// Progress of the planned shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct Stopping {
-    pub(crate) since: Cell<Option<Millis>>,
+    pub(crate) started_at: Cell<Option<Millis>>,
     /// Whether idle connections are closed.
     pub(crate) closing: Cell<bool>,
     /// Notified when `since` or `closing` changes.
