--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -64,7 +64,7 @@
             let leadership = node.holding.borrow();
             let own_addr = node.settings.borrow().peers;
             !leadership.is_mine()
-                && leadership.keeper.as_ref().is_some_and(|leader| leader.addr != own_addr)
+                && leadership.leader.as_ref().is_some_and(|leader| leader.addr != own_addr)
         };
         let max_wait =
             if has_other_leader { MAX_START_WAIT.as_millis() as u64 } else { max_wait_alone };
--- a/crates/gateway/src/holder/record.rs
+++ b/crates/gateway/src/holder/lease_record.rs
@@ -11,8 +11,8 @@
 use crate::shared::Node;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Entry {
-    pub(super) kind: EntryKind,
+pub(super) struct LeaseRecord {
+    pub(super) kind: RecordKind,
     pub(super) node: String,
     /// Peer address of the node.
     pub(super) addr: SocketAddr,
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum EntryKind {
+pub(super) enum RecordKind {
     /// The node becomes the leader. The position of the record is the fencing token.
     Claim,
     /// The leader extends its lease.
@@ -34,17 +34,17 @@
 }
 
 /// Parses a record; none if it is void or malformed.
-pub(super) fn valid(record: &Record) -> Option<Entry> {
-    let entry: Entry = serde_json::from_slice(&record.data).ok()?;
+pub(super) fn parse(record: &Record) -> Option<LeaseRecord> {
+    let entry: LeaseRecord = serde_json::from_slice(&record.data).ok()?;
     let era = entry.era.map_or(Era::FIRST, |(era, _)| era);
     (era == record.at.era).then_some(entry)
 }
 
 /// Serializes a record for the log that ends at `at`.
-pub(super) fn entry(node: &Node, kind: EntryKind, at: Cursor) -> Bytes {
+pub(super) fn serialize(node: &Node, kind: RecordKind, at: Cursor) -> Bytes {
     let lasted = eras::to_report(node).filter(|(era, _)| *era == at.era).map_or(0, |(_, ms)| ms);
     let era = (at.era > Era::FIRST).then_some((at.era, lasted));
     let settings = node.settings.borrow();
-    let entry = Entry { kind, node: settings.node.clone(), addr: settings.peers, era };
+    let entry = LeaseRecord { kind, node: settings.node.clone(), addr: settings.peers, era };
     serde_json::to_vec(&entry).expect("a lease record is valid JSON").into()
 }
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -1,7 +1,7 @@
 //! Leader election: the leader is the node with the newest claim in the store's lease log.
 
-mod reader;
-mod record;
+mod lease_record;
+mod participant;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use crate::dialect::Cursor;
 use crate::shared::Node;
 
-use record::{EntryKind, entry, valid};
+use lease_record::{RecordKind, parse, serialize};
 
-pub(crate) use reader::hold;
+pub(crate) use participant::take_part;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Keeper {
@@ -28,19 +28,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct Holding {
     /// Author of the newest claim, unless it was released.
-    pub(crate) keeper: Option<Keeper>,
+    pub(crate) leader: Option<Keeper>,
     /// Fencing token of the newest claim that this node knows.
-    newest: Option<u64>,
+    newest_fence: Option<u64>,
     /// Position of this node's own claim while it is the leader.
-    mine: Option<Cursor>,
+    own_claim: Option<Cursor>,
     /// Boot time at which the last acknowledged renewal was sent.
-    renewed: Duration,
+    renewed_at: Duration,
     /// End of the log after that renewal.
-    renewed_at: Option<Cursor>,
+    renewal_end: Option<Cursor>,
     /// Whether the leader responds to this node, and its last renewal.
-    pub(crate) silence: Silence,
+    pub(crate) leader_liveness: Silence,
     /// Boot time of the last attempt to renew.
-    tried: Duration,
+    attempted_at: Duration,
 }
 
 impl Holding {
@@ -51,9 +51,9 @@
     /// successor's orders then stop it.
     pub(crate) fn fence(&self, lease: Duration, engines_fence: bool) -> Option<u64> {
         let now = boot_time();
-        let has_lease = now.saturating_sub(self.renewed) < lease;
-        let attempted_lately = now.saturating_sub(self.tried) < lease / 2;
-        self.mine
+        let has_lease = now.saturating_sub(self.renewed_at) < lease;
+        let attempted_lately = now.saturating_sub(self.attempted_at) < lease / 2;
+        self.own_claim
             .filter(|_| attempted_lately && (has_lease || engines_fence))
             .and_then(Cursor::fence)
     }
@@ -61,46 +61,46 @@
     /// Fencing token for actions that only one node may take at a time; none once the lease has
     /// expired. A successor waits for a full lease.
     pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
-        let has_lease = boot_time().saturating_sub(self.renewed) < lease;
-        self.mine.filter(|_| has_lease).and_then(Cursor::fence)
+        let has_lease = boot_time().saturating_sub(self.renewed_at) < lease;
+        self.own_claim.filter(|_| has_lease).and_then(Cursor::fence)
     }
 
     /// End of the log after the last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
-        let age = boot_time().saturating_sub(self.renewed).as_millis() as u64;
-        self.renewed_at.filter(|_| self.is_mine()).map(|end| (end, age))
+        let age = boot_time().saturating_sub(self.renewed_at).as_millis() as u64;
+        self.renewal_end.filter(|_| self.is_mine()).map(|end| (end, age))
     }
 
     /// Takes in a leader that another node reported.
-    pub(crate) fn hear_of(&mut self, leader: Keeper) {
-        let is_newer = self.newest.is_none_or(|newest| newest < leader.fence);
+    pub(crate) fn record_reported_leader(&mut self, leader: Keeper) {
+        let is_newer = self.newest_fence.is_none_or(|newest| newest < leader.fence);
         if is_newer && !self.is_mine() {
-            self.newest = Some(leader.fence);
-            self.keeper = Some(leader);
+            self.newest_fence = Some(leader.fence);
+            self.leader = Some(leader);
         }
     }
 
     /// Records an attempt to renew, unless the last one is at least a lease ago: another node may
     /// lead by now, so that only the response decides whether this node may act.
-    fn tries(&mut self, began: Duration, lease: Duration) {
-        if began.saturating_sub(self.tried) < lease {
-            self.tried = began;
+    fn record_attempt(&mut self, sent_at: Duration, lease: Duration) {
+        if sent_at.saturating_sub(self.attempted_at) < lease {
+            self.attempted_at = sent_at;
         }
     }
 
-    fn was_renewed(&mut self, began: Duration, end: Cursor) {
-        self.renewed_at = Some(end);
-        self.renewed = began;
-        self.tried = boot_time();
+    fn record_renewal(&mut self, sent_at: Duration, end: Cursor) {
+        self.renewal_end = Some(end);
+        self.renewed_at = sent_at;
+        self.attempted_at = boot_time();
     }
 
     /// Steps down after an engine reported a higher fencing token.
-    pub(crate) fn superseded(&mut self) {
-        self.mine = None;
+    pub(crate) fn step_down(&mut self) {
+        self.own_claim = None;
     }
 
     pub(crate) fn is_mine(&self) -> bool {
-        self.mine.is_some()
+        self.own_claim.is_some()
     }
 }
 
@@ -110,12 +110,12 @@
         return;
     }
     let Ok(log) = node.dialects.store.claims(None, Duration::ZERO).await else { return };
-    let last = log.records.iter().rev().find_map(valid);
+    let last = log.records.iter().rev().find_map(parse);
     let own_name = node.settings.borrow().node.clone();
-    node.holding.borrow_mut().superseded();
+    node.holding.borrow_mut().step_down();
     if last.is_some_and(|entry| entry.node == own_name) {
         // If this fails, the successor waits until the lease expires.
-        let released = entry(&node, EntryKind::Release, log.end);
+        let released = serialize(&node, RecordKind::Release, log.end);
         let _ = node.dialects.store.claim(log.end, released).await;
     }
 }
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/give.rs
@@ -112,7 +112,7 @@
     meter::order(kind_name, outcome);
     if result == Given::Superseded {
         emit(Event::KeeperLost, &[("node", &holder), ("term", &fence)]);
-        node.holding.borrow_mut().superseded();
+        node.holding.borrow_mut().step_down();
     }
     result
 }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -60,7 +60,7 @@
     /// Polls once. Returns the number of nodes that poll the same node, or none if it did not
     /// respond.
     async fn ask(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
-        let fence = node.holding.borrow().keeper.as_ref().map_or(0, |leader| leader.fence);
+        let fence = node.holding.borrow().leader.as_ref().map_or(0, |leader| leader.fence);
         let mut asked = take_asked(node);
         let reports_earlier_demand = parent == Parent::Holder && self.introduced != Some(fence);
         let earlier_demand = reports_earlier_demand.then(|| counted_before(node));
@@ -129,7 +129,7 @@
     fn is_silent(&mut self, node: &Node, parent: Parent, addr: SocketAddr) {
         self.links.entry(addr).or_default().is_silent(node, addr);
         if parent == Parent::Holder {
-            node.holding.borrow_mut().silence.is_silent();
+            node.holding.borrow_mut().leader_liveness.is_silent();
         }
         node.heads.borrow_mut().pass_over(addr, PassedOver::Silent, node.now());
     }
@@ -146,10 +146,10 @@
     let arrived = node.now();
     eras::record_reported(node, news.era);
     if let Some(leader) = news.keeper {
-        node.holding.borrow_mut().hear_of(leader);
+        node.holding.borrow_mut().record_reported_leader(leader);
     }
     let renewed = news.renewed.map(|(end, age)| (end, arrived.saturating_sub(age)));
-    node.holding.borrow_mut().silence.answers(renewed);
+    node.holding.borrow_mut().leader_liveness.answers(renewed);
     if let Some(heads) = news.heads {
         node.heads.borrow_mut().know(heads);
     }
@@ -158,7 +158,7 @@
     node.record_leader_update((polled_at + news.held_ms).saturating_sub(news.age_ms));
     take_in(node, news.engines);
     take_in_loads(node, &news.loads);
-    let fence = node.holding.borrow().keeper.as_ref().map(|leader| leader.fence);
+    let fence = node.holding.borrow().leader.as_ref().map(|leader| leader.fence);
     if let Some(fence) = fence {
         let begun = news.begun.iter().map(|age| arrived.saturating_sub(*age));
         node.state.borrow_mut().leader_loads = Some((fence, begun.collect()));
@@ -200,7 +200,7 @@
 fn name_of(node: &Node, addr: SocketAddr) -> String {
     let leadership = node.holding.borrow();
     let leader = leadership
-        .keeper
+        .leader
         .as_ref()
         .filter(|leader| leader.addr == addr)
         .map(|leader| leader.node.clone());
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -59,7 +59,7 @@
 
 /// Asks the leader to place a model or an adapter.
 pub(crate) async fn want(node: &Node, wanted: &Wanted, refuted: Option<&EngineId>) -> Placement {
-    let leader = node.holding.borrow().keeper.clone();
+    let leader = node.holding.borrow().leader.clone();
     let domain = node.settings.borrow().domain.clone();
     if node.holding.borrow().is_mine() {
         return keeper::want(node, wanted, &domain, refuted).await;
@@ -241,7 +241,7 @@
 
 fn is_keeper(node: &Node, fence: u64) -> bool {
     let leadership = node.holding.borrow();
-    leadership.is_mine() && leadership.keeper.as_ref().is_some_and(|leader| leader.fence == fence)
+    leadership.is_mine() && leadership.leader.as_ref().is_some_and(|leader| leader.fence == fence)
 }
 
 fn json<T: Serialize>(message: &T) -> Answer {
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -31,7 +31,7 @@
         (list, version(node), state.nodes)
     };
     News {
-        keeper: node.holding.borrow().keeper.clone(),
+        keeper: node.holding.borrow().leader.clone(),
         heard,
         engines,
         list,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -71,7 +71,7 @@
     };
     spawn(Box::pin(follow::catalog(Rc::clone(&node))));
     spawn(Box::pin(follow::engines(Rc::clone(&node))));
-    spawn(Box::pin(holder::hold(Rc::clone(&node))));
+    spawn(Box::pin(holder::take_part(Rc::clone(&node))));
     spawn(Box::pin(peers::exchange(Rc::clone(&node))));
     spawn(Box::pin(peers::tell_flights(Rc::clone(&node))));
     spawn(Box::pin(quotas::keep(Rc::clone(&node))));
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -183,7 +183,7 @@
         if leadership.is_mine() {
             return leadership.last_renewal();
         }
-        leadership.silence.last_renewal(self.now())
+        leadership.leader_liveness.last_renewal(self.now())
     }
 
     /// Age of this node's copy of the store data, read directly or received from the leader.
@@ -198,7 +198,7 @@
         if self.holding.borrow().is_mine() {
             return None;
         }
-        let leader_addr = self.holding.borrow().keeper.as_ref().map(|leader| leader.addr);
+        let leader_addr = self.holding.borrow().leader.as_ref().map(|leader| leader.addr);
         let own_addr = self.settings.borrow().peers;
         let parent = self.heads.borrow().parent(own_addr, leader_addr, self.now());
         match parent {
