--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -318,7 +318,7 @@
     drop(state);
     node.handle_restarts();
     node.record_list_version(ListPlace::read(news.cursor), ListSource::Store);
-    keeper::look_at_list(node);
+    keeper::notify_list_change(node);
     node.placed.notify_waiters();
 }
 
--- a/crates/gateway/src/holder/participant.rs
+++ b/crates/gateway/src/holder/participant.rs
@@ -193,7 +193,7 @@
     async fn claim(&mut self) -> Result<(), StoreError> {
         let Some(end) = self.log_end else { return Ok(()) };
         if let Some((fence, predecessor)) = self.append_claim(end).await? {
-            keeper::begin(&self.node, fence, predecessor);
+            keeper::start(&self.node, fence, predecessor);
         }
         Ok(())
     }
@@ -215,7 +215,7 @@
             return Ok(());
         };
         if let Some((fence, _)) = self.append_claim(end).await? {
-            keeper::go_on(&node, fence);
+            keeper::continue_under(&node, fence);
             quotas::go_on(&node, old_fence, fence);
         }
         Ok(())
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -13,64 +13,64 @@
 use crate::peers::Placement;
 use crate::shared::Node;
 
-use super::give::{Given, count, give, may_give};
-use super::{changed, desk, models, pools};
+use super::order::{OrderResult, count_accepted, may_send_orders, send_order};
+use super::{model_pools, models, order_lock, placement_changed};
 
 /// Pause before the first check of a load, about the time that one takes.
-const FIRST_CHECK: Duration = Duration::from_millis(6);
+const MIN_CHECK_PAUSE: Duration = Duration::from_millis(6);
 
 /// Maximum pause between checks, each of which is an order.
-const LAST_CHECK: Duration = Duration::from_millis(100);
+const MAX_CHECK_PAUSE: Duration = Duration::from_millis(100);
 
 /// Maximum wait for a load.
-const LONGEST: Duration = Duration::from_millis(500);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum wait for an unload, which the engine completes only after the last request with the
 /// adapter. It executes no other order meanwhile.
-const LONGEST_UNLOAD: Duration = Duration::from_millis(3_000);
+const UNLOAD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// No adapter is placed ahead of requests while this many placements are in progress.
-const MOST_AHEAD: usize = 4;
+const MAX_PLACEMENTS: usize = 4;
 
 /// Places a model or an adapter that a request is waiting for.
-pub(crate) async fn want(
+pub(crate) async fn request_placement(
     node: &Node,
     wanted: &Wanted,
     domain: &str,
     stale_engine: Option<&EngineId>,
 ) -> Placement {
     if let Some(engine) = stale_engine {
-        disbelieve(node, wanted, engine);
+        remove_stale_model(node, wanted, engine);
     }
-    if is_placed(node, wanted) {
+    if is_loaded(node, wanted) {
         return Placement::Placed;
     }
     // The demand report of its node arrives later, and the adapter must not be evicted until then.
     let now = node.now();
     node.keeper.borrow_mut().demand.touch(now, wanted);
     let model = Wanted { model: wanted.model.clone(), adapter: None };
-    if wanted.adapter.is_none() || !is_placed(node, &model) {
-        return Placement::Coming(models::coming_in(node, &wanted.model));
+    if wanted.adapter.is_none() || !is_loaded(node, &model) {
+        return Placement::Coming(models::expected_load_ms(node, &wanted.model));
     }
     // Runs as a task of its own, because the caller may leave while an order is pending.
-    let done = begin_placing(node, wanted, domain);
+    let done = start_placement(node, wanted, domain);
     // The check below shows whether the adapter was loaded.
-    let _ = timeout(LONGEST, done.notified()).await;
-    if is_placed(node, wanted) { Placement::Placed } else { Placement::Unknown }
+    let _ = timeout(LOAD_TIMEOUT, done.notified()).await;
+    if is_loaded(node, wanted) { Placement::Placed } else { Placement::Unknown }
 }
 
 /// Corrects the state of an engine that responded that `wanted` is not loaded.
-fn disbelieve(node: &Node, wanted: &Wanted, engine: &EngineId) {
+fn remove_stale_model(node: &Node, wanted: &Wanted, engine: &EngineId) {
     let mut state = node.state.borrow_mut();
     let Some(known) = state.engines.get_mut(engine).filter(|e| e.holds(wanted)) else { return };
     known.drop_held(wanted);
     drop(state);
     node.keeper.borrow_mut().surveyed.shift_remove(engine);
-    changed(node, engine);
+    placement_changed(node, engine);
 }
 
 /// Starts to place an adapter unless that is in progress. The result is notified at the end.
-fn begin_placing(node: &Node, wanted: &Wanted, domain: &str) -> Rc<Notify> {
+fn start_placement(node: &Node, wanted: &Wanted, domain: &str) -> Rc<Notify> {
     let mut leader = node.keeper.borrow_mut();
     if let Some(in_progress) = leader.placing.get(wanted) {
         return Rc::clone(in_progress);
@@ -79,7 +79,7 @@
     leader.placing.insert(wanted.clone(), Rc::clone(&done));
     let (node, wanted, domain) = (Rc::clone(node), wanted.clone(), domain.to_owned());
     tokio::task::spawn_local(async move {
-        place(&node, &wanted, &domain).await;
+        place_adapter_now(&node, &wanted, &domain).await;
         let done = node.keeper.borrow_mut().placing.shift_remove(&wanted);
         if let Some(done) = done {
             done.notify_waiters();
@@ -89,10 +89,10 @@
 }
 
 /// Places an adapter in demand that no engine has loaded, ahead of the next request for it.
-pub(super) fn step(node: &Node, service: &ServiceId) {
+pub(super) fn place_missing_adapter(node: &Node, service: &ServiceId) {
     let wanted = {
         let leader = node.keeper.borrow();
-        if leader.placing.len() >= MOST_AHEAD {
+        if leader.placing.len() >= MAX_PLACEMENTS {
             return;
         }
         let state = node.state.borrow();
@@ -100,33 +100,33 @@
         spread_adapters(&engines, &leader.demand, node.now())
     };
     let Some(wanted) = wanted else { return };
-    begin_placing(node, &wanted, "");
+    start_placement(node, &wanted, "");
 }
 
-fn is_placed(node: &Node, wanted: &Wanted) -> bool {
+fn is_loaded(node: &Node, wanted: &Wanted) -> bool {
     let now = node.now();
     let is_reachable = |e: &Engine| e.takes_work() && !e.judge.is_dark(now);
     node.state.borrow().engines.iter().any(|e| is_reachable(e) && e.holds(wanted))
 }
 
-async fn place(node: &Node, wanted: &Wanted, domain: &str) {
+async fn place_adapter_now(node: &Node, wanted: &Wanted, domain: &str) {
     // An evicted adapter leaves the engine's state before the order is sent.
-    if !may_give(node) {
+    if !may_send_orders(node) {
         return;
     }
-    if let Some((engine, instead_of)) = choose(node, wanted, domain) {
-        let lock = desk(node, &engine);
+    if let Some((engine, instead_of)) = choose_engine(node, wanted, domain) {
+        let lock = order_lock(node, &engine);
         let _guard = lock.lock().await;
         // Another order may have taken the slot meanwhile.
-        if choose_again(node, wanted, &engine, instead_of.as_ref()) {
-            carry_out(node, &engine, wanted, instead_of).await;
+        if is_still_valid(node, wanted, &engine, instead_of.as_ref()) {
+            execute(node, &engine, wanted, instead_of).await;
         }
     }
 }
 
-fn choose(node: &Node, wanted: &Wanted, domain: &str) -> Option<(EngineId, Option<Wanted>)> {
+fn choose_engine(node: &Node, wanted: &Wanted, domain: &str) -> Option<(EngineId, Option<Wanted>)> {
     let now = node.now();
-    for (service, pool) in pools(node) {
+    for (service, pool) in model_pools(node) {
         let state = node.state.borrow();
         let leader = node.keeper.borrow();
         let engines: Vec<&Engine> = state
@@ -134,8 +134,8 @@
             .of(&service)
             .filter(|e| e.takes_work() && leader.surveyed.contains_key(&e.listed.id))
             // Engines execute one order at a time.
-            .filter(|e| !leader.pending.contains_key(&e.listed.id))
-            .filter(|e| !leader.emptying.contains(&e.listed.id))
+            .filter(|e| !leader.pending_loads.contains_key(&e.listed.id))
+            .filter(|e| !leader.draining.contains(&e.listed.id))
             .collect();
         let action = place_adapter(&engines, &pool, &leader.demand, wanted, domain, now);
         if let AdapterStep::Load { engine, instead_of } = action {
@@ -146,23 +146,25 @@
 }
 
 /// Whether the decision still holds: there is a free slot or the evicted adapter is still there.
-fn choose_again(
+fn is_still_valid(
     node: &Node,
     wanted: &Wanted,
     engine: &EngineId,
     instead_of: Option<&Wanted>,
 ) -> bool {
-    let max_slots = pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
+    let max_slots =
+        model_pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
     let fits = node.engine(engine, |e| {
         let freed = usize::from(instead_of.is_some_and(|w| e.holds(w)));
         e.holds_model(&wanted.model) && !e.holds(wanted) && e.places_taken() - freed < max_slots
     });
     let leader = node.keeper.borrow();
-    let is_surveyed = leader.surveyed.contains_key(engine) && !leader.pending.contains_key(engine);
+    let is_surveyed =
+        leader.surveyed.contains_key(engine) && !leader.pending_loads.contains_key(engine);
     is_surveyed && fits.unwrap_or(false)
 }
 
-fn tell(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<&Wanted>) {
+fn log_plan(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<&Wanted>) {
     let rate = format!("{:.1}", node.keeper.borrow().demand.rate(node.now(), wanted));
     let evict = instead_of.map(Wanted::to_string).unwrap_or_default();
     emit(
@@ -177,29 +179,34 @@
     );
 }
 
-async fn carry_out(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<Wanted>) {
-    tell(node, engine, wanted, instead_of.as_ref());
+async fn execute(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<Wanted>) {
+    log_plan(node, engine, wanted, instead_of.as_ref());
     if let Some(evicted) = instead_of {
         if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
             e.drop_held(&evicted);
         }
-        changed(node, engine);
-        node.keeper.borrow_mut().emptying.insert(engine.clone());
-        let unloaded = done(node, engine, OrderKind::Unload, &evicted).await;
-        node.keeper.borrow_mut().emptying.shift_remove(engine);
+        placement_changed(node, engine);
+        node.keeper.borrow_mut().draining.insert(engine.clone());
+        let unloaded = order_until_done(node, engine, OrderKind::Unload, &evicted).await;
+        node.keeper.borrow_mut().draining.shift_remove(engine);
         if !unloaded {
             return;
         }
     }
-    done(node, engine, OrderKind::Load, wanted).await;
+    order_until_done(node, engine, OrderKind::Load, wanted).await;
 }
 
 /// Repeats an order until the engine has executed it. Returns whether it has.
-async fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) -> bool {
+async fn order_until_done(
+    node: &Node,
+    engine: &EngineId,
+    kind: OrderKind,
+    wanted: &Wanted,
+) -> bool {
     // An adapter in use is unloaded after its last request.
-    let max_wait = if kind == OrderKind::Unload { LONGEST_UNLOAD } else { LONGEST };
+    let max_wait = if kind == OrderKind::Unload { UNLOAD_TIMEOUT } else { LOAD_TIMEOUT };
     let deadline = Instant::now() + max_wait;
-    let mut pause = FIRST_CHECK;
+    let mut pause = MIN_CHECK_PAUSE;
     if kind == OrderKind::Load
         && let Some(e) = node.state.borrow_mut().engines.get_mut(engine)
     {
@@ -207,11 +214,11 @@
     }
     let mut accepted = false;
     while Instant::now() < deadline {
-        match give(node, engine, kind, wanted).await {
-            Given::Holds => {
+        match send_order(node, engine, kind, wanted).await {
+            OrderResult::Done => {
                 if kind == OrderKind::Unload && !accepted {
                     // An unload that completes at once counts as an accepted order, too.
-                    count(node, engine);
+                    count_accepted(node, engine);
                 }
                 if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
                     match kind {
@@ -219,21 +226,21 @@
                         OrderKind::Unload => e.drop_held(wanted),
                     }
                 }
-                changed(node, engine);
+                placement_changed(node, engine);
                 return true;
             }
-            Given::Accepted => {
+            OrderResult::Accepted => {
                 if !accepted {
-                    count(node, engine);
+                    count_accepted(node, engine);
                     accepted = true;
                 }
                 sleep(pause).await;
-                pause = (pause * 2).min(LAST_CHECK);
+                pause = (pause * 2).min(MAX_CHECK_PAUSE);
             }
             // An unknown order is in progress, whose outcome a new survey has to find.
-            Given::Conflict => break,
-            Given::Lost | Given::NotSent => sleep(LAST_CHECK).await,
-            Given::Superseded | Given::Refused => break,
+            OrderResult::Conflict => break,
+            OrderResult::NoResponse | OrderResult::NotSent => sleep(MAX_CHECK_PAUSE).await,
+            OrderResult::Superseded | OrderResult::Refused => break,
         }
     }
     node.keeper.borrow_mut().surveyed.shift_remove(engine);
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -1,8 +1,8 @@
 //! Duties of the leader: placing models and adapters on engines by demand.
 
 mod adapters;
-mod give;
 mod models;
+mod order;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,34 +17,34 @@
 use crate::peers::{Asked, CountedBefore, Told};
 use crate::shared::{ListSource, Node};
 
-pub(crate) use adapters::want;
+pub(crate) use adapters::request_placement;
 
 /// Interval between two placement plans.
-const TICK: Duration = Duration::from_millis(100);
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Least pause after a plan, as a multiple of the time that it took. A plan for thousands of
 /// engines keeps a small machine busy, and the nodes need responses meanwhile.
-const REST: u32 = 10;
+const PLAN_REST_FACTOR: u32 = 10;
 
 /// Maximum number of engines asked at a time: connecting to thousands at once would keep a small
 /// machine from responding to other nodes.
-const MOST_ASKING: usize = 64;
+const MAX_CONCURRENT_SURVEYS: usize = 64;
 
 /// Largest age of the state in an engine's report.
-const REPORT_AGE: Duration = Duration::from_millis(600);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
 /// Leases after the claim until the previous leader has surely noticed that it lost the lease.
-const LEASES_ALONE: Millis = 2;
+const SOLE_LEADER_AFTER_LEASES: Millis = 2;
 
 /// Pause before an engine is asked again that executes an order of an earlier leader.
-const BUSY_CHECK: Duration = Duration::from_millis(400);
+const BUSY_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 /// Loads that the previous leader may have started without reporting them.
-const UNHEARD_LOADS: usize = 2;
+const UNREPORTED_LOADS: usize = 2;
 
 /// Loads from the weight store allowed at first when the start times of the previous leader's loads
 /// are unknown.
-const FIRST_LOADS: usize = 1;
+const INITIAL_LOADS: usize = 1;
 
 /// State of the leader.
 #[derive(Debug, Default)]
@@ -52,78 +52,80 @@
     /// Fencing token of the claim that this state belongs to.
     fence: u64,
     /// Time of the claim.
-    begun: Millis,
+    started_at: Millis,
     demand: Demand,
-    ceiling: Ceiling,
-    pending: Pending,
+    load_limiter: Ceiling,
+    pending_loads: Pending,
     /// Engines that are loading a model, and the expected end of the load.
     loading: IndexMap<EngineId, Millis>,
     /// Engines that reported their state to this leader, and their start at that time.
     surveyed: IndexMap<EngineId, Start>,
     /// Engines seen by this leader, and their start at that time.
-    met: IndexMap<EngineId, Start>,
+    seen: IndexMap<EngineId, Start>,
     /// Engines with a survey in progress.
     surveying: IndexSet<EngineId>,
-    asking: Rc<Asking>,
+    survey_permits: Rc<SurveyPermits>,
     /// Engines that wait for requests to end before they unload an adapter.
-    emptying: IndexSet<EngineId>,
+    draining: IndexSet<EngineId>,
     /// Serialize the orders to each engine.
-    desks: IndexMap<EngineId, Rc<Mutex<()>>>,
+    order_locks: IndexMap<EngineId, Rc<Mutex<()>>>,
     /// Notified when the placement of an adapter has ended.
     placing: IndexMap<Wanted, Rc<Notify>>,
     /// Nodes that have reported their earlier demand to this leader.
-    introduced: IndexSet<SocketAddr>,
+    demand_reporters: IndexSet<SocketAddr>,
     /// Position of the last change in the engine list that nodes were notified of.
-    list_told: ListPlace,
+    notified_list_version: ListPlace,
 }
 
 /// Bounds the number of engines asked at a time.
 #[derive(Debug)]
-struct Asking(Semaphore);
+struct SurveyPermits(Semaphore);
 
-impl Default for Asking {
+impl Default for SurveyPermits {
     fn default() -> Self {
-        Asking(Semaphore::new(MOST_ASKING))
+        SurveyPermits(Semaphore::new(MAX_CONCURRENT_SURVEYS))
     }
 }
 
 /// Starts the leader's work under a new claim.
-pub(crate) fn begin(node: &Node, fence: u64, predecessor: Option<u64>) {
+pub(crate) fn start(node: &Node, fence: u64, predecessor: Option<u64>) {
     let now = node.now();
-    let load_starts = begun_under(node, predecessor);
-    let mut leader = KeeperState { fence, begun: now, ..KeeperState::default() };
+    let load_starts = loads_started_under(node, predecessor);
+    let mut leader = KeeperState { fence, started_at: now, ..KeeperState::default() };
     {
         let mut state = node.state.borrow_mut();
         // The demand below includes these counts.
         state.unreported_demand.clear();
         leader.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
     }
-    for (_, pool) in pools(node) {
+    for (_, pool) in model_pools(node) {
         match &load_starts {
-            Some(load_starts) => leader.ceiling.go_on_from(now, load_starts, UNHEARD_LOADS),
-            None => leader.ceiling.assume_full(now, &ceiling_limits(node, &pool), FIRST_LOADS),
+            Some(load_starts) => leader.load_limiter.go_on_from(now, load_starts, UNREPORTED_LOADS),
+            None => {
+                leader.load_limiter.assume_full(now, &load_rate_limits(node, &pool), INITIAL_LOADS)
+            }
         }
     }
     *node.keeper.borrow_mut() = leader;
-    tokio::task::spawn_local(run(Rc::clone(node), fence));
+    tokio::task::spawn_local(plan_until_replaced(Rc::clone(node), fence));
 }
 
 /// Continues under a new claim of the same leader, with no other leader in between.
-pub(crate) fn go_on(node: &Node, fence: u64) {
+pub(crate) fn continue_under(node: &Node, fence: u64) {
     node.keeper.borrow_mut().fence = fence;
-    tokio::task::spawn_local(run(Rc::clone(node), fence));
+    tokio::task::spawn_local(plan_until_replaced(Rc::clone(node), fence));
     // Nodes send the old token, and are refused, until they receive the new one.
     node.update_available.notify_waiters();
 }
 
 /// Start times of loads from the weight store under a claim, if this node led then or was told of
 /// them.
-fn begun_under(node: &Node, claim: Option<u64>) -> Option<Vec<Millis>> {
+fn loads_started_under(node: &Node, claim: Option<u64>) -> Option<Vec<Millis>> {
     let claim = claim?;
     let leader = node.keeper.borrow();
-    if leader.fence == claim && leader.begun > 0 {
+    if leader.fence == claim && leader.started_at > 0 {
         let now = node.now();
-        return Some(leader.ceiling.ages(now).iter().map(|age| now - age).collect());
+        return Some(leader.load_limiter.ages(now).iter().map(|age| now - age).collect());
     }
     let reported = node.state.borrow().leader_loads.clone();
     reported.filter(|(fence, _)| *fence == claim).map(|(_, load_starts)| load_starts)
@@ -131,28 +133,28 @@
 
 /// Counts a load from the weight store. Nodes are notified at once, because one of them may be the
 /// next leader.
-fn begin_load(node: &Node) {
-    node.keeper.borrow_mut().ceiling.begin(node.now());
+fn record_load(node: &Node) {
+    node.keeper.borrow_mut().load_limiter.begin(node.now());
     node.update_available.notify_waiters();
 }
 
-async fn run(node: Node, fence: u64) {
+async fn plan_until_replaced(node: Node, fence: u64) {
     while node.keeper.borrow().fence == fence && node.holding.borrow().is_mine() {
-        let began = node.now();
+        let started = node.now();
         survey(&node);
-        look_at_list(&node);
-        for (service, pool) in pools(&node) {
-            models::step(&node, &service, &pool);
-            adapters::step(&node, &service);
+        notify_list_change(&node);
+        for (service, pool) in model_pools(&node) {
+            models::start_loads(&node, &service, &pool);
+            adapters::place_missing_adapter(&node, &service);
         }
-        let took = Duration::from_millis(node.now().saturating_sub(began));
-        sleep(TICK.max(took * REST)).await;
+        let took = Duration::from_millis(node.now().saturating_sub(started));
+        sleep(PLAN_INTERVAL.max(took * PLAN_REST_FACTOR)).await;
     }
 }
 
 /// Surveys the engines whose state is not known under this claim.
 fn survey(node: &Node) {
-    let services: Vec<_> = pools(node).into_iter().map(|(service, _)| service).collect();
+    let services: Vec<_> = model_pools(node).into_iter().map(|(service, _)| service).collect();
     let state = node.state.borrow();
     let engines = state.engines.iter().filter(|e| services.contains(&e.listed.service));
     let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
@@ -163,72 +165,72 @@
     });
     drop(state);
     node.placement_changes.borrow_mut().retain(|id| ids.contains(id));
-    leader.desks.retain(|id, _| ids.contains(id));
-    leader.pending.retain(|id, _| ids.contains(id));
+    leader.order_locks.retain(|id, _| ids.contains(id));
+    leader.pending_loads.retain(|id, _| ids.contains(id));
     leader.loading.retain(|id, _| ids.contains(id));
     for id in ids {
         if !leader.surveyed.contains_key(&id) && leader.surveying.insert(id.clone()) {
             let node = Rc::clone(node);
             tokio::task::spawn_local(async move {
-                survey_one(&node, &id).await;
+                survey_engine(&node, &id).await;
             });
         }
     }
 }
 
 /// Polls an engine until it has no order of an earlier leader in progress.
-async fn survey_one(node: &Node, id: &EngineId) {
+async fn survey_engine(node: &Node, id: &EngineId) {
     let fence = node.keeper.borrow().fence;
-    if !is_new(node, id) {
-        sleep(REPORT_AGE).await;
+    if !started_after_claim(node, id) {
+        sleep(MAX_REPORT_AGE).await;
     }
-    let asking = Rc::clone(&node.keeper.borrow().asking);
+    let permits = Rc::clone(&node.keeper.borrow().survey_permits);
     while node.keeper.borrow().fence == fence
         && let Some(start) = node.engine(id, |e| e.listed.start)
     {
         let report = {
-            let _permit = asking.0.acquire().await;
-            let lock = desk(node, id);
+            let _permit = permits.0.acquire().await;
+            let lock = order_lock(node, id);
             let _guard = lock.lock().await;
-            give::ask(node, id).await
+            order::fetch_report(node, id).await
         };
-        if report == Some(give::Free(true)) {
+        if report == Some(order::Idle(true)) {
             let mut leader = node.keeper.borrow_mut();
             leader.surveyed.insert(id.clone(), start);
             break;
         }
-        sleep(BUSY_CHECK).await;
+        sleep(BUSY_RETRY_PAUSE).await;
     }
     node.keeper.borrow_mut().surveying.shift_remove(id);
 }
 
-/// Whether an engine started so long after the claim that no earlier leader can have sent it a
+/// Whether an engine started so long after the claim that no earlier leader can have sent it an
 /// order. Such an engine is surveyed at once.
-fn is_new(node: &Node, id: &EngineId) -> bool {
+fn started_after_claim(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
     let Some(start) = node.engine(id, |e| e.listed.start) else { return false };
     let mut leader = node.keeper.borrow_mut();
-    let leads_for = node.now().saturating_sub(leader.begun);
-    let seen_before = leader.met.insert(id.clone(), start);
-    leads_for > LEASES_ALONE * lease && seen_before != Some(start)
+    let leads_for = node.now().saturating_sub(leader.started_at);
+    let seen_before = leader.seen.insert(id.clone(), start);
+    leads_for > SOLE_LEADER_AFTER_LEASES * lease && seen_before != Some(start)
 }
 
 /// Services whose engines load models on demand.
-fn pools(node: &Node) -> Vec<(hgw_direct::ServiceId, Pool)> {
+fn model_pools(node: &Node) -> Vec<(hgw_direct::ServiceId, Pool)> {
     let state = node.state.borrow();
     let Some(catalog) = &state.catalog else { return Vec::new() };
     let pools = catalog.services.iter();
     pools.filter_map(|(id, s)| Some((id.clone(), s.pool.clone()?))).collect()
 }
 
-fn ceiling_limits(node: &Node, pool: &Pool) -> CeilingLimits {
+fn load_rate_limits(node: &Node, pool: &Pool) -> CeilingLimits {
     let window = node.settings.borrow().load_window.as_millis() as Millis;
     CeilingLimits { loads_per_s: pool.loads_per_s, window }
 }
 
-fn desk(node: &Node, engine: &EngineId) -> Rc<Mutex<()>> {
+fn order_lock(node: &Node, engine: &EngineId) -> Rc<Mutex<()>> {
     let mut leader = node.keeper.borrow_mut();
-    Rc::clone(leader.desks.entry(engine.clone()).or_default())
+    Rc::clone(leader.order_locks.entry(engine.clone()).or_default())
 }
 
 /// Notifies nodes that poll this one of a new configuration.
@@ -237,52 +239,52 @@
 }
 
 /// Adds the demand that a node reported.
-pub(crate) fn asked(node: &Node, asked: &[Asked]) {
+pub(crate) fn add_demand(node: &Node, counts: &[Asked]) {
     let now = node.now();
     let mut leader = node.keeper.borrow_mut();
-    for entry in asked {
+    for entry in counts {
         let (wanted, count) = entry.clone().parts();
         leader.demand.saw(now, &wanted, count);
     }
 }
 
 /// Adds the demand that a node saw before it knew this leader.
-pub(crate) fn counted_before(node: &Node, from: SocketAddr, past: &CountedBefore) {
+pub(crate) fn add_earlier_demand(node: &Node, from: SocketAddr, earlier: &CountedBefore) {
     let now = node.now();
-    if !node.keeper.borrow_mut().introduced.insert(from) {
+    if !node.keeper.borrow_mut().demand_reporters.insert(from) {
         return;
     }
-    let since = past.for_ms.map(|for_ms| now.saturating_sub(for_ms));
-    node.keeper.borrow_mut().demand.go_on_from(now, since, &past.models);
+    let since = earlier.for_ms.map(|for_ms| now.saturating_sub(for_ms));
+    node.keeper.borrow_mut().demand.go_on_from(now, since, &earlier.models);
 }
 
 /// Notifies waiting nodes if the engine list has changed.
-pub(crate) fn look_at_list(node: &Node) {
-    let Some(place) = node.state.borrow().list_version else { return };
-    node.record_list_version(place, ListSource::Known);
+pub(crate) fn notify_list_change(node: &Node) {
+    let Some(list_version) = node.state.borrow().list_version else { return };
+    node.record_list_version(list_version, ListSource::Known);
     let changed_at = node.state.borrow().list_changes.changed_at();
     let mut leader = node.keeper.borrow_mut();
-    if leader.list_told < changed_at {
-        leader.list_told = changed_at;
+    if leader.notified_list_version < changed_at {
+        leader.notified_list_version = changed_at;
         node.update_available.notify_waiters();
     }
 }
 
 /// Ages in milliseconds of the loads from the weight store that this leader started.
-pub(crate) fn begun_ages(node: &Node) -> Vec<u64> {
-    node.keeper.borrow().ceiling.ages(node.now())
+pub(crate) fn load_ages(node: &Node) -> Vec<u64> {
+    node.keeper.borrow().load_limiter.ages(node.now())
 }
 
 /// Contents of the engines that have `wanted` loaded.
-pub(crate) fn told_of(node: &Node, wanted: &Wanted) -> Vec<Told> {
+pub(crate) fn placements_of(node: &Node, wanted: &Wanted) -> Vec<Told> {
     let state = node.state.borrow();
-    let holders = state.engines.iter().filter(|e| e.holds(wanted));
-    let ids: Vec<EngineId> = holders.map(|e| e.listed.id.clone()).collect();
+    let engines = state.engines.iter().filter(|e| e.holds(wanted));
+    let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
     drop(state);
-    ids.iter().filter_map(|id| told(node, id)).collect()
+    ids.iter().filter_map(|id| placement_of(node, id)).collect()
 }
 
-pub(crate) fn told(node: &Node, id: &EngineId) -> Option<Told> {
+pub(crate) fn placement_of(node: &Node, id: &EngineId) -> Option<Told> {
     node.engine(id, |e| Told {
         engine: id.clone(),
         start: e.listed.start,
@@ -292,7 +294,7 @@
 }
 
 /// Announces that the loaded models of an engine changed.
-fn changed(node: &Node, engine: &EngineId) {
+fn placement_changed(node: &Node, engine: &EngineId) {
     let now = node.now();
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         engine.told_at = Some(now);
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -11,83 +11,84 @@
 use crate::dialect::OrderKind;
 use crate::shared::Node;
 
-use super::give::{Given, count, give, may_give};
-use super::{begin_load, ceiling_limits, changed, desk, pools};
+use super::order::{OrderResult, count_accepted, may_send_orders, send_order};
+use super::{load_rate_limits, model_pools, order_lock, placement_changed, record_load};
 
 /// Interval at which an order in progress is checked.
-const DONE_CHECK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Maximum wait for a load, as a multiple of its usual time, which concurrent loads exceed.
-const SLOWEST: u32 = 4;
+const LOAD_TIMEOUT_FACTOR: u32 = 4;
 
 /// Maximum wait for an unload, which ends only after the requests for the model.
-const UNLOAD: Duration = Duration::from_secs(20);
+const UNLOAD_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Delay between the announcement of an unload and the order, in which requests under way to the
 /// engine arrive.
-const WORD_AHEAD: Duration = Duration::from_millis(120);
+const UNLOAD_NOTICE: Duration = Duration::from_millis(120);
 
 /// Maximum number of engines that evict models for a load at a time, because the evicted copies are
 /// missing until the load ends.
-const MOST_MAKING_ROOM: usize = 4;
+const MAX_EVICTING_ENGINES: usize = 4;
 
 /// Time for which demand must be known before a spare copy is evicted.
-const SEEN_FOR: Duration = Duration::from_millis(2_500);
+const MIN_DEMAND_TIME: Duration = Duration::from_millis(2_500);
 
 /// Time in which nodes report their earlier demand to a new leader.
-const NODES_TELL: Duration = Duration::from_millis(800);
+const DEMAND_REPORT_TIME: Duration = Duration::from_millis(800);
 
 /// Interval at which a pending load checks the rate limit of the weight store.
-const CEILING_CHECK: Duration = Duration::from_millis(50);
+const RATE_LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the most useful loads that the rate limit of the weight store allows.
-pub(super) fn step(node: &Node, service: &ServiceId, pool: &Pool) {
+pub(super) fn start_loads(node: &Node, service: &ServiceId, pool: &Pool) {
     // A step removes evicted models from the engine's state before the order. Without permission
     // to send the order the model would stay loaded and get no requests.
-    while may_give(node) {
+    while may_send_orders(node) {
         let now = node.now();
         let mut leader = node.keeper.borrow_mut();
-        if making_room(&leader.pending, &leader.loading) >= MOST_MAKING_ROOM {
+        if making_room(&leader.pending_loads, &leader.loading) >= MAX_EVICTING_ENGINES {
             return;
         }
         let demand_age = leader.demand.since().map_or(0, |since| now.saturating_sub(since));
-        let nodes_reported = now.saturating_sub(leader.begun) >= NODES_TELL.as_millis() as u64;
+        let nodes_reported =
+            now.saturating_sub(leader.started_at) >= DEMAND_REPORT_TIME.as_millis() as u64;
         let allowed = Allowed {
-            store: leader.ceiling.allows(now, &ceiling_limits(node, pool)),
-            drop: nodes_reported && demand_age >= SEEN_FOR.as_millis() as u64,
+            store: leader.load_limiter.allows(now, &load_rate_limits(node, pool)),
+            drop: nodes_reported && demand_age >= MIN_DEMAND_TIME.as_millis() as u64,
         };
         let state = node.state.borrow();
         // Copies on unreachable engines do not count, although their entries have not expired yet.
         let engines = state.engines.of(service).filter(|e| e.takes_work());
         let engines: Vec<&Engine> = engines.filter(|e| !e.judge.is_dark(now)).collect();
         let rates = leader.demand.rates(now);
-        let mut busy = leader.pending.clone();
+        let mut busy = leader.pending_loads.clone();
         for engine in engines.iter().filter(|e| !leader.surveyed.contains_key(&e.listed.id)) {
             // Its loaded models count, but it may have an unknown order in progress.
             busy.entry(engine.listed.id.clone()).or_default();
         }
         let step = next_model_step(&engines, pool, &rates, &busy, allowed, now);
         let Some(step) = step else { return };
-        tell(node, &step, &engines, &rates);
+        log_plan(node, &step, &engines, &rates);
         drop(state);
         step.make_way(&mut node.state.borrow_mut().engines);
-        leader.pending.insert(step.engine.clone(), step.load.clone());
+        leader.pending_loads.insert(step.engine.clone(), step.load.clone());
         drop(leader);
         let (node, pool) = (Rc::clone(node), pool.clone());
         tokio::task::spawn_local(async move {
             let engine = step.engine.clone();
-            put(&node, &pool, step).await;
+            execute(&node, &pool, step).await;
             let mut leader = node.keeper.borrow_mut();
-            leader.pending.shift_remove(&engine);
+            leader.pending_loads.shift_remove(&engine);
             leader.loading.shift_remove(&engine);
         });
     }
 }
 
-fn tell(node: &Node, step: &ModelStep, engines: &[&Engine], rates: &Rates) {
+fn log_plan(node: &Node, step: &ModelStep, engines: &[&Engine], rates: &Rates) {
     let copies = |model: &str| engines.iter().filter(|e| e.holds_model(model)).count().to_string();
     let rate = |model: &str| format!("{:.1}", rates.of_model(model));
-    let of_dropped = |of: &dyn Fn(&str) -> String| {
+    let for_evicted = |of: &dyn Fn(&str) -> String| {
         step.drop.iter().map(|model| of(model)).collect::<Vec<_>>().join(",")
     };
     emit(
@@ -100,26 +101,31 @@
             ("load_copies", &copies(&step.load)),
             ("source", &step.source),
             ("drop", &step.drop.join(",")),
-            ("drop_rate", &of_dropped(&rate)),
-            ("drop_copies", &of_dropped(&copies)),
+            ("drop_rate", &for_evicted(&rate)),
+            ("drop_copies", &for_evicted(&copies)),
         ],
     );
 }
 
 /// Evicts models from an engine as planned and has another loaded there.
-async fn put(node: &Node, pool: &Pool, step: ModelStep) {
+async fn execute(node: &Node, pool: &Pool, step: ModelStep) {
     let ModelStep { engine, drop, load, source } = step;
     for model in drop {
         let evicted = Wanted { model, adapter: None };
-        if !carry_out(node, &engine, OrderKind::Unload, &evicted, Duration::ZERO).await {
+        if !order_until_done(node, &engine, OrderKind::Unload, &evicted, Duration::ZERO).await {
             return;
         }
     }
     if source == Source::Store {
-        while !node.keeper.borrow_mut().ceiling.allows(node.now(), &ceiling_limits(node, pool)) {
-            sleep(CEILING_CHECK).await;
+        while !node
+            .keeper
+            .borrow_mut()
+            .load_limiter
+            .allows(node.now(), &load_rate_limits(node, pool))
+        {
+            sleep(RATE_LIMIT_CHECK_INTERVAL).await;
         }
-        begin_load(node);
+        record_load(node);
     }
     let usual_time = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.time(m));
     node.keeper
@@ -127,70 +133,72 @@
         .loading
         .insert(engine.clone(), node.now() + usual_time.as_millis() as u64);
     let wanted = Wanted { model: load, adapter: None };
-    carry_out(node, &engine, OrderKind::Load, &wanted, usual_time).await;
+    order_until_done(node, &engine, OrderKind::Load, &wanted, usual_time).await;
 }
 
 /// Estimated time in milliseconds until an engine has loaded the model.
-pub(super) fn coming_in(node: &Node, model: &str) -> u64 {
-    let usual = pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
-    let usual = usual.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
+pub(super) fn expected_load_ms(node: &Node, model: &str) -> u64 {
+    let usual_time =
+        model_pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
+    let usual_time = usual_time.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
     let leader = node.keeper.borrow();
-    let loading = leader.pending.iter().filter(|(_, m)| *m == model);
+    let loading = leader.pending_loads.iter().filter(|(_, m)| *m == model);
     let done_at = loading.filter_map(|(engine, _)| leader.loading.get(engine)).min();
     match done_at {
-        Some(done_at) => done_at.saturating_sub(node.now()) + DONE_CHECK.as_millis() as u64,
-        None => usual + usual / 2,
+        Some(done_at) => done_at.saturating_sub(node.now()) + CHECK_INTERVAL.as_millis() as u64,
+        None => usual_time + usual_time / 2,
     }
 }
 
 /// Repeats an order until the engine has executed it. Returns whether it has.
-async fn carry_out(
+async fn order_until_done(
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
     wanted: &Wanted,
-    usual: Duration,
+    usual_time: Duration,
 ) -> bool {
-    let lock = desk(node, engine);
+    let lock = order_lock(node, engine);
     let Some(start) = node.engine(engine, |e| e.listed.start) else { return false };
     if kind == OrderKind::Unload {
         // Requests are sent elsewhere from now on.
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
             engine.drop_held(wanted);
         }
-        changed(node, engine);
-        sleep(WORD_AHEAD).await;
+        placement_changed(node, engine);
+        sleep(UNLOAD_NOTICE).await;
     }
-    let max_wait = if kind == OrderKind::Load { usual * SLOWEST } else { UNLOAD };
+    let max_wait =
+        if kind == OrderKind::Load { usual_time * LOAD_TIMEOUT_FACTOR } else { UNLOAD_TIMEOUT };
     let deadline = Instant::now() + max_wait;
     let mut accepted = false;
-    while Instant::now() < deadline && is_still(node, engine, start) {
+    while Instant::now() < deadline && has_not_restarted(node, engine, start) {
         let result = {
             let _guard = lock.lock().await;
-            give(node, engine, kind, wanted).await
+            send_order(node, engine, kind, wanted).await
         };
         match result {
-            Given::Holds => {
-                done(node, engine, kind, wanted);
+            OrderResult::Done => {
+                record_done(node, engine, kind, wanted);
                 return true;
             }
-            Given::Accepted => {
+            OrderResult::Accepted => {
                 if !accepted {
-                    count(node, engine);
+                    count_accepted(node, engine);
                 }
                 accepted = true;
-                let pause = if kind == OrderKind::Load { usual } else { DONE_CHECK };
-                sleep_while(node, engine, start, pause).await;
+                let pause = if kind == OrderKind::Load { usual_time } else { CHECK_INTERVAL };
+                sleep_unless_restarted(node, engine, start, pause).await;
             }
-            Given::Conflict if accepted => sleep(DONE_CHECK).await,
+            OrderResult::Conflict if accepted => sleep(CHECK_INTERVAL).await,
             // An unknown order is in progress. A load before its outcome is known could exceed
             // the engine's memory.
-            Given::Conflict => break,
-            Given::NotSent | Given::Lost => sleep(DONE_CHECK).await,
-            Given::Superseded | Given::Refused => break,
+            OrderResult::Conflict => break,
+            OrderResult::NotSent | OrderResult::NoResponse => sleep(CHECK_INTERVAL).await,
+            OrderResult::Superseded | OrderResult::Refused => break,
         }
         if kind == OrderKind::Unload {
-            changed(node, engine);
+            placement_changed(node, engine);
         }
     }
     // The outcome is unknown, so the engine has to be surveyed again.
@@ -199,27 +207,28 @@
 }
 
 /// Whether an engine has not restarted since `start`. A restart voids earlier orders.
-fn is_still(node: &Node, engine: &EngineId, start: Start) -> bool {
+fn has_not_restarted(node: &Node, engine: &EngineId, start: Start) -> bool {
     node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false)
 }
 
 /// Sleeps for `pause`, or until the engine restarts.
-async fn sleep_while(node: &Node, engine: &EngineId, start: Start, pause: Duration) {
-    let until = Instant::now() + pause;
-    while Instant::now() < until {
-        let started_anew = node.started_anew.notified();
-        if !is_still(node, engine, start) || timeout_at(until, started_anew).await.is_err() {
+async fn sleep_unless_restarted(node: &Node, engine: &EngineId, start: Start, pause: Duration) {
+    let deadline = Instant::now() + pause;
+    while Instant::now() < deadline {
+        let restarted = node.started_anew.notified();
+        if !has_not_restarted(node, engine, start) || timeout_at(deadline, restarted).await.is_err()
+        {
             return;
         }
     }
 }
 
-fn done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) {
+fn record_done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         match kind {
             OrderKind::Load => engine.add_held(wanted),
             OrderKind::Unload => engine.drop_held(wanted),
         }
     }
-    changed(node, engine);
+    placement_changed(node, engine);
 }
--- a/crates/gateway/src/keeper/give.rs
+++ b/crates/gateway/src/keeper/order.rs
@@ -11,19 +11,19 @@
 use crate::meter;
 use crate::shared::Node;
 
-use super::changed;
+use super::placement_changed;
 
-const PATIENCE: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-const MOST: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Given {
+pub(super) enum OrderResult {
     /// The engine is executing the order.
     Accepted,
     /// The engine is in the wanted state.
-    Holds,
+    Done,
     /// Another order is in progress, or the engine has accepted one that this node does not know.
     Conflict,
     /// A newer leader has taken over.
@@ -32,10 +32,10 @@
     Refused,
     NotSent,
     /// No response: the engine may still execute the order.
-    Lost,
+    NoResponse,
 }
 
-pub(super) fn may_give(node: &Node) -> bool {
+pub(super) fn may_send_orders(node: &Node) -> bool {
     fence(node).is_some()
 }
 
@@ -45,26 +45,26 @@
 }
 
 /// Sends an order. Its precondition is the number of orders that the engine has accepted.
-pub(super) async fn give(
+pub(super) async fn send_order(
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
     wanted: &Wanted,
-) -> Given {
-    let holder = node.settings.borrow().node.clone();
-    let Some(fence) = fence(node) else { return Given::Superseded };
+) -> OrderResult {
+    let own_name = node.settings.borrow().node.clone();
+    let Some(fence) = fence(node) else { return OrderResult::Superseded };
     let known = node.engine(engine, |e| (e.listed.addr, e.orders, e.listed.start));
-    let Some((addr, seq, start)) = known else { return Given::Refused };
-    let order = Order { addr, engine, kind, wanted, seq, holder: &holder, fence };
+    let Some((addr, seq, start)) = known else { return OrderResult::Refused };
+    let order = Order { addr, engine, kind, wanted, seq, holder: &own_name, fence };
     let req = node.dialects.upstreams.order(&order);
-    let result = match exchange(node, engine, &req).await {
-        Exchanged::Answered(status, body) => {
+    let result = match call(node, engine, &req).await {
+        CallResult::Responded(status, body) => {
             let is_same_start =
                 node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
             // The engine restarted meanwhile, so the response says nothing about its state.
-            let result = if is_same_start { said(status) } else { Given::Conflict };
+            let result = if is_same_start { from_status(status) } else { OrderResult::Conflict };
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
-                ("node", &holder),
+                ("node", &own_name),
                 ("upstream", engine),
                 ("what", wanted),
                 ("kind", &kind),
@@ -74,7 +74,7 @@
                 ("answer", &String::from_utf8_lossy(&body)),
             ];
             emit(
-                if result == Given::Accepted || result == Given::Holds {
+                if result == OrderResult::Accepted || result == OrderResult::Done {
                     Event::OrderSent
                 } else {
                     Event::OrderNotDone
@@ -83,12 +83,12 @@
             );
             result
         }
-        Exchanged::NotSent => Given::NotSent,
-        Exchanged::Lost => {
+        CallResult::NotSent => OrderResult::NotSent,
+        CallResult::NoResponse => {
             emit(
                 Event::OrderNotDone,
                 &[
-                    ("node", &holder),
+                    ("node", &own_name),
                     ("upstream", engine),
                     ("what", wanted),
                     ("kind", &kind),
@@ -96,22 +96,22 @@
                     ("status", &"none"),
                 ],
             );
-            Given::Lost
+            OrderResult::NoResponse
         }
     };
     let outcome = match result {
-        Given::Accepted => "accepted",
-        Given::Holds => "holds",
-        Given::Conflict => "conflict",
-        Given::Superseded => "superseded",
-        Given::Refused => "refused",
-        Given::NotSent => "not sent",
-        Given::Lost => "lost",
+        OrderResult::Accepted => "accepted",
+        OrderResult::Done => "holds",
+        OrderResult::Conflict => "conflict",
+        OrderResult::Superseded => "superseded",
+        OrderResult::Refused => "refused",
+        OrderResult::NotSent => "not sent",
+        OrderResult::NoResponse => "lost",
     };
     let kind_name = if kind == OrderKind::Load { "load" } else { "unload" };
     meter::order(kind_name, outcome);
-    if result == Given::Superseded {
-        emit(Event::KeeperLost, &[("node", &holder), ("term", &fence)]);
+    if result == OrderResult::Superseded {
+        emit(Event::KeeperLost, &[("node", &own_name), ("term", &fence)]);
         node.holding.borrow_mut().step_down();
     }
     result
@@ -119,35 +119,35 @@
 
 /// Counts an order that the engine accepted. The engine does not count repetitions of an order in
 /// progress.
-pub(super) fn count(node: &Node, engine: &EngineId) {
+pub(super) fn count_accepted(node: &Node, engine: &EngineId) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         engine.orders += 1;
     }
 }
 
-fn said(status: u16) -> Given {
+fn from_status(status: u16) -> OrderResult {
     match status {
-        200 => Given::Holds,
-        202 => Given::Accepted,
-        409 => Given::Conflict,
-        412 => Given::Superseded,
-        _ => Given::Refused,
+        200 => OrderResult::Done,
+        202 => OrderResult::Accepted,
+        409 => OrderResult::Conflict,
+        412 => OrderResult::Superseded,
+        _ => OrderResult::Refused,
     }
 }
 
 /// Whether an engine has no order in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Free(pub(super) bool);
+pub(super) struct Idle(pub(super) bool);
 
 /// Asks an engine for its state; none if it does not respond.
-pub(super) async fn ask(node: &Node, engine: &EngineId) -> Option<Free> {
+pub(super) async fn fetch_report(node: &Node, engine: &EngineId) -> Option<Idle> {
     let addr = node.engine(engine, |e| e.listed.addr)?;
     let req = node.dialects.upstreams.ask_report(addr, engine);
-    let Exchanged::Answered(200, body) = exchange(node, engine, &req).await else { return None };
+    let CallResult::Responded(200, body) = call(node, engine, &req).await else { return None };
     match node.dialects.upstreams.report(&body) {
         Ok(report) => {
-            let free = Free(!report.busy && report.coming.is_empty());
-            take_in(node, engine, report).then_some(free)
+            let idle = Idle(!report.busy && report.coming.is_empty());
+            apply_report(node, engine, report).then_some(idle)
         }
         Err(e) => {
             emit(Event::OrderNotDone, &[("upstream", engine), ("why", &e)]);
@@ -157,16 +157,16 @@
 }
 
 /// Takes in an engine's report unless it is outdated. Returns whether it was taken in.
-fn take_in(node: &Node, engine: &EngineId, report: Report) -> bool {
+fn apply_report(node: &Node, engine: &EngineId, report: Report) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(known) = state.engines.meet(engine, report.start) else { return false };
-    // A order may have been accepted while the report was under way.
+    // An order may have been accepted while the report was under way.
     if report.seq < known.orders {
         return false;
     }
     known.orders = report.seq;
-    let changes = known.listed.held != report.held;
+    let has_changed = known.listed.held != report.held;
     known.listed.held = report.held;
     known.listed.at_hand = report.at_hand;
     known.coming = report.coming;
@@ -174,36 +174,36 @@
     known.told_at = Some(now);
     // Nodes may have missed the last change that the previous leader sent, so even unchanged state
     // is sent to them; for a large list the engine list itself is enough.
-    let tells = changes || !is_long(&state.engines);
+    let should_notify = has_changed || !is_long(&state.engines);
     drop(state);
     node.handle_restarts();
-    if tells {
-        changed(node, engine);
+    if should_notify {
+        placement_changed(node, engine);
     }
     true
 }
 
-enum Exchanged {
-    Answered(u16, bytes::Bytes),
+enum CallResult {
+    Responded(u16, bytes::Bytes),
     NotSent,
-    Lost,
+    NoResponse,
 }
 
-async fn exchange(node: &Node, engine: &EngineId, req: &Request) -> Exchanged {
-    let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return Exchanged::NotSent };
-    let connected = timeout(PATIENCE, node.pool.get(addr, node.connect_limits())).await;
-    let Ok(Ok(mut conn)) = connected else { return Exchanged::NotSent };
+async fn call(node: &Node, engine: &EngineId, req: &Request) -> CallResult {
+    let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return CallResult::NotSent };
+    let connected = timeout(RESPONSE_TIMEOUT, node.pool.get(addr, node.connect_limits())).await;
+    let Ok(Ok(mut conn)) = connected else { return CallResult::NotSent };
     let response = async {
         let head = conn.send(req).await.ok()?;
-        let body = conn.collect(Body::new(head.framing), MOST).await.ok()?;
+        let body = conn.collect(Body::new(head.framing), MAX_RESPONSE_BYTES).await.ok()?;
         Some((head.status, body))
     };
-    match timeout(PATIENCE, response).await {
+    match timeout(RESPONSE_TIMEOUT, response).await {
         Ok(Some((status, body))) => {
             node.heard(engine);
             node.pool.put(addr, conn);
-            Exchanged::Answered(status, body)
+            CallResult::Responded(status, body)
         }
-        Ok(None) | Err(_) => Exchanged::Lost,
+        Ok(None) | Err(_) => CallResult::NoResponse,
     }
 }
--- a/crates/gateway/src/peers/exchange.rs
+++ b/crates/gateway/src/peers/exchange.rs
@@ -29,7 +29,7 @@
     let mut poller = Asking::default();
     loop {
         if node.holding.borrow().is_mine() {
-            keeper::asked(&node, &take_asked(&node));
+            keeper::add_demand(&node, &take_asked(&node));
             sleep(NEWS_WAIT).await;
             continue;
         }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -62,7 +62,7 @@
     let leader = node.holding.borrow().leader.clone();
     let domain = node.settings.borrow().domain.clone();
     if node.holding.borrow().is_mine() {
-        return keeper::want(node, wanted, &domain, refuted).await;
+        return keeper::request_placement(node, wanted, &domain, refuted).await;
     }
     let Some(leader) = leader else { return Placement::Unknown };
     let want = Want {
@@ -199,9 +199,9 @@
     take_catalog(node, request.from, request.catalog);
     if is_leader {
         if let Some(past) = &request.past {
-            keeper::counted_before(node, request.from, past);
+            keeper::add_earlier_demand(node, request.from, past);
         }
-        keeper::asked(node, &request.asked);
+        keeper::add_demand(node, &request.asked);
         meet(node, request.from);
     } else {
         pass_on(node, &request.asked);
@@ -228,8 +228,9 @@
         return own(StatusCode::CONFLICT, "this node is not the leader");
     }
     let wanted = Wanted { model: request.model, adapter: request.adapter };
-    let placement = keeper::want(node, &wanted, &request.domain, request.refuted.as_ref()).await;
-    json(&Wish { placement, engines: keeper::told_of(node, &wanted) })
+    let placement =
+        keeper::request_placement(node, &wanted, &request.domain, request.refuted.as_ref()).await;
+    json(&Wish { placement, engines: keeper::placements_of(node, &wanted) })
 }
 
 /// A new node counts at once, because the next count in the store takes seconds.
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -24,7 +24,7 @@
         let _ = timeout(NEWS_WAIT, node.update_available.notified()).await;
     }
     let (heard, changed) = node.placement_changes.borrow().since(request.heard);
-    let engines = changed.iter().filter_map(|id| keeper::told(node, id)).collect();
+    let engines = changed.iter().filter_map(|id| keeper::placement_of(node, id)).collect();
     let (list, catalog, nodes) = {
         let state = node.state.borrow();
         let list = state.list_changes.since(&state.engines, Some(request.list));
@@ -64,7 +64,7 @@
 /// Ages of the loads from the weight store, as started here or reported by the leader.
 fn begun(node: &Node) -> Vec<u64> {
     if node.holding.borrow().is_mine() {
-        return keeper::begun_ages(node);
+        return keeper::load_ages(node);
     }
     let (now, state) = (node.now(), node.state.borrow());
     let begun = state.leader_loads.iter().flat_map(|(_, begun)| begun);
