--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -91,7 +91,7 @@
         }
         let is_reported = has_leader_updates && node.is_catalog_outdated();
         if is_reported
-            && let Some(text) = peers::catalog(&node).await
+            && let Some(text) = peers::fetch_catalog(&node).await
             && adopt(&node, text).is_some_and(|adopted| adopted.is_newer)
         {
             continue;
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{Mutex, Notify, Semaphore};
 use tokio::time::sleep;
 
-use crate::peers::{Asked, CountedBefore, Told};
+use crate::peers::{DemandCount, EarlierDemand, EnginePlacement};
 use crate::shared::{ListSource, Node};
 
 pub(crate) use adapters::request_placement;
@@ -239,22 +239,22 @@
 }
 
 /// Adds the demand that a node reported.
-pub(crate) fn add_demand(node: &Node, counts: &[Asked]) {
+pub(crate) fn add_demand(node: &Node, counts: &[DemandCount]) {
     let now = node.now();
     let mut leader = node.keeper.borrow_mut();
     for entry in counts {
-        let (wanted, count) = entry.clone().parts();
+        let (wanted, count) = entry.clone().into_parts();
         leader.demand.saw(now, &wanted, count);
     }
 }
 
 /// Adds the demand that a node saw before it knew this leader.
-pub(crate) fn add_earlier_demand(node: &Node, from: SocketAddr, earlier: &CountedBefore) {
+pub(crate) fn add_earlier_demand(node: &Node, from: SocketAddr, earlier: &EarlierDemand) {
     let now = node.now();
     if !node.keeper.borrow_mut().demand_reporters.insert(from) {
         return;
     }
-    let since = earlier.for_ms.map(|for_ms| now.saturating_sub(for_ms));
+    let since = earlier.counted_for_ms.map(|for_ms| now.saturating_sub(for_ms));
     node.keeper.borrow_mut().demand.go_on_from(now, since, &earlier.models);
 }
 
@@ -276,7 +276,7 @@
 }
 
 /// Contents of the engines that have `wanted` loaded.
-pub(crate) fn placements_of(node: &Node, wanted: &Wanted) -> Vec<Told> {
+pub(crate) fn placements_of(node: &Node, wanted: &Wanted) -> Vec<EnginePlacement> {
     let state = node.state.borrow();
     let engines = state.engines.iter().filter(|e| e.holds(wanted));
     let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
@@ -284,12 +284,12 @@
     ids.iter().filter_map(|id| placement_of(node, id)).collect()
 }
 
-pub(crate) fn placement_of(node: &Node, id: &EngineId) -> Option<Told> {
-    node.engine(id, |e| Told {
+pub(crate) fn placement_of(node: &Node, id: &EngineId) -> Option<EnginePlacement> {
+    node.engine(id, |e| EnginePlacement {
         engine: id.clone(),
-        start: e.listed.start,
-        orders: e.orders,
-        held: e.listed.held.clone(),
+        started_at: e.listed.start,
+        accepted_orders: e.orders,
+        loaded: e.listed.held.clone(),
     })
 }
 
@@ -299,7 +299,7 @@
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         engine.told_at = Some(now);
     }
-    node.placement_changes.borrow_mut().changed(engine);
+    node.placement_changes.borrow_mut().record(engine);
     node.update_available.notify_waiters();
     node.placed.notify_waiters();
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -86,7 +86,7 @@
     let members: Vec<Member> = members.collect();
     node.state.borrow_mut().nodes = count.max(1);
     if tells_sends(count) {
-        node.sends.know(members.iter().map(|m| m.addr).collect());
+        node.sends.set_peers(members.iter().map(|m| m.addr).collect());
     }
     let own = candidates(&members, &node.settings.borrow().domain);
     node.heads.borrow_mut().know(own);
--- a/crates/gateway/src/peers/children.rs
+++ b/crates/gateway/src/peers/children.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 
 /// Several times the duration of a poll.
-const COUNTS_FOR: Millis = 2_500;
+const CHILD_TIMEOUT_MS: Millis = 2_500;
 
 /// Nodes that poll this one, and the time of their last request.
 #[derive(Debug, Default)]
@@ -15,17 +15,17 @@
 
 impl Children {
     /// Records a request and forgets nodes that stopped polling.
-    pub(crate) fn asks(&self, node: SocketAddr, now: Millis) {
+    pub(crate) fn record_poll(&self, node: SocketAddr, now: Millis) {
         let mut last_polls = self.0.borrow_mut();
         last_polls.insert(node, now);
-        last_polls.retain(|_, at| now.saturating_sub(*at) < COUNTS_FOR);
+        last_polls.retain(|_, at| now.saturating_sub(*at) < CHILD_TIMEOUT_MS);
     }
 
-    pub(crate) fn all(&self) -> Vec<SocketAddr> {
+    pub(crate) fn addrs(&self) -> Vec<SocketAddr> {
         self.0.borrow().keys().copied().collect()
     }
 
-    pub(crate) fn has(&self, node: SocketAddr) -> bool {
+    pub(crate) fn contains(&self, node: SocketAddr) -> bool {
         self.0.borrow().contains_key(&node)
     }
 
--- a/crates/gateway/src/peers/sends.rs
+++ b/crates/gateway/src/peers/datagrams.rs
@@ -14,10 +14,10 @@
 use crate::meter;
 use crate::shared::Node;
 
-use super::{dark, flights};
+use super::{in_flight, unreachable};
 
 /// Larger than any datagram here, and small enough to be sent without fragmentation.
-const MOST: usize = 1_400;
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// Event at an engine, sent to other nodes.
 ///
@@ -33,54 +33,58 @@
     /// The request ended without a response.
     Ended(EngineId, Start, SendId),
     /// In-flight requests of a node, a domain or all nodes.
-    Flights(Scope, Told),
+    #[serde(rename = "Flights")]
+    InFlight(Scope, Told),
     /// The sender cannot reach the engine.
-    Lost(EngineKey),
+    #[serde(rename = "Lost")]
+    Unreachable(EngineKey),
     /// The engine is unreachable from this failure domain.
-    Dark(EngineKey, String),
+    #[serde(rename = "Dark")]
+    UnreachableFrom(EngineKey, String),
     /// The engine is reachable again from this failure domain.
-    Back(EngineKey, String),
+    #[serde(rename = "Back")]
+    ReachableFrom(EngineKey, String),
 }
 
 /// UDP socket and addresses of the other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct Sends {
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    others: RefCell<Vec<SocketAddr>>,
+    peers: RefCell<Vec<SocketAddr>>,
 }
 
 impl Sends {
     /// Replaces the known addresses.
-    pub(crate) fn know(&self, peers: Vec<SocketAddr>) {
-        *self.others.borrow_mut() = peers;
+    pub(crate) fn set_peers(&self, peers: Vec<SocketAddr>) {
+        *self.peers.borrow_mut() = peers;
     }
 
     /// Adds an address. Returns the number of known addresses.
-    pub(crate) fn meet(&self, peer: SocketAddr) -> usize {
-        let mut peers = self.others.borrow_mut();
+    pub(crate) fn add_peer(&self, peer: SocketAddr) -> usize {
+        let mut peers = self.peers.borrow_mut();
         if !peers.contains(&peer) {
             peers.push(peer);
         }
         peers.len()
     }
 
-    /// Number of known addresses without `me`.
-    pub(super) fn count_but(&self, own_addr: SocketAddr) -> usize {
-        self.others.borrow().iter().filter(|addr| **addr != own_addr).count()
+    /// Number of known addresses without `own_addr`.
+    pub(super) fn count_without(&self, own_addr: SocketAddr) -> usize {
+        self.peers.borrow().iter().filter(|addr| **addr != own_addr).count()
     }
 
-    pub(super) fn knows(&self, node: SocketAddr) -> bool {
-        self.others.borrow().contains(&node)
+    pub(super) fn contains(&self, node: SocketAddr) -> bool {
+        self.peers.borrow().contains(&node)
     }
 
-    pub(crate) fn others(&self) -> Vec<SocketAddr> {
-        self.others.borrow().clone()
+    pub(crate) fn addrs(&self) -> Vec<SocketAddr> {
+        self.peers.borrow().clone()
     }
 
     /// Hash by which two nodes compare their known addresses.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        self.others.borrow().hash(&mut hasher);
+        self.peers.borrow().hash(&mut hasher);
         hasher.finish()
     }
 
@@ -89,15 +93,15 @@
         let nodes = node.state.borrow().nodes;
         let own_addr = node.settings.borrow().peers;
         if tells_sends(nodes) {
-            let peers = self.others.borrow();
-            self.tell_to(peers.iter().filter(|other| **other != own_addr), datagram);
+            let peers = self.peers.borrow();
+            self.send_to(peers.iter().filter(|other| **other != own_addr), datagram);
         }
     }
 
-    pub(super) fn tell_to<'a>(&self, peers: impl Iterator<Item = &'a SocketAddr>, datagram: &Word) {
+    pub(super) fn send_to<'a>(&self, peers: impl Iterator<Item = &'a SocketAddr>, datagram: &Word) {
         let socket = self.socket.borrow();
         let Some(socket) = socket.as_ref() else { return };
-        let mut bytes = Vec::with_capacity(MOST);
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         ciborium::into_writer(datagram, &mut bytes).expect("a datagram is valid CBOR");
         for peer in peers {
             // A full send buffer loses the datagram, as the network may.
@@ -109,24 +113,28 @@
 }
 
 /// Receives datagrams until the process ends.
-pub(crate) async fn listen(node: Node, socket: Rc<UdpSocket>) {
+pub(crate) async fn receive(node: Node, socket: Rc<UdpSocket>) {
     *node.sends.socket.borrow_mut() = Some(Rc::clone(&socket));
-    let mut buf = [0; MOST];
+    let mut buf = [0; MAX_DATAGRAM_BYTES];
     loop {
         // An ICMP error of a stopped node is returned here; the socket remains usable.
         let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
         match ciborium::from_reader(&buf[..length]) {
-            Ok(Word::Flights(scope, told)) => flights::take_in(&node, from, scope, &told),
-            Ok(Word::Lost(key)) => dark::take_in_lost(&node, from, key),
-            Ok(Word::Dark(key, domain)) => dark::take_in_dark(&node, from, key, &domain, true),
-            Ok(Word::Back(key, domain)) => dark::take_in_dark(&node, from, key, &domain, false),
-            Ok(datagram) => take_in(&node, datagram),
+            Ok(Word::InFlight(scope, told)) => in_flight::apply_report(&node, from, scope, &told),
+            Ok(Word::Unreachable(key)) => unreachable::handle_unreachable(&node, from, key),
+            Ok(Word::UnreachableFrom(key, domain)) => {
+                unreachable::handle_hub_report(&node, from, key, &domain, true)
+            }
+            Ok(Word::ReachableFrom(key, domain)) => {
+                unreachable::handle_hub_report(&node, from, key, &domain, false)
+            }
+            Ok(datagram) => apply_request_event(&node, datagram),
             Err(_) => {}
         }
     }
 }
 
-fn take_in(node: &Node, datagram: Word) {
+fn apply_request_event(node: &Node, datagram: Word) {
     let now = node.now();
     let ends_prefill = !matches!(datagram, Word::Sent(..));
     let mut state = node.state.borrow_mut();
@@ -143,7 +151,10 @@
                 engine.hear(Load { running, waiting, slots: engine.listed.slots }, now);
             }
         }
-        Word::Flights(..) | Word::Lost(_) | Word::Dark(..) | Word::Back(..) => {}
+        Word::InFlight(..)
+        | Word::Unreachable(_)
+        | Word::UnreachableFrom(..)
+        | Word::ReachableFrom(..) => {}
         Word::Ended(engine, start, id) => {
             let Some(engine) = engines.meet(&engine, start) else { return };
             engine.unread.read(id, now);
--- a/crates/gateway/src/peers/flights.rs
+++ b/crates/gateway/src/peers/in_flight.rs
@@ -16,54 +16,54 @@
 
 use crate::shared::Node;
 
-use super::sends::Word;
+use super::datagrams::Word;
 
 /// Interval between reports. A request is known to all nodes after three reports.
-const TICK: Duration = Duration::from_millis(40);
+const REPORT_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Interval at which a node checks whether sums are needed. Few nodes broadcast each request
 /// instead.
-const IDLE: Duration = Duration::from_millis(500);
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Maximum number of hubs that exchange sums. It is exceeded while many nodes poll the leader
 /// itself, as at the start.
-const MOST_HEADS: usize = 40;
+const MAX_HUBS: usize = 40;
 
 /// Nodes that this one exchanges sums with.
-pub(super) fn circle(node: &Node) -> Circle {
-    let (own_addr, topology) = (node.settings.borrow().peers, View::of(node));
+pub(super) fn neighbors(node: &Node) -> Circle {
+    let (own_addr, topology) = (node.settings.borrow().peers, Topology::of(node));
     let is = |relation| move |addr: &SocketAddr| topology.relation(node, *addr) == relation;
-    let peers = node.sends.others().into_iter().filter(|addr| *addr != own_addr);
-    let heads = peers.filter(is(Relation::OtherHead)).collect();
-    let children = node.children.all().into_iter().filter(is(Relation::Child)).collect();
-    Circle { head: topology.head, heads, children }
+    let peers = node.sends.addrs().into_iter().filter(|addr| *addr != own_addr);
+    let hubs = peers.filter(is(Relation::OtherHead)).collect();
+    let children = node.children.addrs().into_iter().filter(is(Relation::Child)).collect();
+    Circle { head: topology.hub, heads: hubs, children }
 }
 
 /// What a node knows when it classifies other nodes.
 #[derive(Debug, Clone, Copy)]
-struct View {
-    head: Option<SocketAddr>,
+struct Topology {
+    hub: Option<SocketAddr>,
     /// Whether this node exchanges sums with other hubs.
-    tells_heads: bool,
+    exchanges_with_hubs: bool,
 }
 
-impl View {
-    fn of(node: &Node) -> View {
+impl Topology {
+    fn of(node: &Node) -> Topology {
         let hub = match node.parent() {
             Some((Parent::Head(addr), _)) => Some(addr),
             _ => None,
         };
         let own_addr = node.settings.borrow().peers;
-        let tells_heads = hub.is_none() && node.sends.count_but(own_addr) <= MOST_HEADS;
-        View { head: hub, tells_heads }
+        let exchanges_with_hubs = hub.is_none() && node.sends.count_without(own_addr) <= MAX_HUBS;
+        Topology { hub, exchanges_with_hubs }
     }
 
     fn relation(self, node: &Node, other: SocketAddr) -> Relation {
-        if self.head == Some(other) {
+        if self.hub == Some(other) {
             Relation::Head
-        } else if self.tells_heads && node.sends.knows(other) {
+        } else if self.exchanges_with_hubs && node.sends.contains(other) {
             Relation::OtherHead
-        } else if node.children.has(other) {
+        } else if node.children.contains(other) {
             Relation::Child
         } else {
             Relation::Stranger
@@ -72,38 +72,38 @@
 }
 
 pub(super) fn relation(node: &Node, other: SocketAddr) -> Relation {
-    View::of(node).relation(node, other)
+    Topology::of(node).relation(node, other)
 }
 
 /// Sends in-flight sums to other nodes until the process ends.
-pub(crate) async fn tell(node: Node) {
+pub(crate) async fn report_in_flight(node: Node) {
     loop {
         if tells_sends(node.state.borrow().nodes) || node.state.borrow().nodes < 2 {
-            sleep(IDLE).await;
+            sleep(IDLE_INTERVAL).await;
             continue;
         }
-        sleep(TICK).await;
-        step(&node);
+        sleep(REPORT_INTERVAL).await;
+        send_reports(&node);
     }
 }
 
-fn step(node: &Node) {
+fn send_reports(node: &Node) {
     if node.holding.borrow().is_mine() {
-        know_heads(node);
+        publish_hubs(node);
     }
-    let updates = node.sums.borrow_mut().next(node.now(), own(node), &circle(node));
+    let updates = node.sums.borrow_mut().next(node.now(), own_in_flight(node), &neighbors(node));
     for update in updates {
-        node.sends.tell_to(update.to.iter(), &Word::Flights(update.scope, update.told));
+        node.sends.send_to(update.to.iter(), &Word::InFlight(update.scope, update.told));
     }
-    apply_to_all(node);
+    update_engines(node);
 }
 
-/// Makes the leader publish the nodes that poll it as the hubs. Nodes of its own domain may poll it
-/// until they learn that their hub became the leader, so they are left out.
-fn know_heads(node: &Node) {
+/// Publishes the nodes that poll the leader as the hubs. Nodes of its own domain may poll it until
+/// they learn that their hub became the leader, so they are left out.
+fn publish_hubs(node: &Node) {
     let members = node.members.borrow();
     let mut by_domain = IndexMap::new();
-    let mut hubs = node.children.all();
+    let mut hubs = node.children.addrs();
     hubs.retain(|addr| {
         let domain = members.iter().find(|m| m.addr == *addr).map(|m| m.domain.as_str());
         let domain = domain.unwrap_or_default();
@@ -114,33 +114,33 @@
     drop(members);
     hubs.push(node.settings.borrow().peers);
     hubs.sort_unstable();
-    node.sends.know(hubs);
+    node.sends.set_peers(hubs);
 }
 
 /// In-flight requests of this node.
-fn own(node: &Node) -> IndexMap<EngineKey, Flight> {
+fn own_in_flight(node: &Node) -> IndexMap<EngineKey, Flight> {
     let state = node.state.borrow();
-    let used = state.engines.iter().filter(|e| e.own > 0);
-    used.map(|e| (e.key(), e.own_flight())).collect()
+    let in_use = state.engines.iter().filter(|e| e.own > 0);
+    in_use.map(|e| (e.key(), e.own_flight())).collect()
 }
 
 /// Takes in a report. Only nodes that poll this one, its own hub, and hubs that the leader
 /// published are trusted.
-pub(super) fn take_in(node: &Node, from: SocketAddr, scope: Scope, told: &Told) {
+pub(super) fn apply_report(node: &Node, from: SocketAddr, scope: Scope, update: &Told) {
     let mut sums = node.sums.borrow_mut();
-    let concerned = sums.take(from, relation(node, from), scope, told, node.now());
+    let engines = sums.take(from, relation(node, from), scope, update, node.now());
     if !sums.are_fresh() {
         return;
     }
     let mut state = node.state.borrow_mut();
-    for key in concerned {
+    for key in engines {
         if let Some(engine) = state.engines.by_key(key) {
             engine.elsewhere = Some(sums.elsewhere(key));
         }
     }
 }
 
-fn apply_to_all(node: &Node) {
+fn update_engines(node: &Node) {
     let sums = node.sums.borrow();
     for engine in node.state.borrow_mut().engines.iter_mut() {
         engine.elsewhere = sums.are_fresh().then(|| sums.elsewhere(engine.key()));
--- a/crates/gateway/src/peers/heard.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -4,41 +4,45 @@
 
 use crate::shared::Node;
 
-use super::message::{Asked, HeardLoad};
+use super::message::{DemandCount, EngineLoad};
 
 /// Largest age of a load that is passed on, in milliseconds.
-const HEARD_FOR: u64 = 1_500;
+const MAX_LOAD_AGE_MS: u64 = 1_500;
 
 /// Maximum number of loads per message, whose total size would otherwise grow with engines and
 /// nodes.
-const MOST_LOADS: usize = 64;
+const MAX_LOADS: usize = 64;
 
 /// Loads received since `since`, optionally only of engines that have one of the models loaded.
 /// Empty while nodes exchange in-flight sums.
-pub(crate) fn heard_since(node: &Node, since: u64, models: Option<&[Asked]>) -> Vec<HeardLoad> {
+pub(crate) fn loads_since(
+    node: &Node,
+    since: u64,
+    models: Option<&[DemandCount]>,
+) -> Vec<EngineLoad> {
     if node.sums.borrow().are_fresh() {
         return Vec::new();
     }
     let now = node.now();
-    let since = since.max(now.saturating_sub(HEARD_FOR));
+    let since = since.max(now.saturating_sub(MAX_LOAD_AGE_MS));
     let state = node.state.borrow();
     let reported = state.engines.iter().filter_map(|e| Some((e, e.told?)));
     let heard = reported.filter(|(_, (_, at, _))| *at > since);
     let has_model = |e: &Engine| {
-        models.is_none_or(|models| models.iter().any(|asked| e.holds_model(&asked.model)))
+        models.is_none_or(|models| models.iter().any(|demand| e.holds_model(&demand.model)))
     };
-    let heard = heard.filter(|(e, _)| has_model(e)).take(MOST_LOADS);
+    let heard = heard.filter(|(e, _)| has_model(e)).take(MAX_LOADS);
     let recent = heard.map(|(e, (load, at, _))| {
         let (id, start) = (e.listed.id.clone(), e.listed.start);
-        HeardLoad(id, start, load.running, load.waiting, now.saturating_sub(at))
+        EngineLoad(id, start, load.running, load.waiting, now.saturating_sub(at))
     });
     recent.collect()
 }
 
-pub(super) fn take_in_loads(node: &Node, loads: &[HeardLoad]) {
+pub(super) fn apply_loads(node: &Node, loads: &[EngineLoad]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    for HeardLoad(engine, start, running, waiting, age_ms) in loads {
+    for EngineLoad(engine, start, running, waiting, age_ms) in loads {
         if let Some(engine) = state.engines.meet(engine, *start) {
             let load = Load { running: *running, waiting: *waiting, slots: engine.listed.slots };
             engine.hear(load, now.saturating_sub(*age_ms));
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,15 +1,15 @@
 //! Communication between nodes: polls for updates, placement requests and load reports.
 
 mod children;
-mod dark;
-mod exchange;
-mod flights;
-mod heard;
+mod datagrams;
+mod in_flight;
 mod list;
+mod loads;
 mod message;
-mod news;
 mod placements;
-mod sends;
+mod poll;
+mod poll_response;
+mod unreachable;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,49 +32,55 @@
 use crate::shared::Node;
 
 pub(crate) use children::Children;
-pub(crate) use dark::lost;
-pub(crate) use exchange::exchange;
-pub(crate) use flights::tell as tell_flights;
-use heard::take_in_loads;
-use list::take_in;
-use message::Want;
-pub(crate) use message::{Asked, CountedBefore, Placement, Told};
-use message::{Tell, Wish};
-pub(crate) use placements::Placements;
-pub(crate) use sends::{Sends, Word, listen};
+pub(crate) use datagrams::{Sends, Word, receive};
+pub(crate) use in_flight::report_in_flight;
+use list::apply_placements;
+use loads::apply_loads;
+use message::PlacementRequest;
+pub(crate) use message::{DemandCount, EarlierDemand, EnginePlacement, Placement};
+use message::{PlacementResponse, PollRequest};
+pub(crate) use placements::PlacementChanges;
+pub(crate) use poll::poll;
+pub(crate) use unreachable::lost;
 
 /// Maximum time that a poll waits for an update.
-const NEWS_WAIT: Duration = Duration::from_millis(400);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(400);
 
 /// Timeout for a response, beyond the time that a poll waits.
-const PATIENCE: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Timeout of a placement request, during which an adapter may be loaded.
-const WANT_PATIENCE: Duration = Duration::from_millis(600);
+const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Pause while no leader is known or the polled node does not respond.
-const NO_KEEPER: Duration = Duration::from_millis(150);
+const NO_LEADER_PAUSE: Duration = Duration::from_millis(150);
 
-const MOST: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Asks the leader to place a model or an adapter.
-pub(crate) async fn want(node: &Node, wanted: &Wanted, refuted: Option<&EngineId>) -> Placement {
+pub(crate) async fn want(
+    node: &Node,
+    wanted: &Wanted,
+    stale_engine: Option<&EngineId>,
+) -> Placement {
     let leader = node.holding.borrow().leader.clone();
     let domain = node.settings.borrow().domain.clone();
     if node.holding.borrow().is_mine() {
-        return keeper::request_placement(node, wanted, &domain, refuted).await;
+        return keeper::request_placement(node, wanted, &domain, stale_engine).await;
     }
     let Some(leader) = leader else { return Placement::Unknown };
-    let want = Want {
+    let request = PlacementRequest {
         fence: leader.fence,
         model: wanted.model.clone(),
         adapter: wanted.adapter.clone(),
         domain,
-        refuted: refuted.cloned(),
+        stale_engine: stale_engine.cloned(),
     };
-    match call::<_, Wish>(node, leader.addr, "/want", &want, WANT_PATIENCE).await {
+    match call::<_, PlacementResponse>(node, leader.addr, "/want", &request, PLACEMENT_TIMEOUT)
+        .await
+    {
         Some(response) => {
-            take_in(node, response.engines);
+            apply_placements(node, response.placements);
             response.placement
         }
         None => Placement::Unknown,
@@ -82,23 +88,23 @@
 }
 
 /// Fetches the configuration from the node that this one polls.
-pub(crate) async fn catalog(node: &Node) -> Option<Bytes> {
+pub(crate) async fn fetch_catalog(node: &Node) -> Option<Bytes> {
     let (_, addr) = node.parent()?;
     let req = Request::post("/catalog", "peer", Bytes::new());
-    exchange_once(node, addr, &req, PATIENCE).await.ok().filter(|text| !text.is_empty())
+    send_request(node, addr, &req, RESPONSE_TIMEOUT).await.ok().filter(|text| !text.is_empty())
 }
 
 /// Fetches a newer configuration from a node that polls this one. The store may have lost that
 /// version in a restore, and this node may have started since.
-fn take_catalog(node: &Node, from: SocketAddr, newest: u64) {
-    if newest <= news::version(node) || node.is_fetching_catalog.replace(true) {
+fn fetch_newer_catalog(node: &Node, from: SocketAddr, newest: u64) {
+    if newest <= poll_response::catalog_version(node) || node.is_fetching_catalog.replace(true) {
         return;
     }
     let node = Node::clone(node);
     tokio::task::spawn_local(async move {
         let req = Request::post("/catalog", "peer", Bytes::new());
         // After a failure the next poll of that node tries again.
-        if let Ok(text) = exchange_once(&node, from, &req, PATIENCE).await {
+        if let Ok(text) = send_request(&node, from, &req, RESPONSE_TIMEOUT).await {
             follow::adopt(&node, text);
         }
         node.is_fetching_catalog.set(false);
@@ -115,63 +121,63 @@
     addr: SocketAddr,
     path: &str,
     message: &T,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Option<R> {
-    ask(node, addr, path, message, patience).await.ok()
+    try_call(node, addr, path, message, max_wait).await.ok()
 }
 
 /// Why a call to another node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Unanswered {
+enum CallError {
     /// The node responded with a status other than 200.
     Refused,
     /// There was no response in time, or it cannot be parsed.
-    Silent,
+    NoResponse,
 }
 
-async fn ask<T: Serialize, R: for<'a> Deserialize<'a>>(
+async fn try_call<T: Serialize, R: for<'a> Deserialize<'a>>(
     node: &Node,
     addr: SocketAddr,
     path: &str,
     message: &T,
-    patience: Duration,
-) -> Result<R, Unanswered> {
+    max_wait: Duration,
+) -> Result<R, CallError> {
     let body = serde_json::to_vec(message).expect("a peer message is valid JSON");
     let req = Request::post(path, "peer", body.into());
-    let body = exchange_once(node, addr, &req, patience).await?;
-    serde_json::from_slice(&body).map_err(|_| Unanswered::Silent)
+    let body = send_request(node, addr, &req, max_wait).await?;
+    serde_json::from_slice(&body).map_err(|_| CallError::NoResponse)
 }
 
 /// Sends a request to another node and returns the body of a 200 response.
-async fn exchange_once(
+async fn send_request(
     node: &Node,
     addr: SocketAddr,
     req: &Request,
-    patience: Duration,
-) -> Result<Bytes, Unanswered> {
-    let exchange = async {
+    max_wait: Duration,
+) -> Result<Bytes, CallError> {
+    let roundtrip = async {
         let mut conn = node.pool.get(addr, node.connect_limits()).await?;
         let head = conn.send(req).await?;
-        let body = conn.collect(Body::new(head.framing), MOST).await?;
+        let body = conn.collect(Body::new(head.framing), MAX_MESSAGE_BYTES).await?;
         node.pool.put(addr, conn);
         Ok::<_, hgw_http1::Error>((head.status, body))
     };
-    match timeout(patience, exchange).await {
+    match timeout(max_wait, roundtrip).await {
         Ok(Ok((200, body))) => Ok(body),
-        Ok(Ok(_)) => Err(Unanswered::Refused),
-        Ok(Err(_)) | Err(_) => Err(Unanswered::Silent),
+        Ok(Ok(_)) => Err(CallError::Refused),
+        Ok(Err(_)) | Err(_) => Err(CallError::NoResponse),
     }
 }
 
-pub(crate) async fn answer(node: Node, req: http::Request<Incoming>) -> Answered {
+pub(crate) async fn handle_request(node: Node, req: http::Request<Incoming>) -> Answered {
     let (head, body) = req.into_parts();
-    let Ok(body) = Limited::new(body, MOST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_MESSAGE_BYTES).collect().await else {
         return Ok(own(StatusCode::BAD_REQUEST, "the body cannot be read"));
     };
     let body = body.to_bytes();
     Ok(match (&head.method, head.uri.path()) {
-        (&Method::POST, "/tell") => answer_tell(&node, &body).await,
-        (&Method::POST, "/want") => answer_want(&node, &body).await,
+        (&Method::POST, "/tell") => handle_poll(&node, &body).await,
+        (&Method::POST, "/want") => handle_placement_request(&node, &body).await,
         (&Method::POST, "/quota") => match quotas::answer(&node, &body).await {
             Ok(Some(given)) => Response::new(AnswerBody::whole(given)),
             Ok(None) => own(StatusCode::CONFLICT, "this node grants no quota allowances"),
@@ -184,8 +190,8 @@
     })
 }
 
-async fn answer_tell(node: &Node, body: &Bytes) -> Answer {
-    let Ok(request) = serde_json::from_slice::<Tell>(body) else {
+async fn handle_poll(node: &Node, body: &Bytes) -> Answer {
+    let Ok(request) = serde_json::from_slice::<PollRequest>(body) else {
         return own(StatusCode::BAD_REQUEST, "the body is not a poll request");
     };
     eras::record_reported(node, request.era);
@@ -193,59 +199,63 @@
     // Two nodes that poll each other would each take the other's old data for new.
     let polls_sender = node.parent().is_some_and(|(_, addr)| addr == request.from);
     if !is_leader && (node.is_stopping() || polls_sender) {
-        return own(StatusCode::CONFLICT, "this node relays no updates");
+        return own(StatusCode::CONFLICT, "this node forwards no updates");
     }
-    node.children.asks(request.from, node.now());
-    take_catalog(node, request.from, request.catalog);
+    node.children.record_poll(request.from, node.now());
+    fetch_newer_catalog(node, request.from, request.catalog_version);
     if is_leader {
-        if let Some(past) = &request.past {
+        if let Some(past) = &request.earlier_demand {
             keeper::add_earlier_demand(node, request.from, past);
         }
-        keeper::add_demand(node, &request.asked);
-        meet(node, request.from);
+        keeper::add_demand(node, &request.demand);
+        add_peer(node, request.from);
     } else {
-        pass_on(node, &request.asked);
+        forward_demand(node, &request.demand);
     }
-    take_in_loads(node, &request.loads);
-    json(&news::news(node, &request).await)
+    apply_loads(node, &request.loads);
+    json_response(&poll_response::poll_response(node, &request).await)
 }
 
 /// Adds the demand of nodes behind this hub to its own report to the leader.
-fn pass_on(node: &Node, asked: &[Asked]) {
+fn forward_demand(node: &Node, demand: &[DemandCount]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    for entry in asked {
-        let (wanted, count) = entry.clone().parts();
+    for entry in demand {
+        let (wanted, count) = entry.clone().into_parts();
         state.asked_for(now, &wanted, count);
     }
 }
 
-async fn answer_want(node: &Node, body: &Bytes) -> Answer {
-    let Ok(request) = serde_json::from_slice::<Want>(body) else {
+async fn handle_placement_request(node: &Node, body: &Bytes) -> Answer {
+    let Ok(request) = serde_json::from_slice::<PlacementRequest>(body) else {
         return own(StatusCode::BAD_REQUEST, "the body is not a placement request");
     };
-    if !is_keeper(node, request.fence) {
+    if !is_leader(node, request.fence) {
         return own(StatusCode::CONFLICT, "this node is not the leader");
     }
     let wanted = Wanted { model: request.model, adapter: request.adapter };
     let placement =
-        keeper::request_placement(node, &wanted, &request.domain, request.refuted.as_ref()).await;
-    json(&Wish { placement, engines: keeper::placements_of(node, &wanted) })
+        keeper::request_placement(node, &wanted, &request.domain, request.stale_engine.as_ref())
+            .await;
+    json_response(&PlacementResponse {
+        placement,
+        placements: keeper::placements_of(node, &wanted),
+    })
 }
 
 /// A new node counts at once, because the next count in the store takes seconds.
-fn meet(node: &Node, other: SocketAddr) {
-    let known = u32::try_from(node.sends.meet(other)).unwrap_or(u32::MAX);
+fn add_peer(node: &Node, peer: SocketAddr) {
+    let known = u32::try_from(node.sends.add_peer(peer)).unwrap_or(u32::MAX);
     let mut state = node.state.borrow_mut();
     state.nodes = state.nodes.max(known);
 }
 
-fn is_keeper(node: &Node, fence: u64) -> bool {
+fn is_leader(node: &Node, fence: u64) -> bool {
     let leadership = node.holding.borrow();
     leadership.is_mine() && leadership.leader.as_ref().is_some_and(|leader| leader.fence == fence)
 }
 
-fn json<T: Serialize>(message: &T) -> Answer {
+fn json_response<T: Serialize>(message: &T) -> Answer {
     let body = serde_json::to_vec(message).expect("a peer message is valid JSON");
     Response::new(AnswerBody::whole(body))
 }
--- /dev/null
+++ b/crates/gateway/src/peers/poll.rs
@@ -0,0 +1,240 @@
+//! Polls the leader or a hub for updates, and reports demand and loads to it.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use hgw_direct::heads::{Parent, PassedOver, crowd, digest};
+use hgw_direct::{Millis, Wanted};
+use hgw_events::{Event, emit};
+use indexmap::IndexMap;
+use tokio::time::sleep;
+
+use crate::clock::boot_time;
+use crate::eras;
+use crate::keeper;
+use crate::proof;
+use crate::shared::Node;
+
+use super::list::{apply_list_update, apply_placements};
+use super::loads::{apply_loads, loads_since};
+use super::message::{DemandCount, EarlierDemand, PollRequest, PollResponse};
+use super::placements::ChangePosition;
+use super::{CallError, MAX_POLL_WAIT, NO_LEADER_PAUSE, RESPONSE_TIMEOUT, try_call};
+
+/// Least pause between polls. Updates during a poll are returned at once.
+const MIN_POLL_PAUSE: Duration = Duration::from_millis(40);
+
+/// Polls the leader or the hub of this node's domain until the process ends.
+pub(crate) async fn poll(node: Node) {
+    let mut poller = Poller::default();
+    loop {
+        if node.holding.borrow().is_mine() {
+            keeper::add_demand(&node, &take_unreported_demand(&node));
+            sleep(MAX_POLL_WAIT).await;
+            continue;
+        }
+        let Some((parent, addr)) = node.parent() else {
+            sleep(NO_LEADER_PAUSE).await;
+            continue;
+        };
+        let pause = match poller.poll_once(&node, parent, addr).await {
+            Some(children) => MIN_POLL_PAUSE * crowd(children, node.state.borrow().nodes),
+            None => NO_LEADER_PAUSE,
+        };
+        sleep(pause).await;
+    }
+}
+
+/// State kept between polls.
+#[derive(Debug, Default)]
+struct Poller {
+    /// Fencing token of the leader that has received this node's earlier demand.
+    demand_reported_to: Option<u64>,
+    placements_seen: ChangePosition,
+    /// Time up to which loads were reported.
+    loads_reported_at: Millis,
+    links: IndexMap<SocketAddr, PeerLink>,
+}
+
+impl Poller {
+    /// Polls once. Returns the number of nodes that poll the same node, or none if it did not
+    /// respond.
+    async fn poll_once(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
+        let fence = node.holding.borrow().leader.as_ref().map_or(0, |leader| leader.fence);
+        let mut asked = take_unreported_demand(node);
+        let reports_earlier_demand =
+            parent == Parent::Holder && self.demand_reported_to != Some(fence);
+        let earlier_demand = reports_earlier_demand.then(|| earlier_demand(node));
+        if reports_earlier_demand {
+            // The earlier demand includes these counts.
+            asked.clear();
+        }
+        let request = self.request(node, asked, earlier_demand);
+        let (now, asked) = (node.now(), boot_time());
+        self.loads_reported_at = now;
+        let update: PollResponse =
+            match try_call(node, addr, "/tell", &request, MAX_POLL_WAIT + RESPONSE_TIMEOUT).await {
+                Ok(update) => update,
+                Err(error) => {
+                    self.record_timeout(node, parent, addr);
+                    // A node that no longer leads refuses at once, so its successor need not wait until
+                    // its updates are too old.
+                    node.leader_refuses
+                        .set(parent == Parent::Holder && error == CallError::Refused);
+                    restore_unreported_demand(node, request.demand);
+                    return None;
+                }
+            };
+        node.leader_refuses.set(false);
+        self.links.entry(addr).or_default().record_response(node, addr);
+        if reports_earlier_demand {
+            self.demand_reported_to = Some(fence);
+        }
+        proof::hear(node, asked, update.waited_ms, update.freshness);
+        if update.catalog_position > node.catalog_position.get() {
+            node.catalog_position.set(update.catalog_position);
+        }
+        self.placements_seen = update.placements_seen;
+        let children = update.children;
+        node.backoff.set_siblings(children);
+        if update.data_age_ms > max_data_age(node) {
+            node.heads.borrow_mut().pass_over(addr, PassedOver::Stale, node.now());
+        }
+        apply_update(node, now, update);
+        Some(children)
+    }
+
+    fn request(
+        &self,
+        node: &Node,
+        demand: Vec<DemandCount>,
+        earlier_demand: Option<EarlierDemand>,
+    ) -> PollRequest {
+        let (catalog_version, list) = {
+            let state = node.state.borrow();
+            // Version 0 requests the complete configuration.
+            (
+                state.catalog.as_ref().map_or(0, |c| c.version),
+                state.list_version.unwrap_or_default(),
+            )
+        };
+        let settings = node.settings.borrow();
+        PollRequest {
+            from: settings.peers,
+            domain: settings.domain.clone(),
+            placements_seen: self.placements_seen,
+            list_version: list,
+            era: eras::to_report(node),
+            catalog_version,
+            loads: loads_since(node, self.loads_reported_at, None),
+            demand,
+            earlier_demand,
+            peers_digest: node.sends.digest(),
+            hubs_digest: digest(node.heads.borrow().candidates()),
+        }
+    }
+
+    fn record_timeout(&mut self, node: &Node, parent: Parent, addr: SocketAddr) {
+        self.links.entry(addr).or_default().record_timeout(node, addr);
+        if parent == Parent::Holder {
+            node.holding.borrow_mut().leader_liveness.is_silent();
+        }
+        node.heads.borrow_mut().pass_over(addr, PassedOver::Silent, node.now());
+    }
+}
+
+/// Age from which the response of another node counts as stale. It is short enough to poll two more
+/// nodes before this one reads from the store.
+fn max_data_age(node: &Node) -> Millis {
+    node.settings.borrow().max_leader_update_age(false).as_millis() as Millis
+}
+
+/// Takes in the response to a poll that was sent at `polled_at`.
+fn apply_update(node: &Node, polled_at: Millis, update: PollResponse) {
+    let received_at = node.now();
+    eras::record_reported(node, update.era);
+    if let Some(leader) = update.leader {
+        node.holding.borrow_mut().record_reported_leader(leader);
+    }
+    let last_renewal = update.last_renewal.map(|(end, age)| (end, received_at.saturating_sub(age)));
+    node.holding.borrow_mut().leader_liveness.answers(last_renewal);
+    if let Some(hub_candidates) = update.hub_candidates {
+        node.heads.borrow_mut().know(hub_candidates);
+    }
+    apply_list_update(node, update.list_update);
+    // Counted from the request, because the response may have been delayed on its way.
+    node.record_leader_update((polled_at + update.waited_ms).saturating_sub(update.data_age_ms));
+    apply_placements(node, update.placements);
+    apply_loads(node, &update.loads);
+    let fence = node.holding.borrow().leader.as_ref().map(|leader| leader.fence);
+    if let Some(fence) = fence {
+        let load_starts = update.load_ages_ms.iter().map(|age| received_at.saturating_sub(*age));
+        node.state.borrow_mut().leader_loads = Some((fence, load_starts.collect()));
+    }
+    node.record_reported_catalog(update.catalog_version);
+    node.state.borrow_mut().nodes = update.nodes.max(1);
+    if let Some(peer_addrs) = update.peer_addrs {
+        node.sends.set_peers(peer_addrs);
+    }
+}
+
+/// Tracks whether a node responds and logs changes.
+#[derive(Debug, Default)]
+struct PeerLink {
+    is_unresponsive: bool,
+}
+
+impl PeerLink {
+    fn record_response(&mut self, node: &Node, addr: SocketAddr) {
+        if std::mem::take(&mut self.is_unresponsive) {
+            let name = &node.settings.borrow().node;
+            emit(Event::PeerAnswers, &[("node", name), ("peer", &peer_name(node, addr))]);
+        }
+    }
+
+    fn record_timeout(&mut self, node: &Node, addr: SocketAddr) {
+        if !std::mem::replace(&mut self.is_unresponsive, true) {
+            let name = &node.settings.borrow().node;
+            let reason = "no answer in time";
+            let peer = peer_name(node, addr);
+            let fields: &[(&str, &dyn std::fmt::Display)] =
+                &[("node", name), ("peer", &peer), ("addr", &addr), ("reason", &reason)];
+            emit(Event::PeerUnreachable, fields);
+        }
+    }
+}
+
+/// Name of the node at `addr`, or the address if the name is unknown.
+fn peer_name(node: &Node, addr: SocketAddr) -> String {
+    let leadership = node.holding.borrow();
+    let leader = leadership
+        .leader
+        .as_ref()
+        .filter(|leader| leader.addr == addr)
+        .map(|leader| leader.node.clone());
+    let hubs = node.heads.borrow();
+    let hub = hubs.candidates().iter().find(|c| c.addr == addr).map(|c| c.node.clone());
+    leader.or(hub).unwrap_or_else(|| addr.to_string())
+}
+
+fn take_unreported_demand(node: &Node) -> Vec<DemandCount> {
+    let demand = std::mem::take(&mut node.state.borrow_mut().unreported_demand);
+    let into_entry =
+        |(w, count): (Wanted, f64)| DemandCount { model: w.model, adapter: w.adapter, count };
+    demand.into_iter().map(into_entry).collect()
+}
+
+fn earlier_demand(node: &Node) -> EarlierDemand {
+    let now = node.now();
+    let demand = &node.state.borrow().demand;
+    let counted_for_ms = demand.since().map(|since| now.saturating_sub(since));
+    EarlierDemand { counted_for_ms, models: demand.past(now) }
+}
+
+fn restore_unreported_demand(node: &Node, demand: Vec<DemandCount>) {
+    let mut state = node.state.borrow_mut();
+    for entry in demand {
+        let (wanted, count) = entry.into_parts();
+        *state.unreported_demand.entry(wanted).or_default() += count;
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/peers/poll_response.rs
@@ -0,0 +1,95 @@
+//! Answers polls: the leader those of all hubs, and a hub those of the nodes in its domain.
+
+use hgw_direct::heads::{Member, candidates, digest};
+use hgw_direct::tells_sends;
+use tokio::time::timeout;
+
+use crate::eras;
+use crate::keeper;
+use crate::proof;
+use crate::shared::Node;
+
+use super::MAX_POLL_WAIT;
+use super::loads::loads_since;
+use super::message::{PollRequest, PollResponse};
+
+/// Longest address list that is sent. A longer one includes nodes that do not know their hub yet.
+const MAX_PEER_ADDRS: usize = 41;
+
+/// Returns what changed since the sender's last poll, and waits for a change if there is none.
+pub(super) async fn poll_response(node: &Node, request: &PollRequest) -> PollResponse {
+    let started_at = node.now();
+    if is_up_to_date(node, request) {
+        // After the timeout the response is sent without a change.
+        let _ = timeout(MAX_POLL_WAIT, node.update_available.notified()).await;
+    }
+    let (placements_seen, changed) =
+        node.placement_changes.borrow().changes_since(request.placements_seen);
+    let placements = changed.iter().filter_map(|id| keeper::placement_of(node, id)).collect();
+    let (list_update, catalog, nodes) = {
+        let state = node.state.borrow();
+        let list_update = state.list_changes.since(&state.engines, Some(request.list_version));
+        (list_update, catalog_version(node), state.nodes)
+    };
+    PollResponse {
+        leader: node.holding.borrow().leader.clone(),
+        placements_seen,
+        placements,
+        list_update,
+        era: eras::to_report(node),
+        catalog_version: catalog,
+        data_age_ms: node.word_age(),
+        waited_ms: node.now().saturating_sub(started_at),
+        nodes,
+        peer_addrs: peer_addrs(node, request),
+        hub_candidates: hub_candidates(node, request),
+        children: node.children.count(),
+        last_renewal: node.last_renewal(),
+        load_ages_ms: load_ages(node),
+        loads: loads_since(node, 0, Some(&request.demand)),
+        freshness: proof::told(node),
+        catalog_position: node.catalog_position.get(),
+    }
+}
+
+fn is_up_to_date(node: &Node, request: &PollRequest) -> bool {
+    let list_is_current =
+        node.state.borrow().list_changes.has_nothing_since(Some(request.list_version));
+    let placements_are_current =
+        node.placement_changes.borrow().is_up_to_date(request.placements_seen);
+    list_is_current && placements_are_current && catalog_version(node) <= request.catalog_version
+}
+
+pub(super) fn catalog_version(node: &Node) -> u64 {
+    node.state.borrow().catalog.as_ref().map_or(0, |c| c.version)
+}
+
+/// Ages of the loads from the weight store, as started here or reported by the leader.
+fn load_ages(node: &Node) -> Vec<u64> {
+    if node.holding.borrow().is_mine() {
+        return keeper::load_ages(node);
+    }
+    let (now, state) = (node.now(), node.state.borrow());
+    let load_starts = state.leader_loads.iter().flat_map(|(_, load_starts)| load_starts);
+    load_starts.map(|at| now.saturating_sub(*at)).collect()
+}
+
+/// Addresses of the peers that exchange datagrams, if the sender knows others.
+fn peer_addrs(node: &Node, request: &PollRequest) -> Option<Vec<std::net::SocketAddr>> {
+    let exchanges = tells_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
+    let should_send = exchanges && request.peers_digest != node.sends.digest();
+    should_send.then(|| node.sends.addrs()).filter(|peer_addrs| peer_addrs.len() <= MAX_PEER_ADDRS)
+}
+
+/// Hub candidates of the sender's domain, if the sender knows others.
+fn hub_candidates(node: &Node, request: &PollRequest) -> Option<Vec<Member>> {
+    let members = node.members.borrow();
+    let hub_candidates = if !members.is_empty() {
+        candidates(&members, &request.domain)
+    } else if node.settings.borrow().domain == request.domain {
+        node.heads.borrow().candidates().to_vec()
+    } else {
+        return None;
+    };
+    (digest(&hub_candidates) != request.hubs_digest).then_some(hub_candidates)
+}
--- a/crates/gateway/src/peers/dark.rs
+++ b/crates/gateway/src/peers/unreachable.rs
@@ -17,19 +17,19 @@
 
 use crate::shared::Node;
 
-use super::flights::{circle, relation};
-use super::sends::Word;
+use super::datagrams::Word;
+use super::in_flight::{neighbors, relation};
 
 /// Time for which a node believes a report. The hub repeats it while the engine stays unreachable,
 /// so reports end with the hub.
-const DARK_FOR: Duration = Duration::from_millis(1_500);
+const REPORT_VALID_FOR: Duration = Duration::from_millis(1_500);
 
 /// Interval at which the hub probes an unreachable engine.
-const LOOK: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A node that received bytes from an engine within this time ignores such reports, because the
 /// problem is on the reporter's side.
-const HEARD_LATELY: Millis = 400;
+const RECENTLY_HEARD_MS: Millis = 400;
 
 /// Reports to the hub that an engine refused a connection or stopped responding on all of them.
 pub(crate) fn lost(node: &Node, key: EngineKey) {
@@ -38,22 +38,22 @@
     }
     match node.parent() {
         Some((Parent::Head(hub), _)) => {
-            node.sends.tell_to([&hub].into_iter(), &Word::Lost(key));
+            node.sends.send_to([&hub].into_iter(), &Word::Unreachable(key));
         }
-        _ => watch(node, key),
+        _ => start_probe(node, key),
     }
 }
 
 /// Handles a report from a node that polls this one; others are ignored.
-pub(super) fn take_in_lost(node: &Node, from: SocketAddr, key: EngineKey) {
+pub(super) fn handle_unreachable(node: &Node, from: SocketAddr, key: EngineKey) {
     if relation(node, from) == Relation::Child {
-        watch(node, key);
+        start_probe(node, key);
     }
 }
 
 /// Handles a hub's report that an engine is unreachable or back. Reports from other domains count
 /// only for engines in the reporting domain, because the link between the domains may be at fault.
-pub(super) fn take_in_dark(
+pub(super) fn handle_hub_report(
     node: &Node,
     from: SocketAddr,
     key: EngineKey,
@@ -61,97 +61,103 @@
     is_unreachable: bool,
 ) {
     let is_own_domain = node.settings.borrow().domain == domain;
-    if !is_own_domain && domain_of(node, key).is_none_or(|engine_domain| engine_domain != domain) {
+    if !is_own_domain
+        && engine_domain(node, key).is_none_or(|engine_domain| engine_domain != domain)
+    {
         return;
     }
     match relation(node, from) {
         // A node behind this hub hears an engine that the hub believes unreachable.
-        Relation::Child if !is_unreachable => tell(node, key, false),
+        Relation::Child if !is_unreachable => announce(node, key, false),
         Relation::Child | Relation::Stranger => {}
         relation => {
-            if believe(node, key, is_unreachable) {
-                tell_children(node, &circle(node), key, is_unreachable);
+            if apply_report(node, key, is_unreachable) {
+                notify_children(node, &neighbors(node), key, is_unreachable);
             } else if relation == Relation::Head {
-                node.sends.tell_to([&from].into_iter(), &word(node, key, false));
+                node.sends.send_to([&from].into_iter(), &hub_report(node, key, false));
             }
         }
     }
 }
 
 /// Reports an engine unreachable and probes it until it is back.
-fn watch(node: &Node, key: EngineKey) {
+fn start_probe(node: &Node, key: EngineKey) {
     if !node.probed_engines.borrow_mut().insert(key) {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        look_until_back(&node, key).await;
+        probe_until_back(&node, key).await;
         node.probed_engines.borrow_mut().swap_remove(&key);
     });
 }
 
-async fn look_until_back(node: &Node, key: EngineKey) {
+async fn probe_until_back(node: &Node, key: EngineKey) {
     loop {
-        let Some(addr) = addr_of(node, key) else { return };
-        tell(node, key, true);
+        let Some(addr) = engine_addr(node, key) else { return };
+        announce(node, key, true);
         // A lost engine refuses the connection at once, or the attempt times out.
         if Conn::connect(addr, node.connect_limits()).await.is_ok() {
-            tell(node, key, false);
+            announce(node, key, false);
             return;
         }
-        sleep(LOOK).await;
+        sleep(PROBE_INTERVAL).await;
     }
 }
 
-fn addr_of(node: &Node, key: EngineKey) -> Option<SocketAddr> {
+fn engine_addr(node: &Node, key: EngineKey) -> Option<SocketAddr> {
     node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.addr)
 }
 
 /// Updates this node, the nodes behind it and the other hubs, unless this node has just
 /// received bytes from the engine.
-fn tell(node: &Node, key: EngineKey, is_unreachable: bool) {
-    if !believe(node, key, is_unreachable) {
+fn announce(node: &Node, key: EngineKey, is_unreachable: bool) {
+    if !apply_report(node, key, is_unreachable) {
         return;
     }
-    let neighbors = circle(node);
-    tell_children(node, &neighbors, key, is_unreachable);
-    node.sends.tell_to(neighbors.heads.iter(), &word(node, key, is_unreachable));
+    let neighbors = neighbors(node);
+    notify_children(node, &neighbors, key, is_unreachable);
+    node.sends.send_to(neighbors.heads.iter(), &hub_report(node, key, is_unreachable));
 }
 
-fn domain_of(node: &Node, key: EngineKey) -> Option<String> {
+fn engine_domain(node: &Node, key: EngineKey) -> Option<String> {
     node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.domain.clone())
 }
 
-fn tell_children(node: &Node, neighbors: &Circle, key: EngineKey, is_unreachable: bool) {
-    node.sends.tell_to(neighbors.children.iter(), &word(node, key, is_unreachable));
+fn notify_children(node: &Node, neighbors: &Circle, key: EngineKey, is_unreachable: bool) {
+    node.sends.send_to(neighbors.children.iter(), &hub_report(node, key, is_unreachable));
 }
 
-fn word(node: &Node, key: EngineKey, is_unreachable: bool) -> Word {
+fn hub_report(node: &Node, key: EngineKey, is_unreachable: bool) -> Word {
     let domain = node.settings.borrow().domain.clone();
-    if is_unreachable { Word::Dark(key, domain) } else { Word::Back(key, domain) }
+    if is_unreachable {
+        Word::UnreachableFrom(key, domain)
+    } else {
+        Word::ReachableFrom(key, domain)
+    }
 }
 
 /// Updates the state of an engine. Returns false if the report contradicts what this node has just
 /// received.
-fn believe(node: &Node, key: EngineKey, is_unreachable: bool) -> bool {
+fn apply_report(node: &Node, key: EngineKey, is_unreachable: bool) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(engine) = state.engines.by_key(key) else { return false };
-    if is_unreachable && now.saturating_sub(engine.heard) < HEARD_LATELY {
+    if is_unreachable && now.saturating_sub(engine.heard) < RECENTLY_HEARD_MS {
         return false;
     }
     let was_unreachable = engine.judge.is_dark(now);
     if is_unreachable {
-        engine.judge.told_dark(now + DARK_FOR.as_millis() as Millis);
+        engine.judge.told_dark(now + REPORT_VALID_FOR.as_millis() as Millis);
     } else {
         engine.judge.told_back();
     }
     if was_unreachable != is_unreachable {
-        let opinion = engine.judge.opinion(now);
+        let health = engine.judge.opinion(now);
         let (name, engine) = (&node.settings.borrow().node, engine.listed.id.clone());
         emit(
             Event::EngineJudged,
-            &[("node", name), ("upstream", &engine), ("opinion", &opinion), ("told", &true)],
+            &[("node", name), ("upstream", &engine), ("opinion", &health), ("told", &true)],
         );
     }
     drop(state);
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -72,16 +72,16 @@
     spawn(Box::pin(follow::catalog(Rc::clone(&node))));
     spawn(Box::pin(follow::engines(Rc::clone(&node))));
     spawn(Box::pin(holder::take_part(Rc::clone(&node))));
-    spawn(Box::pin(peers::exchange(Rc::clone(&node))));
-    spawn(Box::pin(peers::tell_flights(Rc::clone(&node))));
+    spawn(Box::pin(peers::poll(Rc::clone(&node))));
+    spawn(Box::pin(peers::report_in_flight(Rc::clone(&node))));
     spawn(Box::pin(quotas::keep(Rc::clone(&node))));
-    spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::answer)));
+    spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::handle_request)));
     spawn(Box::pin(members::register_and_count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
     spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
     match datagrams {
-        Ok(datagrams) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(datagrams)))),
+        Ok(datagrams) => spawn(Box::pin(peers::receive(Rc::clone(&node), Rc::new(datagrams)))),
         // Without datagrams a node balances by its own requests only.
         Err(e) => listener_failed(&node, "words of other nodes", &e),
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -22,7 +22,7 @@
 use crate::dialect::{Cursor, Dialects};
 use crate::holder::Holding;
 use crate::keeper::KeeperState;
-use crate::peers::{Children, Placements, Sends};
+use crate::peers::{Children, PlacementChanges, Sends};
 use crate::pool::Pool;
 use crate::proof::{self, Proofs};
 use crate::quotas::Quotas;
@@ -60,7 +60,7 @@
     /// Nodes that poll this one for updates.
     pub(crate) children: Children,
     /// Engines whose loaded models changed, for the nodes that poll this one.
-    pub(crate) placement_changes: RefCell<Placements>,
+    pub(crate) placement_changes: RefCell<PlacementChanges>,
     /// Candidates for the hub of this node's failure domain, which forwards the leader's updates.
     pub(crate) heads: RefCell<Heads>,
     /// All nodes in the store; empty until this node has read them.
