--- a/crates/direct/src/customer.rs
+++ b/crates/direct/src/customer.rs
@@ -1,3 +1,5 @@
+//! Customers, their keys and their quotas.
+
 use std::fmt;
 use std::time::Duration;
 
@@ -5,147 +7,138 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Name of a customer.
 #[derive(
     Debug, Clone, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[from(String, &str)]
 pub struct CustomerId(pub String);
 
-/// What a caller shows to be known as a customer. Who reads it can act for the customer, so that nothing prints it.
+/// The API key of a customer. It is secret and never printed.
 #[derive(Clone, PartialEq, Eq, Hash)]
-pub struct Key(String);
+pub struct ApiKey(String);
 
-impl Key {
-    /// The key with this text.
-    pub fn new(text: impl Into<String>) -> Key {
-        Key(text.into())
+impl ApiKey {
+    pub fn new(text: impl Into<String>) -> ApiKey {
+        ApiKey(text.into())
     }
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for ApiKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
 }
 
-/// A customer as configured.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Customer {
-    /// Which of its requests are served first, where it says so; goes before the route's.
+    /// Overrides the priority of a route.
     pub priority: Option<u8>,
-    /// What it may use, where that is limited.
     pub quota: Option<Quota>,
 }
 
-/// In what a quota is counted.
+/// Unit in which a quota is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unit {
-    /// Each request counts once.
+pub enum QuotaUnit {
     Requests,
-    /// A request counts as the tokens of its prompt and the most of its answer; one that tells none as so many.
+    /// A request counts the tokens of its prompt and its maximum number of output tokens.
     Tokens {
-        /// Tokens of a request that tells none.
-        plain: u64,
+        /// Tokens of a request that does not state them.
+        default_tokens: u64,
     },
 }
 
-impl Unit {
-    /// What a request counts, with the tokens that it tells.
-    pub fn of(self, tokens: Option<u64>) -> f64 {
+impl QuotaUnit {
+    /// Cost of a request that states these tokens.
+    pub fn cost(self, tokens: Option<u64>) -> f64 {
         match self {
-            Unit::Requests => 1.0,
-            Unit::Tokens { plain } => tokens.unwrap_or(plain) as f64,
+            QuotaUnit::Requests => 1.0,
+            QuotaUnit::Tokens { default_tokens: plain } => tokens.unwrap_or(plain) as f64,
         }
     }
 }
 
-/// What a customer may use, over all nodes.
+/// Usage that a customer is allowed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// In what it is counted.
-    pub unit: Unit,
-    /// So much a second.
+    pub unit: QuotaUnit,
+    /// Units per second.
     pub rate: f64,
-    /// So much beyond that at once.
+    /// Units allowed at once beyond the rate.
     pub burst: f64,
 }
 
-/// All customers, and the keys that they show.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Customers {
     all: IndexMap<CustomerId, Customer>,
-    keys: IndexMap<Key, CustomerId>,
+    keys: IndexMap<ApiKey, CustomerId>,
 }
 
-/// What a request shows of who sends it.
+/// Credentials of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Shown {
-    /// No key.
+pub enum Credentials {
     #[default]
-    Nothing,
-    /// One key.
-    Key(Key),
-    /// Something else, or several keys.
-    Unusable,
+    None,
+    Key(ApiKey),
+    /// Several keys, or credentials that are not a key.
+    Invalid,
 }
 
 /// Who sends a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sender<'a> {
-    /// A customer.
+pub enum CallerIdentity<'a> {
     Customer(&'a CustomerId, &'a Customer),
-    /// Anybody, on a route that is open to all.
-    Anybody,
-    /// Nobody that may send it.
-    Stranger,
+    /// A caller without a key on an open route.
+    Anonymous,
+    /// A caller that is not allowed to send the request.
+    Unauthorized,
 }
 
 impl Customers {
-    /// Takes a customer in, with its keys. A key that several customers have belongs to the last of them.
-    pub fn add(&mut self, name: CustomerId, customer: Customer, keys: Vec<Key>) {
+    /// Adds a customer with its keys. A key that several customers have belongs to the last of
+    /// them.
+    pub fn add(&mut self, name: CustomerId, customer: Customer, keys: Vec<ApiKey>) {
         self.keys.extend(keys.into_iter().map(|key| (key, name.clone())));
         self.all.insert(name, customer);
     }
 
-    /// Who sends a request, by what it shows. A key counts on open routes too: one that was taken away is no longer
-    /// anybody's.
-    pub fn sender(&self, shown: &Shown, is_open: bool) -> Sender<'_> {
+    /// Identifies the sender of a request. An unknown key is rejected on open routes too, as it may
+    /// have been revoked.
+    pub fn identify(&self, shown: &Credentials, is_open: bool) -> CallerIdentity<'_> {
         match shown {
-            Shown::Key(key) => {
+            Credentials::Key(key) => {
                 let name = self.keys.get(key);
                 let known = name.and_then(|name| self.all.get_key_value(name));
-                known.map_or(Sender::Stranger, |(name, customer)| Sender::Customer(name, customer))
+                known.map_or(CallerIdentity::Unauthorized, |(name, customer)| {
+                    CallerIdentity::Customer(name, customer)
+                })
             }
-            Shown::Nothing if is_open => Sender::Anybody,
-            Shown::Nothing | Shown::Unusable => Sender::Stranger,
+            Credentials::None if is_open => CallerIdentity::Anonymous,
+            Credentials::None | Credentials::Invalid => CallerIdentity::Unauthorized,
         }
     }
 
-    /// A customer by its name.
     pub fn get(&self, name: &CustomerId) -> Option<&Customer> {
         self.all.get(name)
     }
 
-    /// All of them.
     pub fn all(&self) -> impl Iterator<Item = (&CustomerId, &Customer)> {
         self.all.iter()
     }
 }
 
-/// Bounds that the use of all customers is held to.
+/// How far the usage in any window may exceed a quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
-    /// The time over which use is counted.
+    /// Window over which usage is counted.
     pub window: Duration,
-    /// Share by which it may exceed the limit.
-    pub over: f64,
-    /// Use beyond that.
+    /// Allowed excess, as a part of the quota.
+    pub overshoot_ratio: f64,
+    /// Allowed excess beyond that, in units.
     pub slack: f64,
 }
 
 impl Default for QuotaBounds {
     fn default() -> Self {
-        QuotaBounds { window: Duration::from_secs(8), over: 0.0, slack: 0.0 }
+        QuotaBounds { window: Duration::from_secs(8), overshoot_ratio: 0.0, slack: 0.0 }
     }
 }
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -23,7 +23,7 @@
 /// Era for other nodes and its least age in milliseconds; none in the first era.
 pub(crate) fn to_report(node: &Shared) -> Option<(Era, u64)> {
     let known = node.era.get();
-    let lasted = known.lasted(boot_time()).as_millis() as u64;
+    let lasted = known.min_age(boot_time()).as_millis() as u64;
     (known.era() > Era::FIRST).then_some((known.era(), lasted))
 }
 
@@ -36,7 +36,7 @@
 
 fn record(node: &Shared, era: Era, lasted: Duration, source: &str) {
     let mut known = node.era.get();
-    let is_new = known.hear(era, lasted, boot_time());
+    let is_new = known.observe(era, lasted, boot_time());
     node.era.set(known);
     // A node that has just started always sees a new era, which is not worth logging.
     if is_new && node.state.borrow().listed {
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hgw_direct::{Era, ListPlace, Listed, Seen, Standing};
+use hgw_direct::{EngineInfo, EngineState, Era, ListVersion, VersionCheck};
 use hgw_events::{Event, emit};
 use tokio::time::{sleep, timeout};
 
@@ -125,7 +125,7 @@
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
                 if let Some(newest) = newest {
-                    proof::read(&node, Seen { newest, asked });
+                    proof::read(&node, VersionCheck { newest, asked_at: asked });
                     node.catalog_position.set(cursor.map(|at| (newest, at)));
                 }
                 if is_unchanged && node.state.borrow().catalog.is_none() {
@@ -281,7 +281,7 @@
     }
     let mut state = node.state.borrow_mut();
     if news.whole && news.cursor.era > Era::FIRST {
-        state.engines.copy_ends(news.cursor);
+        state.engines.set_backup_end(news.cursor);
     }
     let mut snapshot = Vec::new();
     for EngineChange { at, entry } in news.entries {
@@ -289,35 +289,35 @@
             EngineEntry::Listed { mut listed, left } => {
                 if let Some(left) = left {
                     let gone_at = Some(now + left.as_millis() as u64);
-                    listed.standing = Standing::Leaving { gone_at };
+                    listed.state = EngineState::Leaving { terminates_at: gone_at };
                 }
-                listed.at = at;
+                listed.position = at;
                 keep_reported_models(&state.engines, &mut listed);
                 if news.whole {
                     snapshot.push(*listed);
                 } else {
-                    state.engines.list(*listed);
+                    state.engines.upsert(*listed);
                 }
             }
             EngineEntry::Gone(id) => {
                 if !keep_missing {
-                    state.engines.unlist(&id, at);
+                    state.engines.remove(&id, at);
                 }
             }
             EngineEntry::Unreadable(id) => {
-                state.engines.spoil(&id, at);
+                state.engines.mark_unreadable(&id, at);
                 if news.whole {
-                    snapshot.extend(state.engines.get(&id).map(|engine| engine.listed.clone()));
+                    snapshot.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
             }
         }
     }
     if news.whole {
-        state.engines.replace(snapshot, news.cursor, keep_missing);
+        state.engines.apply_snapshot(snapshot, news.cursor, keep_missing);
     }
     drop(state);
     node.handle_restarts();
-    node.record_list_version(ListPlace::read(news.cursor), ListSource::Store);
+    node.record_list_version(ListVersion::at_position(news.cursor), ListSource::Store);
     keeper::notify_list_change(node);
     node.placed.notify_waiters();
 }
@@ -325,10 +325,11 @@
 /// Keeps the loaded models that the leader reported instead of those in a heartbeat, which may have
 /// been written before an order completed. Adapter loads write no heartbeat at all; the leader
 /// reports every change.
-fn keep_reported_models(engines: &hgw_direct::Engines, listed: &mut Listed) {
+fn keep_reported_models(engines: &hgw_direct::Engines, listed: &mut EngineInfo) {
     let Some(known) = engines.get(&listed.id) else { return };
-    if known.told_at.is_some() && !known.listed.start.is_before(listed.start) {
-        listed.held = known.listed.held.clone();
+    if known.placement_reported_at.is_some() && !known.info.started_at.is_before(listed.started_at)
+    {
+        listed.loaded = known.info.loaded.clone();
     }
 }
 
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/holder/mod.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::Silence;
+use hgw_direct::LeaderLiveness;
 use serde::{Deserialize, Serialize};
 
 use crate::clock::boot_time;
@@ -38,7 +38,7 @@
     /// End of the log after that renewal.
     renewal_end: Option<Cursor>,
     /// Whether the leader responds to this node, and its last renewal.
-    pub(crate) leader_liveness: Silence,
+    pub(crate) leader_liveness: LeaderLiveness,
     /// Boot time of the last attempt to renew.
     attempted_at: Duration,
 }
@@ -55,14 +55,14 @@
         let attempted_lately = now.saturating_sub(self.attempted_at) < lease / 2;
         self.own_claim
             .filter(|_| attempted_lately && (has_lease || engines_fence))
-            .and_then(Cursor::fence)
+            .and_then(Cursor::fencing_token)
     }
 
     /// Fencing token for actions that only one node may take at a time; none once the lease has
     /// expired. A successor waits for a full lease.
     pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
         let has_lease = boot_time().saturating_sub(self.renewed_at) < lease;
-        self.own_claim.filter(|_| has_lease).and_then(Cursor::fence)
+        self.own_claim.filter(|_| has_lease).and_then(Cursor::fencing_token)
     }
 
     /// End of the log after the last renewal, and the renewal's age in milliseconds.
--- a/crates/gateway/src/holder/participant.rs
+++ b/crates/gateway/src/holder/participant.rs
@@ -152,7 +152,7 @@
             return Ok(());
         }
         let now = self.node.now();
-        let since = |end| self.node.holding.borrow().leader_liveness.since(end, now);
+        let since = |end| self.node.holding.borrow().leader_liveness.unrenewed_since(end, now);
         let unrenewed_since = self.log_end.map_or(now, since);
         let quiet_since = self.quiet_since.unwrap_or(now).min(unrenewed_since);
         self.quiet_since = Some(quiet_since);
@@ -209,7 +209,7 @@
         let Some(old_fence) = node.holding.borrow().sure(lease) else {
             let name = node.settings.borrow().node.clone();
             let lost_claim = node.holding.borrow_mut().own_claim.take();
-            if let Some(fence) = lost_claim.and_then(Cursor::fence) {
+            if let Some(fence) = lost_claim.and_then(Cursor::fencing_token) {
                 emit(Event::KeeperLost, &[("node", &name), ("term", &fence)]);
             }
             return Ok(());
@@ -227,7 +227,7 @@
         &mut self,
         end: Cursor,
     ) -> Result<Option<(u64, Option<u64>)>, StoreError> {
-        let Some(fence) = end.fence() else {
+        let Some(fence) = end.fencing_token() else {
             let why = format!("{end} is out of range for a fencing token");
             return Err(StoreError::Malformed(Malformed {
                 what: "position of a lease claim",
@@ -312,7 +312,7 @@
             lease_record.node != own_name
                 || (lease_record.kind == RecordKind::Claim && record.at != *mine)
         });
-        if let Some(fence) = lost_claim.and_then(Cursor::fence) {
+        if let Some(fence) = lost_claim.and_then(Cursor::fencing_token) {
             emit(Event::KeeperLost, &[("node", &own_name), ("term", &fence)]);
             leadership.own_claim = None;
         }
@@ -320,7 +320,7 @@
             leadership.renewed_at = sent_at;
         }
         let LeaseRecord { kind, node, addr, .. } = lease_record;
-        let Some(fence) = record.at.fence() else { return };
+        let Some(fence) = record.at.fencing_token() else { return };
         let known_fence = leadership
             .leader
             .as_ref()
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/keeper/adapters.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::place::{AdapterStep, place_adapter, spread_adapters};
-use hgw_direct::{Engine, EngineId, ServiceId, Wanted};
+use hgw_direct::placement::{AdapterAction, next_missing_adapter, place_adapter};
+use hgw_direct::{Engine, EngineId, ModelRef, ServiceId};
 use hgw_events::{Event, emit};
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
@@ -35,7 +35,7 @@
 /// Places a model or an adapter that a request is waiting for.
 pub(crate) async fn request_placement(
     node: &Node,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     domain: &str,
     stale_engine: Option<&EngineId>,
 ) -> Placement {
@@ -47,8 +47,8 @@
     }
     // The demand report of its node arrives later, and the adapter must not be evicted until then.
     let now = node.now();
-    node.keeper.borrow_mut().demand.touch(now, wanted);
-    let model = Wanted { model: wanted.model.clone(), adapter: None };
+    node.keeper.borrow_mut().demand.mark_requested(now, wanted);
+    let model = ModelRef { model: wanted.model.clone(), adapter: None };
     if wanted.adapter.is_none() || !is_loaded(node, &model) {
         return Placement::Coming(models::expected_load_ms(node, &wanted.model));
     }
@@ -60,17 +60,19 @@
 }
 
 /// Corrects the state of an engine that responded that `wanted` is not loaded.
-fn remove_stale_model(node: &Node, wanted: &Wanted, engine: &EngineId) {
+fn remove_stale_model(node: &Node, wanted: &ModelRef, engine: &EngineId) {
     let mut state = node.state.borrow_mut();
-    let Some(known) = state.engines.get_mut(engine).filter(|e| e.holds(wanted)) else { return };
-    known.drop_held(wanted);
+    let Some(known) = state.engines.get_mut(engine).filter(|e| e.has_loaded(wanted)) else {
+        return;
+    };
+    known.remove_loaded(wanted);
     drop(state);
     node.keeper.borrow_mut().surveyed.shift_remove(engine);
     placement_changed(node, engine);
 }
 
 /// Starts to place an adapter unless that is in progress. The result is notified at the end.
-fn start_placement(node: &Node, wanted: &Wanted, domain: &str) -> Rc<Notify> {
+fn start_placement(node: &Node, wanted: &ModelRef, domain: &str) -> Rc<Notify> {
     let mut leader = node.keeper.borrow_mut();
     if let Some(in_progress) = leader.placing.get(wanted) {
         return Rc::clone(in_progress);
@@ -96,20 +98,21 @@
             return;
         }
         let state = node.state.borrow();
-        let engines: Vec<&Engine> = state.engines.of(service).filter(|e| e.takes_work()).collect();
-        spread_adapters(&engines, &leader.demand, node.now())
+        let engines: Vec<&Engine> =
+            state.engines.of_service(service).filter(|e| e.accepts_requests()).collect();
+        next_missing_adapter(&engines, &leader.demand, node.now())
     };
     let Some(wanted) = wanted else { return };
     start_placement(node, &wanted, "");
 }
 
-fn is_loaded(node: &Node, wanted: &Wanted) -> bool {
+fn is_loaded(node: &Node, wanted: &ModelRef) -> bool {
     let now = node.now();
-    let is_reachable = |e: &Engine| e.takes_work() && !e.judge.is_dark(now);
-    node.state.borrow().engines.iter().any(|e| is_reachable(e) && e.holds(wanted))
+    let is_reachable = |e: &Engine| e.accepts_requests() && !e.health.is_reported_unreachable(now);
+    node.state.borrow().engines.iter().any(|e| is_reachable(e) && e.has_loaded(wanted))
 }
 
-async fn place_adapter_now(node: &Node, wanted: &Wanted, domain: &str) {
+async fn place_adapter_now(node: &Node, wanted: &ModelRef, domain: &str) {
     // An evicted adapter leaves the engine's state before the order is sent.
     if !may_send_orders(node) {
         return;
@@ -124,21 +127,25 @@
     }
 }
 
-fn choose_engine(node: &Node, wanted: &Wanted, domain: &str) -> Option<(EngineId, Option<Wanted>)> {
+fn choose_engine(
+    node: &Node,
+    wanted: &ModelRef,
+    domain: &str,
+) -> Option<(EngineId, Option<ModelRef>)> {
     let now = node.now();
     for (service, pool) in model_pools(node) {
         let state = node.state.borrow();
         let leader = node.keeper.borrow();
         let engines: Vec<&Engine> = state
             .engines
-            .of(&service)
-            .filter(|e| e.takes_work() && leader.surveyed.contains_key(&e.listed.id))
+            .of_service(&service)
+            .filter(|e| e.accepts_requests() && leader.surveyed.contains_key(&e.info.id))
             // Engines execute one order at a time.
-            .filter(|e| !leader.pending_loads.contains_key(&e.listed.id))
-            .filter(|e| !leader.draining.contains(&e.listed.id))
+            .filter(|e| !leader.pending_loads.contains_key(&e.info.id))
+            .filter(|e| !leader.draining.contains(&e.info.id))
             .collect();
         let action = place_adapter(&engines, &pool, &leader.demand, wanted, domain, now);
-        if let AdapterStep::Load { engine, instead_of } = action {
+        if let AdapterAction::Load { engine, evict: instead_of } = action {
             return Some((engine, instead_of));
         }
     }
@@ -148,15 +155,17 @@
 /// Whether the decision still holds: there is a free slot or the evicted adapter is still there.
 fn is_still_valid(
     node: &Node,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     engine: &EngineId,
-    instead_of: Option<&Wanted>,
+    instead_of: Option<&ModelRef>,
 ) -> bool {
     let max_slots =
         model_pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
     let fits = node.engine(engine, |e| {
-        let freed = usize::from(instead_of.is_some_and(|w| e.holds(w)));
-        e.holds_model(&wanted.model) && !e.holds(wanted) && e.places_taken() - freed < max_slots
+        let freed = usize::from(instead_of.is_some_and(|w| e.has_loaded(w)));
+        e.has_model(&wanted.model)
+            && !e.has_loaded(wanted)
+            && e.adapter_slots_used() - freed < max_slots
     });
     let leader = node.keeper.borrow();
     let is_surveyed =
@@ -164,9 +173,9 @@
     is_surveyed && fits.unwrap_or(false)
 }
 
-fn log_plan(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<&Wanted>) {
+fn log_plan(node: &Node, engine: &EngineId, wanted: &ModelRef, instead_of: Option<&ModelRef>) {
     let rate = format!("{:.1}", node.keeper.borrow().demand.rate(node.now(), wanted));
-    let evict = instead_of.map(Wanted::to_string).unwrap_or_default();
+    let evict = instead_of.map(ModelRef::to_string).unwrap_or_default();
     emit(
         Event::AdapterPlanned,
         &[
@@ -179,11 +188,11 @@
     );
 }
 
-async fn execute(node: &Node, engine: &EngineId, wanted: &Wanted, instead_of: Option<Wanted>) {
+async fn execute(node: &Node, engine: &EngineId, wanted: &ModelRef, instead_of: Option<ModelRef>) {
     log_plan(node, engine, wanted, instead_of.as_ref());
     if let Some(evicted) = instead_of {
         if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
-            e.drop_held(&evicted);
+            e.remove_loaded(&evicted);
         }
         placement_changed(node, engine);
         node.keeper.borrow_mut().draining.insert(engine.clone());
@@ -201,7 +210,7 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &Wanted,
+    wanted: &ModelRef,
 ) -> bool {
     // An adapter in use is unloaded after its last request.
     let max_wait = if kind == OrderKind::Unload { UNLOAD_TIMEOUT } else { LOAD_TIMEOUT };
@@ -210,7 +219,7 @@
     if kind == OrderKind::Load
         && let Some(e) = node.state.borrow_mut().engines.get_mut(engine)
     {
-        e.expect(wanted);
+        e.expect_adapter(wanted);
     }
     let mut accepted = false;
     while Instant::now() < deadline {
@@ -222,8 +231,8 @@
                 }
                 if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
                     match kind {
-                        OrderKind::Load => e.add_held(wanted),
-                        OrderKind::Unload => e.drop_held(wanted),
+                        OrderKind::Load => e.add_loaded(wanted),
+                        OrderKind::Unload => e.remove_loaded(wanted),
                     }
                 }
                 placement_changed(node, engine);
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/keeper/mod.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::place::{Ceiling, CeilingLimits, Pending};
-use hgw_direct::{Demand, EngineId, ListPlace, Millis, Pool, Start, Wanted};
+use hgw_direct::placement::{LoadRateLimiter, LoadRateLimits, PendingLoads};
+use hgw_direct::{Demand, EngineId, ListVersion, Millis, ModelPool, ModelRef, StartTime};
 use indexmap::{IndexMap, IndexSet};
 use tokio::sync::{Mutex, Notify, Semaphore};
 use tokio::time::sleep;
@@ -54,14 +54,14 @@
     /// Time of the claim.
     started_at: Millis,
     demand: Demand,
-    load_limiter: Ceiling,
-    pending_loads: Pending,
+    load_limiter: LoadRateLimiter,
+    pending_loads: PendingLoads,
     /// Engines that are loading a model, and the expected end of the load.
     loading: IndexMap<EngineId, Millis>,
     /// Engines that reported their state to this leader, and their start at that time.
-    surveyed: IndexMap<EngineId, Start>,
+    surveyed: IndexMap<EngineId, StartTime>,
     /// Engines seen by this leader, and their start at that time.
-    seen: IndexMap<EngineId, Start>,
+    seen: IndexMap<EngineId, StartTime>,
     /// Engines with a survey in progress.
     surveying: IndexSet<EngineId>,
     survey_permits: Rc<SurveyPermits>,
@@ -70,11 +70,11 @@
     /// Serialize the orders to each engine.
     order_locks: IndexMap<EngineId, Rc<Mutex<()>>>,
     /// Notified when the placement of an adapter has ended.
-    placing: IndexMap<Wanted, Rc<Notify>>,
+    placing: IndexMap<ModelRef, Rc<Notify>>,
     /// Nodes that have reported their earlier demand to this leader.
     demand_reporters: IndexSet<SocketAddr>,
     /// Position of the last change in the engine list that nodes were notified of.
-    notified_list_version: ListPlace,
+    notified_list_version: ListVersion,
 }
 
 /// Bounds the number of engines asked at a time.
@@ -96,11 +96,11 @@
         let mut state = node.state.borrow_mut();
         // The demand below includes these counts.
         state.unreported_demand.clear();
-        leader.demand.go_on_from(now, state.demand.since(), &state.demand.past(now));
+        leader.demand.merge(now, state.demand.since(), &state.demand.snapshot(now));
     }
     for (_, pool) in model_pools(node) {
         match &load_starts {
-            Some(load_starts) => leader.load_limiter.go_on_from(now, load_starts, UNREPORTED_LOADS),
+            Some(load_starts) => leader.load_limiter.restore(now, load_starts, UNREPORTED_LOADS),
             None => {
                 leader.load_limiter.assume_full(now, &load_rate_limits(node, &pool), INITIAL_LOADS)
             }
@@ -125,7 +125,7 @@
     let leader = node.keeper.borrow();
     if leader.fence == claim && leader.started_at > 0 {
         let now = node.now();
-        return Some(leader.load_limiter.ages(now).iter().map(|age| now - age).collect());
+        return Some(leader.load_limiter.load_ages(now).iter().map(|age| now - age).collect());
     }
     let reported = node.state.borrow().leader_loads.clone();
     reported.filter(|(fence, _)| *fence == claim).map(|(_, load_starts)| load_starts)
@@ -134,7 +134,7 @@
 /// Counts a load from the weight store. Nodes are notified at once, because one of them may be the
 /// next leader.
 fn record_load(node: &Node) {
-    node.keeper.borrow_mut().load_limiter.begin(node.now());
+    node.keeper.borrow_mut().load_limiter.record_load(node.now());
     node.update_available.notify_waiters();
 }
 
@@ -156,12 +156,12 @@
 fn survey(node: &Node) {
     let services: Vec<_> = model_pools(node).into_iter().map(|(service, _)| service).collect();
     let state = node.state.borrow();
-    let engines = state.engines.iter().filter(|e| services.contains(&e.listed.service));
-    let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
+    let engines = state.engines.iter().filter(|e| services.contains(&e.info.service));
+    let ids: Vec<EngineId> = engines.map(|e| e.info.id.clone()).collect();
     let mut leader = node.keeper.borrow_mut();
     leader.surveyed.retain(|id, start| {
         let engine = state.engines.get(id).filter(|_| ids.contains(id));
-        engine.is_some_and(|e| !start.is_before(e.listed.start))
+        engine.is_some_and(|e| !start.is_before(e.info.started_at))
     });
     drop(state);
     node.placement_changes.borrow_mut().retain(|id| ids.contains(id));
@@ -186,7 +186,7 @@
     }
     let permits = Rc::clone(&node.keeper.borrow().survey_permits);
     while node.keeper.borrow().fence == fence
-        && let Some(start) = node.engine(id, |e| e.listed.start)
+        && let Some(start) = node.engine(id, |e| e.info.started_at)
     {
         let report = {
             let _permit = permits.0.acquire().await;
@@ -208,7 +208,7 @@
 /// order. Such an engine is surveyed at once.
 fn started_after_claim(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
-    let Some(start) = node.engine(id, |e| e.listed.start) else { return false };
+    let Some(start) = node.engine(id, |e| e.info.started_at) else { return false };
     let mut leader = node.keeper.borrow_mut();
     let leads_for = node.now().saturating_sub(leader.started_at);
     let seen_before = leader.seen.insert(id.clone(), start);
@@ -216,16 +216,16 @@
 }
 
 /// Services whose engines load models on demand.
-fn model_pools(node: &Node) -> Vec<(hgw_direct::ServiceId, Pool)> {
+fn model_pools(node: &Node) -> Vec<(hgw_direct::ServiceId, ModelPool)> {
     let state = node.state.borrow();
     let Some(catalog) = &state.catalog else { return Vec::new() };
     let pools = catalog.services.iter();
     pools.filter_map(|(id, s)| Some((id.clone(), s.pool.clone()?))).collect()
 }
 
-fn load_rate_limits(node: &Node, pool: &Pool) -> CeilingLimits {
+fn load_rate_limits(node: &Node, pool: &ModelPool) -> LoadRateLimits {
     let window = node.settings.borrow().load_window.as_millis() as Millis;
-    CeilingLimits { loads_per_s: pool.loads_per_s, window }
+    LoadRateLimits { loads_per_s: pool.loads_per_s, window }
 }
 
 fn order_lock(node: &Node, engine: &EngineId) -> Rc<Mutex<()>> {
@@ -244,7 +244,7 @@
     let mut leader = node.keeper.borrow_mut();
     for entry in counts {
         let (wanted, count) = entry.clone().into_parts();
-        leader.demand.saw(now, &wanted, count);
+        leader.demand.record(now, &wanted, count);
     }
 }
 
@@ -255,7 +255,7 @@
         return;
     }
     let since = earlier.counted_for_ms.map(|for_ms| now.saturating_sub(for_ms));
-    node.keeper.borrow_mut().demand.go_on_from(now, since, &earlier.models);
+    node.keeper.borrow_mut().demand.merge(now, since, &earlier.models);
 }
 
 /// Notifies waiting nodes if the engine list has changed.
@@ -272,14 +272,14 @@
 
 /// Ages in milliseconds of the loads from the weight store that this leader started.
 pub(crate) fn load_ages(node: &Node) -> Vec<u64> {
-    node.keeper.borrow().load_limiter.ages(node.now())
+    node.keeper.borrow().load_limiter.load_ages(node.now())
 }
 
 /// Contents of the engines that have `wanted` loaded.
-pub(crate) fn placements_of(node: &Node, wanted: &Wanted) -> Vec<EnginePlacement> {
+pub(crate) fn placements_of(node: &Node, wanted: &ModelRef) -> Vec<EnginePlacement> {
     let state = node.state.borrow();
-    let engines = state.engines.iter().filter(|e| e.holds(wanted));
-    let ids: Vec<EngineId> = engines.map(|e| e.listed.id.clone()).collect();
+    let engines = state.engines.iter().filter(|e| e.has_loaded(wanted));
+    let ids: Vec<EngineId> = engines.map(|e| e.info.id.clone()).collect();
     drop(state);
     ids.iter().filter_map(|id| placement_of(node, id)).collect()
 }
@@ -287,9 +287,9 @@
 pub(crate) fn placement_of(node: &Node, id: &EngineId) -> Option<EnginePlacement> {
     node.engine(id, |e| EnginePlacement {
         engine: id.clone(),
-        started_at: e.listed.start,
-        accepted_orders: e.orders,
-        loaded: e.listed.held.clone(),
+        started_at: e.info.started_at,
+        accepted_orders: e.accepted_orders,
+        loaded: e.info.loaded.clone(),
     })
 }
 
@@ -297,7 +297,7 @@
 fn placement_changed(node: &Node, engine: &EngineId) {
     let now = node.now();
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-        engine.told_at = Some(now);
+        engine.placement_reported_at = Some(now);
     }
     node.placement_changes.borrow_mut().record(engine);
     node.update_available.notify_waiters();
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/keeper/models.rs
@@ -3,8 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::place::{Allowed, ModelStep, Source, making_room, next_model_step};
-use hgw_direct::{Engine, EngineId, Pool, Rates, ServiceId, Start, Wanted};
+use hgw_direct::placement::{
+    AllowedActions, ModelLoad, WeightSource, count_evicting, next_model_load,
+};
+use hgw_direct::{Engine, EngineId, ModelPool, ModelRef, Rates, ServiceId, StartTime};
 use hgw_events::{Event, emit};
 use tokio::time::{Instant, sleep, timeout_at};
 
@@ -41,38 +43,39 @@
 const RATE_LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the most useful loads that the rate limit of the weight store allows.
-pub(super) fn start_loads(node: &Node, service: &ServiceId, pool: &Pool) {
+pub(super) fn start_loads(node: &Node, service: &ServiceId, pool: &ModelPool) {
     // A step removes evicted models from the engine's state before the order. Without permission
     // to send the order the model would stay loaded and get no requests.
     while may_send_orders(node) {
         let now = node.now();
         let mut leader = node.keeper.borrow_mut();
-        if making_room(&leader.pending_loads, &leader.loading) >= MAX_EVICTING_ENGINES {
+        if count_evicting(&leader.pending_loads, &leader.loading) >= MAX_EVICTING_ENGINES {
             return;
         }
         let demand_age = leader.demand.since().map_or(0, |since| now.saturating_sub(since));
         let nodes_reported =
             now.saturating_sub(leader.started_at) >= DEMAND_REPORT_TIME.as_millis() as u64;
-        let allowed = Allowed {
-            store: leader.load_limiter.allows(now, &load_rate_limits(node, pool)),
-            drop: nodes_reported && demand_age >= MIN_DEMAND_TIME.as_millis() as u64,
+        let allowed = AllowedActions {
+            load_from_store: leader.load_limiter.allows(now, &load_rate_limits(node, pool)),
+            evict: nodes_reported && demand_age >= MIN_DEMAND_TIME.as_millis() as u64,
         };
         let state = node.state.borrow();
         // Copies on unreachable engines do not count, although their entries have not expired yet.
-        let engines = state.engines.of(service).filter(|e| e.takes_work());
-        let engines: Vec<&Engine> = engines.filter(|e| !e.judge.is_dark(now)).collect();
+        let engines = state.engines.of_service(service).filter(|e| e.accepts_requests());
+        let engines: Vec<&Engine> =
+            engines.filter(|e| !e.health.is_reported_unreachable(now)).collect();
         let rates = leader.demand.rates(now);
         let mut busy = leader.pending_loads.clone();
-        for engine in engines.iter().filter(|e| !leader.surveyed.contains_key(&e.listed.id)) {
+        for engine in engines.iter().filter(|e| !leader.surveyed.contains_key(&e.info.id)) {
             // Its loaded models count, but it may have an unknown order in progress.
-            busy.entry(engine.listed.id.clone()).or_default();
+            busy.entry(engine.info.id.clone()).or_default();
         }
-        let step = next_model_step(&engines, pool, &rates, &busy, allowed, now);
+        let step = next_model_load(&engines, pool, &rates, &busy, allowed, now);
         let Some(step) = step else { return };
         log_plan(node, &step, &engines, &rates);
         drop(state);
-        step.make_way(&mut node.state.borrow_mut().engines);
-        leader.pending_loads.insert(step.engine.clone(), step.load.clone());
+        step.apply_evictions(&mut node.state.borrow_mut().engines);
+        leader.pending_loads.insert(step.engine.clone(), step.model.clone());
         drop(leader);
         let (node, pool) = (Rc::clone(node), pool.clone());
         tokio::task::spawn_local(async move {
@@ -85,22 +88,22 @@
     }
 }
 
-fn log_plan(node: &Node, step: &ModelStep, engines: &[&Engine], rates: &Rates) {
-    let copies = |model: &str| engines.iter().filter(|e| e.holds_model(model)).count().to_string();
+fn log_plan(node: &Node, step: &ModelLoad, engines: &[&Engine], rates: &Rates) {
+    let copies = |model: &str| engines.iter().filter(|e| e.has_model(model)).count().to_string();
     let rate = |model: &str| format!("{:.1}", rates.of_model(model));
     let for_evicted = |of: &dyn Fn(&str) -> String| {
-        step.drop.iter().map(|model| of(model)).collect::<Vec<_>>().join(",")
+        step.evict.iter().map(|model| of(model)).collect::<Vec<_>>().join(",")
     };
     emit(
         Event::PlacementPlanned,
         &[
             ("node", &node.settings.borrow().node),
             ("upstream", &step.engine),
-            ("load", &step.load),
-            ("load_rate", &rate(&step.load)),
-            ("load_copies", &copies(&step.load)),
+            ("load", &step.model),
+            ("load_rate", &rate(&step.model)),
+            ("load_copies", &copies(&step.model)),
             ("source", &step.source),
-            ("drop", &step.drop.join(",")),
+            ("drop", &step.evict.join(",")),
             ("drop_rate", &for_evicted(&rate)),
             ("drop_copies", &for_evicted(&copies)),
         ],
@@ -108,15 +111,15 @@
 }
 
 /// Evicts models from an engine as planned and has another loaded there.
-async fn execute(node: &Node, pool: &Pool, step: ModelStep) {
-    let ModelStep { engine, drop, load, source } = step;
+async fn execute(node: &Node, pool: &ModelPool, step: ModelLoad) {
+    let ModelLoad { engine, evict: drop, model: load, source } = step;
     for model in drop {
-        let evicted = Wanted { model, adapter: None };
+        let evicted = ModelRef { model, adapter: None };
         if !order_until_done(node, &engine, OrderKind::Unload, &evicted, Duration::ZERO).await {
             return;
         }
     }
-    if source == Source::Store {
+    if source == WeightSource::Store {
         while !node
             .keeper
             .borrow_mut()
@@ -127,19 +130,19 @@
         }
         record_load(node);
     }
-    let usual_time = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.time(m));
+    let usual_time = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.load_time(m));
     node.keeper
         .borrow_mut()
         .loading
         .insert(engine.clone(), node.now() + usual_time.as_millis() as u64);
-    let wanted = Wanted { model: load, adapter: None };
+    let wanted = ModelRef { model: load, adapter: None };
     order_until_done(node, &engine, OrderKind::Load, &wanted, usual_time).await;
 }
 
 /// Estimated time in milliseconds until an engine has loaded the model.
 pub(super) fn expected_load_ms(node: &Node, model: &str) -> u64 {
     let usual_time =
-        model_pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.load));
+        model_pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.store_load_time));
     let usual_time = usual_time.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
     let leader = node.keeper.borrow();
     let loading = leader.pending_loads.iter().filter(|(_, m)| *m == model);
@@ -155,15 +158,15 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     usual_time: Duration,
 ) -> bool {
     let lock = order_lock(node, engine);
-    let Some(start) = node.engine(engine, |e| e.listed.start) else { return false };
+    let Some(start) = node.engine(engine, |e| e.info.started_at) else { return false };
     if kind == OrderKind::Unload {
         // Requests are sent elsewhere from now on.
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-            engine.drop_held(wanted);
+            engine.remove_loaded(wanted);
         }
         placement_changed(node, engine);
         sleep(UNLOAD_NOTICE).await;
@@ -207,12 +210,12 @@
 }
 
 /// Whether an engine has not restarted since `start`. A restart voids earlier orders.
-fn has_not_restarted(node: &Node, engine: &EngineId, start: Start) -> bool {
-    node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false)
+fn has_not_restarted(node: &Node, engine: &EngineId, start: StartTime) -> bool {
+    node.engine(engine, |e| !start.is_before(e.info.started_at)).unwrap_or(false)
 }
 
 /// Sleeps for `pause`, or until the engine restarts.
-async fn sleep_unless_restarted(node: &Node, engine: &EngineId, start: Start, pause: Duration) {
+async fn sleep_unless_restarted(node: &Node, engine: &EngineId, start: StartTime, pause: Duration) {
     let deadline = Instant::now() + pause;
     while Instant::now() < deadline {
         let restarted = node.started_anew.notified();
@@ -223,11 +226,11 @@
     }
 }
 
-fn record_done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &Wanted) {
+fn record_done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &ModelRef) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         match kind {
-            OrderKind::Load => engine.add_held(wanted),
-            OrderKind::Unload => engine.drop_held(wanted),
+            OrderKind::Load => engine.add_loaded(wanted),
+            OrderKind::Unload => engine.remove_loaded(wanted),
         }
     }
     placement_changed(node, engine);
--- a/crates/gateway/src/keeper/order.rs
+++ b/crates/gateway/src/keeper/order.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hgw_direct::{EngineId, Wanted, is_long};
+use hgw_direct::{EngineId, ModelRef, is_large_list};
 use hgw_events::{Event, emit};
 use hgw_http1::{Body, Request};
 use tokio::time::timeout;
@@ -49,18 +49,18 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &Wanted,
+    wanted: &ModelRef,
 ) -> OrderResult {
     let own_name = node.settings.borrow().node.clone();
     let Some(fence) = fence(node) else { return OrderResult::Superseded };
-    let known = node.engine(engine, |e| (e.listed.addr, e.orders, e.listed.start));
+    let known = node.engine(engine, |e| (e.info.addr, e.accepted_orders, e.info.started_at));
     let Some((addr, seq, start)) = known else { return OrderResult::Refused };
     let order = Order { addr, engine, kind, wanted, seq, holder: &own_name, fence };
     let req = node.dialects.upstreams.order(&order);
     let result = match call(node, engine, &req).await {
         CallResult::Responded(status, body) => {
             let is_same_start =
-                node.engine(engine, |e| !start.is_before(e.listed.start)).unwrap_or(false);
+                node.engine(engine, |e| !start.is_before(e.info.started_at)).unwrap_or(false);
             // The engine restarted meanwhile, so the response says nothing about its state.
             let result = if is_same_start { from_status(status) } else { OrderResult::Conflict };
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
@@ -121,7 +121,7 @@
 /// progress.
 pub(super) fn count_accepted(node: &Node, engine: &EngineId) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-        engine.orders += 1;
+        engine.accepted_orders += 1;
     }
 }
 
@@ -141,7 +141,7 @@
 
 /// Asks an engine for its state; none if it does not respond.
 pub(super) async fn fetch_report(node: &Node, engine: &EngineId) -> Option<Idle> {
-    let addr = node.engine(engine, |e| e.listed.addr)?;
+    let addr = node.engine(engine, |e| e.info.addr)?;
     let req = node.dialects.upstreams.ask_report(addr, engine);
     let CallResult::Responded(200, body) = call(node, engine, &req).await else { return None };
     match node.dialects.upstreams.report(&body) {
@@ -160,21 +160,21 @@
 fn apply_report(node: &Node, engine: &EngineId, report: Report) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let Some(known) = state.engines.meet(engine, report.start) else { return false };
+    let Some(known) = state.engines.observe_start(engine, report.start) else { return false };
     // An order may have been accepted while the report was under way.
-    if report.seq < known.orders {
+    if report.seq < known.accepted_orders {
         return false;
     }
-    known.orders = report.seq;
-    let has_changed = known.listed.held != report.held;
-    known.listed.held = report.held;
-    known.listed.at_hand = report.at_hand;
-    known.coming = report.coming;
-    known.told = Some((report.load, now, known.own));
-    known.told_at = Some(now);
+    known.accepted_orders = report.seq;
+    let has_changed = known.info.loaded != report.held;
+    known.info.loaded = report.held;
+    known.info.cached = report.at_hand;
+    known.loading_adapters = report.coming;
+    known.reported_load = Some((report.load, now, known.own_requests));
+    known.placement_reported_at = Some(now);
     // Nodes may have missed the last change that the previous leader sent, so even unchanged state
     // is sent to them; for a large list the engine list itself is enough.
-    let should_notify = has_changed || !is_long(&state.engines);
+    let should_notify = has_changed || !is_large_list(&state.engines);
     drop(state);
     node.handle_restarts();
     if should_notify {
@@ -190,7 +190,7 @@
 }
 
 async fn call(node: &Node, engine: &EngineId, req: &Request) -> CallResult {
-    let Some(addr) = node.engine(engine, |e| e.listed.addr) else { return CallResult::NotSent };
+    let Some(addr) = node.engine(engine, |e| e.info.addr) else { return CallResult::NotSent };
     let connected = timeout(RESPONSE_TIMEOUT, node.pool.get(addr, node.connect_limits())).await;
     let Ok(Ok(mut conn)) = connected else { return CallResult::NotSent };
     let response = async {
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hgw_direct::heads::{Member, candidates};
-use hgw_direct::{Millis, tells_sends};
+use hgw_direct::hubs::{Member, candidates};
+use hgw_direct::{Millis, broadcasts_sends};
 use tokio::time::sleep;
 
 use crate::backoff::wait_to_retry;
@@ -71,7 +71,7 @@
             node: settings.node.clone(),
             addr: settings.peers,
             domain: settings.domain.clone(),
-            processor: settings.processor,
+            cpu_share: settings.processor,
         }
     };
     let entry = serde_json::to_vec(&member).expect("a member is valid JSON");
@@ -85,11 +85,11 @@
     let members = nodes.iter().filter_map(|(_, entry)| serde_json::from_slice(entry).ok());
     let members: Vec<Member> = members.collect();
     node.state.borrow_mut().nodes = count.max(1);
-    if tells_sends(count) {
+    if broadcasts_sends(count) {
         node.sends.set_peers(members.iter().map(|m| m.addr).collect());
     }
     let own = candidates(&members, &node.settings.borrow().domain);
-    node.heads.borrow_mut().know(own);
+    node.heads.borrow_mut().set_candidates(own);
     *node.members.borrow_mut() = members;
     true
 }
--- a/crates/gateway/src/peers/datagrams.rs
+++ b/crates/gateway/src/peers/datagrams.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hgw_direct::flights::{EngineKey, Told};
-use hgw_direct::sums::Scope;
-use hgw_direct::{EngineId, Load, SendId, Start, tells_sends};
+use hgw_direct::aggregation::ReportScope;
+use hgw_direct::in_flight::{EngineKey, InFlightUpdate};
+use hgw_direct::{EngineId, Load, SendId, StartTime, broadcasts_sends};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
@@ -26,15 +26,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Word {
     /// A request with a prompt of this many tokens was sent.
-    Sent(EngineId, Start, SendId, u32),
+    Sent(EngineId, StartTime, SendId, u32),
     /// The response begins, with the number of running and waiting requests if the engine reported
     /// them.
-    Answers(EngineId, Start, SendId, Option<(u32, u32)>),
+    Answers(EngineId, StartTime, SendId, Option<(u32, u32)>),
     /// The request ended without a response.
-    Ended(EngineId, Start, SendId),
+    Ended(EngineId, StartTime, SendId),
     /// In-flight requests of a node, a domain or all nodes.
     #[serde(rename = "Flights")]
-    InFlight(Scope, Told),
+    InFlight(ReportScope, InFlightUpdate),
     /// The sender cannot reach the engine.
     #[serde(rename = "Lost")]
     Unreachable(EngineKey),
@@ -92,7 +92,7 @@
     pub(crate) fn tell(&self, node: &Node, datagram: &Word) {
         let nodes = node.state.borrow().nodes;
         let own_addr = node.settings.borrow().peers;
-        if tells_sends(nodes) {
+        if broadcasts_sends(nodes) {
             let peers = self.peers.borrow();
             self.send_to(peers.iter().filter(|other| **other != own_addr), datagram);
         }
@@ -141,14 +141,14 @@
     let engines = &mut state.engines;
     match datagram {
         Word::Sent(engine, start, id, tokens) => {
-            let Some(engine) = engines.meet(&engine, start) else { return };
-            engine.unread.told(id, tokens, now);
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.add_from_peer(id, tokens, now);
         }
         Word::Answers(engine, start, id, load) => {
-            let Some(engine) = engines.meet(&engine, start) else { return };
-            engine.unread.read(id, now);
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.finish(id, now);
             if let Some((running, waiting)) = load {
-                engine.hear(Load { running, waiting, slots: engine.listed.slots }, now);
+                engine.record_peer_load(Load { running, waiting, slots: engine.info.slots }, now);
             }
         }
         Word::InFlight(..)
@@ -156,8 +156,8 @@
         | Word::UnreachableFrom(..)
         | Word::ReachableFrom(..) => {}
         Word::Ended(engine, start, id) => {
-            let Some(engine) = engines.meet(&engine, start) else { return };
-            engine.unread.read(id, now);
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.finish(id, now);
         }
     }
     drop(state);
--- a/crates/gateway/src/peers/in_flight.rs
+++ b/crates/gateway/src/peers/in_flight.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::flights::{EngineKey, Flight, Told};
-use hgw_direct::heads::{Parent, candidates};
-use hgw_direct::sums::{Circle, Relation, Scope};
-use hgw_direct::tells_sends;
+use hgw_direct::aggregation::{Neighbors, Relation, ReportScope};
+use hgw_direct::broadcasts_sends;
+use hgw_direct::hubs::{Parent, candidates};
+use hgw_direct::in_flight::{EngineKey, InFlightLoad, InFlightUpdate};
 use indexmap::IndexMap;
 use tokio::time::sleep;
 
@@ -30,13 +30,13 @@
 const MAX_HUBS: usize = 40;
 
 /// Nodes that this one exchanges sums with.
-pub(super) fn neighbors(node: &Node) -> Circle {
+pub(super) fn neighbors(node: &Node) -> Neighbors {
     let (own_addr, topology) = (node.settings.borrow().peers, Topology::of(node));
     let is = |relation| move |addr: &SocketAddr| topology.relation(node, *addr) == relation;
     let peers = node.sends.addrs().into_iter().filter(|addr| *addr != own_addr);
-    let hubs = peers.filter(is(Relation::OtherHead)).collect();
+    let hubs = peers.filter(is(Relation::OtherHub)).collect();
     let children = node.children.addrs().into_iter().filter(is(Relation::Child)).collect();
-    Circle { head: topology.hub, heads: hubs, children }
+    Neighbors { hub: topology.hub, hubs, children }
 }
 
 /// What a node knows when it classifies other nodes.
@@ -50,7 +50,7 @@
 impl Topology {
     fn of(node: &Node) -> Topology {
         let hub = match node.parent() {
-            Some((Parent::Head(addr), _)) => Some(addr),
+            Some((Parent::Hub(addr), _)) => Some(addr),
             _ => None,
         };
         let own_addr = node.settings.borrow().peers;
@@ -60,13 +60,13 @@
 
     fn relation(self, node: &Node, other: SocketAddr) -> Relation {
         if self.hub == Some(other) {
-            Relation::Head
+            Relation::Hub
         } else if self.exchanges_with_hubs && node.sends.contains(other) {
-            Relation::OtherHead
+            Relation::OtherHub
         } else if node.children.contains(other) {
             Relation::Child
         } else {
-            Relation::Stranger
+            Relation::Unrelated
         }
     }
 }
@@ -78,7 +78,7 @@
 /// Sends in-flight sums to other nodes until the process ends.
 pub(crate) async fn report_in_flight(node: Node) {
     loop {
-        if tells_sends(node.state.borrow().nodes) || node.state.borrow().nodes < 2 {
+        if broadcasts_sends(node.state.borrow().nodes) || node.state.borrow().nodes < 2 {
             sleep(IDLE_INTERVAL).await;
             continue;
         }
@@ -91,9 +91,10 @@
     if node.holding.borrow().is_mine() {
         publish_hubs(node);
     }
-    let updates = node.sums.borrow_mut().next(node.now(), own_in_flight(node), &neighbors(node));
+    let updates =
+        node.sums.borrow_mut().next_updates(node.now(), own_in_flight(node), &neighbors(node));
     for update in updates {
-        node.sends.send_to(update.to.iter(), &Word::InFlight(update.scope, update.told));
+        node.sends.send_to(update.to.iter(), &Word::InFlight(update.scope, update.update));
     }
     update_engines(node);
 }
@@ -118,24 +119,29 @@
 }
 
 /// In-flight requests of this node.
-fn own_in_flight(node: &Node) -> IndexMap<EngineKey, Flight> {
+fn own_in_flight(node: &Node) -> IndexMap<EngineKey, InFlightLoad> {
     let state = node.state.borrow();
-    let in_use = state.engines.iter().filter(|e| e.own > 0);
-    in_use.map(|e| (e.key(), e.own_flight())).collect()
+    let in_use = state.engines.iter().filter(|e| e.own_requests > 0);
+    in_use.map(|e| (e.key(), e.own_in_flight())).collect()
 }
 
 /// Takes in a report. Only nodes that poll this one, its own hub, and hubs that the leader
 /// published are trusted.
-pub(super) fn apply_report(node: &Node, from: SocketAddr, scope: Scope, update: &Told) {
+pub(super) fn apply_report(
+    node: &Node,
+    from: SocketAddr,
+    scope: ReportScope,
+    update: &InFlightUpdate,
+) {
     let mut sums = node.sums.borrow_mut();
-    let engines = sums.take(from, relation(node, from), scope, update, node.now());
-    if !sums.are_fresh() {
+    let engines = sums.apply(from, relation(node, from), scope, update, node.now());
+    if !sums.is_fresh() {
         return;
     }
     let mut state = node.state.borrow_mut();
     for key in engines {
         if let Some(engine) = state.engines.by_key(key) {
-            engine.elsewhere = Some(sums.elsewhere(key));
+            engine.in_flight_elsewhere = Some(sums.in_flight_elsewhere(key));
         }
     }
 }
@@ -143,7 +149,8 @@
 fn update_engines(node: &Node) {
     let sums = node.sums.borrow();
     for engine in node.state.borrow_mut().engines.iter_mut() {
-        engine.elsewhere = sums.are_fresh().then(|| sums.elsewhere(engine.key()));
+        engine.in_flight_elsewhere =
+            sums.is_fresh().then(|| sums.in_flight_elsewhere(engine.key()));
     }
     node.turns.next.notify_waiters();
 }
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -1,65 +1,71 @@
 //! Takes in the engine list and the loaded models that other nodes send.
 
-use hgw_direct::{AtHand, Engines, ListNews, ListPart, Listed, Passed, Standing};
+use hgw_direct::{
+    CachedWeights, EngineInfo, EngineRecord, EngineState, Engines, ListUpdate, ListUpdateKind,
+};
 
 use crate::shared::{ListSource, Node};
 
 use super::message::EnginePlacement;
 
 /// Updates the engine list.
-pub(super) fn apply_list_update(node: &Node, update: ListNews) {
+pub(super) fn apply_list_update(node: &Node, update: ListUpdate) {
     let mut state = node.state.borrow_mut();
-    if update.part == ListPart::Unknown {
+    if update.kind == ListUpdateKind::Unknown {
         return;
     }
-    if update.part == ListPart::ReadAnew {
+    if update.kind == ListUpdateKind::RereadStore {
         state.list_version = None;
         node.must_read_list.set(true);
         return;
     }
-    let has_changed =
-        update.part == ListPart::Whole || !update.engines.is_empty() || !update.gone.is_empty();
+    let has_changed = update.kind == ListUpdateKind::Full
+        || !update.engines.is_empty()
+        || !update.removed.is_empty();
     let engines = &mut state.engines;
-    engines.copy_ends(update.copy_end);
-    let entries: Vec<Listed> =
+    engines.set_backup_end(update.backup_end);
+    let entries: Vec<EngineInfo> =
         update.engines.into_iter().map(|record| to_engine_info(engines, record)).collect();
-    if update.part == ListPart::Whole {
-        engines.replace(entries, update.place.cursor(), false);
+    if update.kind == ListUpdateKind::Full {
+        engines.apply_snapshot(entries, update.version.position(), false);
     } else {
         for entry in entries {
-            engines.list(entry);
+            engines.upsert(entry);
         }
-        for (gone, at) in &update.gone {
-            engines.unlist(gone, *at);
+        for (gone, at) in &update.removed {
+            engines.remove(gone, *at);
         }
     }
     drop(state);
     node.handle_restarts();
-    node.record_list_version(update.place, ListSource::Peer);
+    node.record_list_version(update.version, ListSource::Peer);
     if has_changed {
         node.update_available.notify_waiters();
     }
 }
 
-fn to_engine_info(engines: &Engines, record: Passed) -> Listed {
-    let known = engines.get(&record.engine).filter(|e| !e.listed.start.is_before(record.start));
+fn to_engine_info(engines: &Engines, record: EngineRecord) -> EngineInfo {
+    let known =
+        engines.get(&record.engine).filter(|e| !e.info.started_at.is_before(record.started_at));
     let engine_state = match (record.leaving, record.unreadable) {
-        (_, true) => Standing::Unreadable,
-        (true, false) => Standing::Leaving { gone_at: None },
-        (false, false) => Standing::Ready,
+        (_, true) => EngineState::Unreadable,
+        (true, false) => EngineState::Leaving { terminates_at: None },
+        (false, false) => EngineState::Ready,
     };
-    Listed {
+    EngineInfo {
         id: record.engine,
-        at: record.at,
-        start: record.start,
+        position: record.position,
+        started_at: record.started_at,
         service: record.service.into(),
         addr: record.addr,
         domain: record.domain,
         slots: record.slots,
-        standing: engine_state,
-        held: known.filter(|e| e.told_at.is_some()).map_or(record.held, |e| e.listed.held.clone()),
-        at_hand: AtHand::default(),
-        cold_ms: u64::from(record.cold),
+        state: engine_state,
+        loaded: known
+            .filter(|e| e.placement_reported_at.is_some())
+            .map_or(record.loaded, |e| e.info.loaded.clone()),
+        cached: CachedWeights::default(),
+        warmup_ms_left: u64::from(record.warming_up),
     }
 }
 
@@ -71,17 +77,19 @@
     let mut state = node.state.borrow_mut();
     let mut changes = node.placement_changes.borrow_mut();
     for placement in placements {
-        let Some(engine) = state.engines.meet(&placement.engine, placement.started_at) else {
+        let Some(engine) = state.engines.observe_start(&placement.engine, placement.started_at)
+        else {
             continue;
         };
-        if placement.accepted_orders >= engine.orders {
-            let is_known = engine.told_at.is_some() && engine.listed.held == placement.loaded;
-            if !is_known || engine.orders != placement.accepted_orders {
+        if placement.accepted_orders >= engine.accepted_orders {
+            let is_known =
+                engine.placement_reported_at.is_some() && engine.info.loaded == placement.loaded;
+            if !is_known || engine.accepted_orders != placement.accepted_orders {
                 changes.record(&placement.engine);
             }
-            engine.orders = placement.accepted_orders;
-            engine.listed.held = placement.loaded;
-            engine.told_at = Some(now);
+            engine.accepted_orders = placement.accepted_orders;
+            engine.info.loaded = placement.loaded;
+            engine.placement_reported_at = Some(now);
         }
     }
     changes.retain(|id| state.engines.get(id).is_some());
--- a/crates/gateway/src/peers/loads.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -20,20 +20,20 @@
     since: u64,
     models: Option<&[DemandCount]>,
 ) -> Vec<EngineLoad> {
-    if node.sums.borrow().are_fresh() {
+    if node.sums.borrow().is_fresh() {
         return Vec::new();
     }
     let now = node.now();
     let since = since.max(now.saturating_sub(MAX_LOAD_AGE_MS));
     let state = node.state.borrow();
-    let reported = state.engines.iter().filter_map(|e| Some((e, e.told?)));
+    let reported = state.engines.iter().filter_map(|e| Some((e, e.reported_load?)));
     let heard = reported.filter(|(_, (_, at, _))| *at > since);
     let has_model = |e: &Engine| {
-        models.is_none_or(|models| models.iter().any(|demand| e.holds_model(&demand.model)))
+        models.is_none_or(|models| models.iter().any(|demand| e.has_model(&demand.model)))
     };
     let heard = heard.filter(|(e, _)| has_model(e)).take(MAX_LOADS);
     let recent = heard.map(|(e, (load, at, _))| {
-        let (id, start) = (e.listed.id.clone(), e.listed.start);
+        let (id, start) = (e.info.id.clone(), e.info.started_at);
         EngineLoad(id, start, load.running, load.waiting, now.saturating_sub(at))
     });
     recent.collect()
@@ -43,9 +43,9 @@
     let now = node.now();
     let mut state = node.state.borrow_mut();
     for EngineLoad(engine, start, running, waiting, age_ms) in loads {
-        if let Some(engine) = state.engines.meet(engine, *start) {
-            let load = Load { running: *running, waiting: *waiting, slots: engine.listed.slots };
-            engine.hear(load, now.saturating_sub(*age_ms));
+        if let Some(engine) = state.engines.observe_start(engine, *start) {
+            let load = Load { running: *running, waiting: *waiting, slots: engine.info.slots };
+            engine.record_peer_load(load, now.saturating_sub(*age_ms));
         }
     }
     drop(state);
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,7 +1,10 @@
 use std::net::SocketAddr;
 
-use hgw_direct::heads::Member;
-use hgw_direct::{Cursor, EngineId, Era, Held, ListNews, ListPlace, Past, Start, Wanted};
+use hgw_direct::hubs::Member;
+use hgw_direct::{
+    Cursor, DemandSnapshot, EngineId, Era, ListUpdate, ListVersion, LoadedModel, ModelRef,
+    StartTime,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::holder::Keeper;
@@ -14,12 +17,12 @@
     pub(crate) engine: EngineId,
     /// Start of the engine that the entry refers to.
     #[serde(rename = "start")]
-    pub(crate) started_at: Start,
+    pub(crate) started_at: StartTime,
     /// Number of orders that the engine has accepted.
     #[serde(rename = "orders")]
     pub(crate) accepted_orders: u64,
     #[serde(rename = "held")]
-    pub(crate) loaded: Vec<Held>,
+    pub(crate) loaded: Vec<LoadedModel>,
 }
 
 /// Requests for a model or an adapter since the last exchange.
@@ -42,7 +45,7 @@
     pub(crate) placements_seen: ChangePosition,
     /// Position of the sender's engine list; the default without a list.
     #[serde(rename = "list")]
-    pub(crate) list_version: ListPlace,
+    pub(crate) list_version: ListVersion,
     /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
@@ -70,7 +73,7 @@
     /// Milliseconds since the first request; none without one.
     #[serde(rename = "for_ms")]
     pub(crate) counted_for_ms: Option<u64>,
-    pub(crate) models: Vec<Past>,
+    pub(crate) models: Vec<DemandSnapshot>,
 }
 
 /// Response of the leader or a hub to a poll.
@@ -84,7 +87,7 @@
     #[serde(rename = "engines")]
     pub(crate) placements: Vec<EnginePlacement>,
     #[serde(rename = "list")]
-    pub(crate) list_update: ListNews,
+    pub(crate) list_update: ListUpdate,
     /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
@@ -130,7 +133,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EngineLoad(
     pub(super) EngineId,
-    pub(super) Start,
+    pub(super) StartTime,
     pub(super) u32,
     pub(super) u32,
     pub(super) u64,
@@ -167,7 +170,7 @@
 }
 
 impl DemandCount {
-    pub(crate) fn into_parts(self) -> (Wanted, f64) {
-        (Wanted { model: self.model, adapter: self.adapter }, self.count)
+    pub(crate) fn into_parts(self) -> (ModelRef, f64) {
+        (ModelRef { model: self.model, adapter: self.adapter }, self.count)
     }
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hgw_direct::heads::PassedOver;
-use hgw_direct::{EngineId, Wanted};
+use hgw_direct::hubs::SkipReason;
+use hgw_direct::{EngineId, ModelRef};
 use hgw_http1::{Body, Request};
 use http::{Method, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -60,7 +60,7 @@
 /// Asks the leader to place a model or an adapter.
 pub(crate) async fn want(
     node: &Node,
-    wanted: &Wanted,
+    wanted: &ModelRef,
     stale_engine: Option<&EngineId>,
 ) -> Placement {
     let leader = node.holding.borrow().leader.clone();
@@ -113,7 +113,7 @@
 
 /// Makes this node poll another hub for a while.
 pub(crate) fn is_silent(node: &Node, hub: SocketAddr) {
-    node.heads.borrow_mut().pass_over(hub, PassedOver::Silent, node.now());
+    node.heads.borrow_mut().skip(hub, SkipReason::Unresponsive, node.now());
 }
 
 pub(crate) async fn call<T: Serialize, R: for<'a> Deserialize<'a>>(
@@ -233,7 +233,7 @@
     if !is_leader(node, request.fence) {
         return own(StatusCode::CONFLICT, "this node is not the leader");
     }
-    let wanted = Wanted { model: request.model, adapter: request.adapter };
+    let wanted = ModelRef { model: request.model, adapter: request.adapter };
     let placement =
         keeper::request_placement(node, &wanted, &request.domain, request.stale_engine.as_ref())
             .await;
--- a/crates/gateway/src/peers/poll.rs
+++ b/crates/gateway/src/peers/poll.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hgw_direct::heads::{Parent, PassedOver, crowd, digest};
-use hgw_direct::{Millis, Wanted};
+use hgw_direct::hubs::{Parent, SkipReason, digest, poll_interval_factor};
+use hgw_direct::{Millis, ModelRef};
 use hgw_events::{Event, emit};
 use indexmap::IndexMap;
 use tokio::time::sleep;
@@ -38,7 +38,9 @@
             continue;
         };
         let pause = match poller.poll_once(&node, parent, addr).await {
-            Some(children) => MIN_POLL_PAUSE * crowd(children, node.state.borrow().nodes),
+            Some(children) => {
+                MIN_POLL_PAUSE * poll_interval_factor(children, node.state.borrow().nodes)
+            }
             None => NO_LEADER_PAUSE,
         };
         sleep(pause).await;
@@ -63,7 +65,7 @@
         let fence = node.holding.borrow().leader.as_ref().map_or(0, |leader| leader.fence);
         let mut asked = take_unreported_demand(node);
         let reports_earlier_demand =
-            parent == Parent::Holder && self.demand_reported_to != Some(fence);
+            parent == Parent::Leader && self.demand_reported_to != Some(fence);
         let earlier_demand = reports_earlier_demand.then(|| earlier_demand(node));
         if reports_earlier_demand {
             // The earlier demand includes these counts.
@@ -80,7 +82,7 @@
                     // A node that no longer leads refuses at once, so its successor need not wait until
                     // its updates are too old.
                     node.leader_refuses
-                        .set(parent == Parent::Holder && error == CallError::Refused);
+                        .set(parent == Parent::Leader && error == CallError::Refused);
                     restore_unreported_demand(node, request.demand);
                     return None;
                 }
@@ -98,7 +100,7 @@
         let children = update.children;
         node.backoff.set_siblings(children);
         if update.data_age_ms > max_data_age(node) {
-            node.heads.borrow_mut().pass_over(addr, PassedOver::Stale, node.now());
+            node.heads.borrow_mut().skip(addr, SkipReason::Stale, node.now());
         }
         apply_update(node, now, update);
         Some(children)
@@ -136,10 +138,10 @@
 
     fn record_timeout(&mut self, node: &Node, parent: Parent, addr: SocketAddr) {
         self.links.entry(addr).or_default().record_timeout(node, addr);
-        if parent == Parent::Holder {
-            node.holding.borrow_mut().leader_liveness.is_silent();
+        if parent == Parent::Leader {
+            node.holding.borrow_mut().leader_liveness.mark_unresponsive();
         }
-        node.heads.borrow_mut().pass_over(addr, PassedOver::Silent, node.now());
+        node.heads.borrow_mut().skip(addr, SkipReason::Unresponsive, node.now());
     }
 }
 
@@ -157,9 +159,9 @@
         node.holding.borrow_mut().record_reported_leader(leader);
     }
     let last_renewal = update.last_renewal.map(|(end, age)| (end, received_at.saturating_sub(age)));
-    node.holding.borrow_mut().leader_liveness.answers(last_renewal);
+    node.holding.borrow_mut().leader_liveness.record_response(last_renewal);
     if let Some(hub_candidates) = update.hub_candidates {
-        node.heads.borrow_mut().know(hub_candidates);
+        node.heads.borrow_mut().set_candidates(hub_candidates);
     }
     apply_list_update(node, update.list_update);
     // Counted from the request, because the response may have been delayed on its way.
@@ -220,7 +222,7 @@
 fn take_unreported_demand(node: &Node) -> Vec<DemandCount> {
     let demand = std::mem::take(&mut node.state.borrow_mut().unreported_demand);
     let into_entry =
-        |(w, count): (Wanted, f64)| DemandCount { model: w.model, adapter: w.adapter, count };
+        |(w, count): (ModelRef, f64)| DemandCount { model: w.model, adapter: w.adapter, count };
     demand.into_iter().map(into_entry).collect()
 }
 
@@ -228,7 +230,7 @@
     let now = node.now();
     let demand = &node.state.borrow().demand;
     let counted_for_ms = demand.since().map(|since| now.saturating_sub(since));
-    EarlierDemand { counted_for_ms, models: demand.past(now) }
+    EarlierDemand { counted_for_ms, models: demand.snapshot(now) }
 }
 
 fn restore_unreported_demand(node: &Node, demand: Vec<DemandCount>) {
--- a/crates/gateway/src/peers/poll_response.rs
+++ b/crates/gateway/src/peers/poll_response.rs
@@ -1,7 +1,7 @@
 //! Answers polls: the leader those of all hubs, and a hub those of the nodes in its domain.
 
-use hgw_direct::heads::{Member, candidates, digest};
-use hgw_direct::tells_sends;
+use hgw_direct::broadcasts_sends;
+use hgw_direct::hubs::{Member, candidates, digest};
 use tokio::time::timeout;
 
 use crate::eras;
@@ -28,7 +28,8 @@
     let placements = changed.iter().filter_map(|id| keeper::placement_of(node, id)).collect();
     let (list_update, catalog, nodes) = {
         let state = node.state.borrow();
-        let list_update = state.list_changes.since(&state.engines, Some(request.list_version));
+        let list_update =
+            state.list_changes.changes_since(&state.engines, Some(request.list_version));
         (list_update, catalog_version(node), state.nodes)
     };
     PollResponse {
@@ -54,7 +55,7 @@
 
 fn is_up_to_date(node: &Node, request: &PollRequest) -> bool {
     let list_is_current =
-        node.state.borrow().list_changes.has_nothing_since(Some(request.list_version));
+        node.state.borrow().list_changes.is_up_to_date(Some(request.list_version));
     let placements_are_current =
         node.placement_changes.borrow().is_up_to_date(request.placements_seen);
     list_is_current && placements_are_current && catalog_version(node) <= request.catalog_version
@@ -76,7 +77,7 @@
 
 /// Addresses of the peers that exchange datagrams, if the sender knows others.
 fn peer_addrs(node: &Node, request: &PollRequest) -> Option<Vec<std::net::SocketAddr>> {
-    let exchanges = tells_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
+    let exchanges = broadcasts_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
     let should_send = exchanges && request.peers_digest != node.sends.digest();
     should_send.then(|| node.sends.addrs()).filter(|peer_addrs| peer_addrs.len() <= MAX_PEER_ADDRS)
 }
--- a/crates/gateway/src/peers/unreachable.rs
+++ b/crates/gateway/src/peers/unreachable.rs
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hgw_direct::flights::EngineKey;
-use hgw_direct::heads::Parent;
-use hgw_direct::sums::{Circle, Relation};
-use hgw_direct::{Millis, tells_sends};
+use hgw_direct::aggregation::{Neighbors, Relation};
+use hgw_direct::hubs::Parent;
+use hgw_direct::in_flight::EngineKey;
+use hgw_direct::{Millis, broadcasts_sends};
 use hgw_events::{Event, emit};
 use hgw_http1::Conn;
 use tokio::time::sleep;
@@ -33,11 +33,11 @@
 
 /// Reports to the hub that an engine refused a connection or stopped responding on all of them.
 pub(crate) fn lost(node: &Node, key: EngineKey) {
-    if tells_sends(node.state.borrow().nodes) {
+    if broadcasts_sends(node.state.borrow().nodes) {
         return;
     }
     match node.parent() {
-        Some((Parent::Head(hub), _)) => {
+        Some((Parent::Hub(hub), _)) => {
             node.sends.send_to([&hub].into_iter(), &Word::Unreachable(key));
         }
         _ => start_probe(node, key),
@@ -69,11 +69,11 @@
     match relation(node, from) {
         // A node behind this hub hears an engine that the hub believes unreachable.
         Relation::Child if !is_unreachable => announce(node, key, false),
-        Relation::Child | Relation::Stranger => {}
+        Relation::Child | Relation::Unrelated => {}
         relation => {
             if apply_report(node, key, is_unreachable) {
                 notify_children(node, &neighbors(node), key, is_unreachable);
-            } else if relation == Relation::Head {
+            } else if relation == Relation::Hub {
                 node.sends.send_to([&from].into_iter(), &hub_report(node, key, false));
             }
         }
@@ -106,7 +106,7 @@
 }
 
 fn engine_addr(node: &Node, key: EngineKey) -> Option<SocketAddr> {
-    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.addr)
+    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.info.addr)
 }
 
 /// Updates this node, the nodes behind it and the other hubs, unless this node has just
@@ -117,14 +117,14 @@
     }
     let neighbors = neighbors(node);
     notify_children(node, &neighbors, key, is_unreachable);
-    node.sends.send_to(neighbors.heads.iter(), &hub_report(node, key, is_unreachable));
+    node.sends.send_to(neighbors.hubs.iter(), &hub_report(node, key, is_unreachable));
 }
 
 fn engine_domain(node: &Node, key: EngineKey) -> Option<String> {
-    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.listed.domain.clone())
+    node.state.borrow_mut().engines.by_key(key).map(|engine| engine.info.domain.clone())
 }
 
-fn notify_children(node: &Node, neighbors: &Circle, key: EngineKey, is_unreachable: bool) {
+fn notify_children(node: &Node, neighbors: &Neighbors, key: EngineKey, is_unreachable: bool) {
     node.sends.send_to(neighbors.children.iter(), &hub_report(node, key, is_unreachable));
 }
 
@@ -143,18 +143,18 @@
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let Some(engine) = state.engines.by_key(key) else { return false };
-    if is_unreachable && now.saturating_sub(engine.heard) < RECENTLY_HEARD_MS {
+    if is_unreachable && now.saturating_sub(engine.last_heard) < RECENTLY_HEARD_MS {
         return false;
     }
-    let was_unreachable = engine.judge.is_dark(now);
+    let was_unreachable = engine.health.is_reported_unreachable(now);
     if is_unreachable {
-        engine.judge.told_dark(now + REPORT_VALID_FOR.as_millis() as Millis);
+        engine.health.report_unreachable(now + REPORT_VALID_FOR.as_millis() as Millis);
     } else {
-        engine.judge.told_back();
+        engine.health.report_reachable();
     }
     if was_unreachable != is_unreachable {
-        let health = engine.judge.opinion(now);
-        let (name, engine) = (&node.settings.borrow().node, engine.listed.id.clone());
+        let health = engine.health.health(now);
+        let (name, engine) = (&node.settings.borrow().node, engine.info.id.clone());
         emit(
             Event::EngineJudged,
             &[("node", name), ("upstream", &engine), ("opinion", &health), ("told", &true)],
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,11 +4,12 @@
 use std::time::Duration;
 
 use derive_more::Display;
-use hgw_direct::flights::EngineKey;
-use hgw_direct::heads::{Heads, Member, Parent, crowd};
-use hgw_direct::sums::Sums;
+use hgw_direct::aggregation::Aggregator;
+use hgw_direct::hubs::{Hubs, Member, Parent, poll_interval_factor};
+use hgw_direct::in_flight::EngineKey;
 use hgw_direct::{
-    BudgetLimits, Engine, EngineId, KnownEra, ListPlace, Millis, Verdict, is_cut_off, reads_on,
+    AttemptOutcome, Engine, EngineId, KnownEra, ListVersion, Millis, RetryBudgetLimits,
+    is_isolated, polls_store,
 };
 use hgw_events::{Event, emit};
 use hgw_http1::ConnectLimits;
@@ -52,7 +53,7 @@
     pub(crate) proofs: Proofs,
     pub(crate) quotas: Quotas,
     /// In-flight requests at engines, as reported by other nodes.
-    pub(crate) sums: RefCell<Sums>,
+    pub(crate) sums: RefCell<Aggregator>,
     /// Unreachable engines that this node probes until they are back.
     pub(crate) probed_engines: RefCell<IndexSet<EngineKey>>,
     /// Notified when another node reports an engine unreachable or reachable again.
@@ -62,7 +63,7 @@
     /// Engines whose loaded models changed, for the nodes that poll this one.
     pub(crate) placement_changes: RefCell<PlacementChanges>,
     /// Candidates for the hub of this node's failure domain, which forwards the leader's updates.
-    pub(crate) heads: RefCell<Heads>,
+    pub(crate) heads: RefCell<Hubs>,
     /// All nodes in the store; empty until this node has read them.
     pub(crate) members: RefCell<Vec<Member>>,
     /// Notified when there is an update for the nodes that poll this one.
@@ -202,14 +203,14 @@
         let own_addr = self.settings.borrow().peers;
         let parent = self.heads.borrow().parent(own_addr, leader_addr, self.now());
         match parent {
-            Parent::Head(addr) => Some((parent, addr)),
-            Parent::Holder => leader_addr.map(|addr| (parent, addr)),
+            Parent::Hub(addr) => Some((parent, addr)),
+            Parent::Leader => leader_addr.map(|addr| (parent, addr)),
         }
     }
 
     /// Whether this node polls the hub of its domain rather than the leader.
     pub(crate) fn has_head(&self) -> bool {
-        matches!(self.parent(), Some((Parent::Head(_), _)))
+        matches!(self.parent(), Some((Parent::Hub(_), _)))
     }
 
     /// Whether an update from the leader has ever arrived.
@@ -247,12 +248,12 @@
     /// leader.
     pub(crate) fn poll_interval_factor(&self) -> u32 {
         let nodes = self.state.borrow().nodes;
-        crowd(nodes, nodes)
+        poll_interval_factor(nodes, nodes)
     }
 
     /// Whether this node keeps reading the engine list from the store while no leader does.
     pub(crate) fn polls_store(&self) -> bool {
-        reads_on(&self.state.borrow().engines, self.poll_interval_factor(), self.draw)
+        polls_store(&self.state.borrow().engines, self.poll_interval_factor(), self.draw)
     }
 
     /// Whether callers should reconnect to another node.
@@ -266,7 +267,7 @@
         let store_silent_for = now.saturating_sub(self.store_responded_at.get());
         let cut_off = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
-            is_cut_off(store_silent_for, &state.engines, &settings.domain, now)
+            is_isolated(store_silent_for, &state.engines, &settings.domain, now)
         };
         if cut_off != self.cut_off.replace(cut_off) {
             let node = self.settings.borrow().node.clone();
@@ -277,7 +278,7 @@
     /// Closes connections to restarted engines and wakes the requests that wait for their
     /// responses.
     pub(crate) fn handle_restarts(&self) {
-        let restarted = self.state.borrow_mut().engines.take_anew();
+        let restarted = self.state.borrow_mut().engines.take_restarted();
         for addr in &restarted {
             self.pool.forget(*addr);
             let node = &self.settings.borrow().node;
@@ -289,14 +290,14 @@
     }
 
     /// Records that the engine list is known up to `place`.
-    pub(crate) fn record_list_version(&self, place: ListPlace, source: ListSource) {
+    pub(crate) fn record_list_version(&self, place: ListVersion, source: ListSource) {
         let changes = {
             let mut state = self.state.borrow_mut();
             let State { engines, list_changes: listing, list_version: list_at, listed, .. } =
                 &mut *state;
             *listed = true;
             *list_at = (*list_at).max(Some(place));
-            listing.look(engines, place.cursor())
+            listing.update(engines, place.position())
         };
         let node = &self.settings.borrow().node;
         for change in &changes {
@@ -307,15 +308,15 @@
                     ("upstream", &change.engine),
                     ("standing", change),
                     ("by", &source),
-                    ("place", &place.cursor()),
+                    ("place", &place.position()),
                 ],
             );
         }
     }
 
-    pub(crate) fn budget_limits(&self) -> BudgetLimits {
+    pub(crate) fn budget_limits(&self) -> RetryBudgetLimits {
         let settings = self.settings.borrow();
-        BudgetLimits {
+        RetryBudgetLimits {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
             window: settings.retry_window.as_millis() as Millis,
@@ -328,12 +329,12 @@
     }
 
     /// Records the outcome of a request at an engine.
-    pub(crate) fn saw(&self, engine: &EngineId, verdict: Verdict) {
+    pub(crate) fn saw(&self, engine: &EngineId, verdict: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.engines.get_mut(engine) else { return };
-        let Some(health) = known.judge.saw(now, verdict) else { return };
-        let failure_rate = format!("{:.2}", known.judge.failing(now));
+        let Some(health) = known.health.record(now, verdict) else { return };
+        let failure_rate = format!("{:.2}", known.health.failure_rate(now));
         let node = &self.settings.borrow().node;
         emit(
             Event::EngineJudged,
@@ -349,28 +350,28 @@
     /// Whether another node reported the engine unreachable.
     pub(crate) fn is_dark(&self, engine: &EngineId) -> bool {
         let now = self.now();
-        self.engine(engine, |e| e.judge.is_dark(now)).unwrap_or(false)
+        self.engine(engine, |e| e.health.is_reported_unreachable(now)).unwrap_or(false)
     }
 
     /// Records that a byte arrived from an engine.
     pub(crate) fn heard(&self, engine: &EngineId) {
         let now = self.now();
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
-            engine.heard = now;
+            engine.last_heard = now;
         }
     }
 
     /// Discards the time of the engine's last byte after a broken connection.
     pub(crate) fn broke(&self, engine: &EngineId) {
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
-            engine.heard = 0;
+            engine.last_heard = 0;
         }
     }
 
     /// Time since the last byte from an engine.
     pub(crate) fn silent_for(&self, engine: &EngineId) -> Duration {
         let state = self.state.borrow();
-        let heard = state.engines.get(engine).map_or(0, |e| e.heard);
+        let heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
         Duration::from_millis(self.now().saturating_sub(heard))
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,7 +1,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use hgw_direct::{Budget, Catalog, Demand, Engines, ListPlace, Listing, Millis, ServiceId, Wanted};
+use hgw_direct::{
+    Catalog, Demand, Engines, ListChanges, ListVersion, Millis, ModelRef, RetryBudget, ServiceId,
+};
 use indexmap::IndexMap;
 
 /// Bounds the memory used for names that callers make up while no leader collects them.
@@ -17,14 +19,14 @@
     pub(crate) listed: bool,
     pub(crate) engines: Engines,
     /// Position up to which the engine list is known.
-    pub(crate) list_version: Option<ListPlace>,
+    pub(crate) list_version: Option<ListVersion>,
     /// Changes in the engine list, for other nodes.
-    pub(crate) list_changes: Listing,
-    pub(crate) budgets: IndexMap<ServiceId, Budget>,
+    pub(crate) list_changes: ListChanges,
+    pub(crate) budgets: IndexMap<ServiceId, RetryBudget>,
     /// Demand seen by this node, which a new leader starts from.
     pub(crate) demand: Demand,
     /// Requests by model and adapter since the last report to the leader.
-    pub(crate) unreported_demand: IndexMap<Wanted, f64>,
+    pub(crate) unreported_demand: IndexMap<ModelRef, f64>,
     /// Fencing token of a leader, and the start times of its loads from the weight store.
     pub(crate) leader_loads: Option<(u64, Vec<Millis>)>,
     /// Number of nodes that share budgets and connections, this one included.
@@ -33,8 +35,8 @@
 
 impl State {
     /// Counts requests for a model or an adapter.
-    pub(crate) fn asked_for(&mut self, now: Millis, wanted: &Wanted, count: f64) {
-        self.demand.saw(now, wanted, count);
+    pub(crate) fn asked_for(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
+        self.demand.record(now, wanted, count);
         if self.unreported_demand.len() < MAX_UNREPORTED_NAMES {
             *self.unreported_demand.entry(wanted.clone()).or_default() += count;
         }
