--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/at_engine.rs
@@ -4,7 +4,7 @@
 use hgw_direct::{AttemptOutcome, EngineId, Load, SendId, StartTime};
 use hgw_http1::Conn;
 
-use crate::peers::Word;
+use crate::peers::Datagram;
 use crate::shared::Node;
 
 /// A request that counts as being at an engine, until this is dropped.
@@ -31,7 +31,7 @@
             }
         }
         if let Some(id) = unread {
-            node.sends.tell(node, &Word::Sent(engine.clone(), start, id, tokens));
+            node.peer_socket.broadcast(node, &Datagram::Sent(engine.clone(), start, id, tokens));
         }
         AtEngine { node: Rc::clone(node), engine: engine.clone(), start, unread }
     }
@@ -49,7 +49,7 @@
     /// Takes in what became of the request, unless the engine has started anew since.
     pub(crate) fn saw(&self, verdict: AttemptOutcome) {
         if !self.has_ended() {
-            self.node.saw(&self.engine, verdict);
+            self.node.record_outcome(&self.engine, verdict);
         }
     }
 
@@ -76,7 +76,10 @@
     pub(crate) fn answers(&mut self, load: Option<Load>) {
         let Some(id) = self.unread.take() else { return };
         let load = load.map(|load| (load.running, load.waiting));
-        self.node.sends.tell(&self.node, &Word::Answers(self.engine.clone(), self.start, id, load));
+        self.node.peer_socket.broadcast(
+            &self.node,
+            &Datagram::ResponseStarted(self.engine.clone(), self.start, id, load),
+        );
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let Some(engine) = state.engines.get_mut(&self.engine) else { return };
@@ -112,7 +115,9 @@
             }
         }
         if let Some(id) = unread {
-            self.node.sends.tell(&self.node, &Word::Ended(self.engine.clone(), self.start, id));
+            self.node
+                .peer_socket
+                .broadcast(&self.node, &Datagram::Ended(self.engine.clone(), self.start, id));
             self.node.turns.next.notify_waiters();
         }
     }
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -45,7 +45,7 @@
 /// that the store is back.
 pub(crate) async fn wait_to_retry(node: &Node) {
     let (failed_at, pause) = (node.now(), retry_pause(node));
-    let is_leader = node.holding.borrow().is_mine();
+    let is_leader = node.leadership.borrow().is_leader();
     let backoff = &node.backoff;
     let own_retry_at = failed_at + pause.as_millis() as Millis;
     backoff.next_retry_at.set(backoff.next_retry_at.get().max(own_retry_at));
--- a/crates/gateway/src/holder/lease_record.rs
+++ b/crates/gateway/src/election/lease_record.rs
@@ -45,6 +45,6 @@
     let lasted = eras::to_report(node).filter(|(era, _)| *era == at.era).map_or(0, |(_, ms)| ms);
     let era = (at.era > Era::FIRST).then_some((at.era, lasted));
     let settings = node.settings.borrow();
-    let entry = LeaseRecord { kind, node: settings.node.clone(), addr: settings.peers, era };
+    let entry = LeaseRecord { kind, node: settings.node.clone(), addr: settings.peer_addr, era };
     serde_json::to_vec(&entry).expect("a lease record is valid JSON").into()
 }
--- a/crates/gateway/src/holder/mod.rs
+++ b/crates/gateway/src/election/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use participant::take_part;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Keeper {
+pub(crate) struct LeaderInfo {
     pub(crate) node: String,
     pub(crate) addr: SocketAddr,
     pub(crate) fence: u64,
@@ -26,9 +26,9 @@
 
 /// What a node knows of the lease and the leader.
 #[derive(Debug, Default)]
-pub(crate) struct Holding {
+pub(crate) struct Leadership {
     /// Author of the newest claim, unless it was released.
-    pub(crate) leader: Option<Keeper>,
+    pub(crate) leader: Option<LeaderInfo>,
     /// Fencing token of the newest claim that this node knows.
     newest_fence: Option<u64>,
     /// Position of this node's own claim while it is the leader.
@@ -43,7 +43,7 @@
     attempted_at: Duration,
 }
 
-impl Holding {
+impl Leadership {
     /// Fencing token for orders to engines, if this node may send any now.
     ///
     /// After a suspend the node must try to renew before it acts. Once its lease has expired, a
@@ -60,7 +60,7 @@
 
     /// Fencing token for actions that only one node may take at a time; none once the lease has
     /// expired. A successor waits for a full lease.
-    pub(crate) fn sure(&self, lease: Duration) -> Option<u64> {
+    pub(crate) fn exclusive_fence(&self, lease: Duration) -> Option<u64> {
         let has_lease = boot_time().saturating_sub(self.renewed_at) < lease;
         self.own_claim.filter(|_| has_lease).and_then(Cursor::fencing_token)
     }
@@ -68,13 +68,13 @@
     /// End of the log after the last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
         let age = boot_time().saturating_sub(self.renewed_at).as_millis() as u64;
-        self.renewal_end.filter(|_| self.is_mine()).map(|end| (end, age))
+        self.renewal_end.filter(|_| self.is_leader()).map(|end| (end, age))
     }
 
     /// Takes in a leader that another node reported.
-    pub(crate) fn record_reported_leader(&mut self, leader: Keeper) {
+    pub(crate) fn record_reported_leader(&mut self, leader: LeaderInfo) {
         let is_newer = self.newest_fence.is_none_or(|newest| newest < leader.fence);
-        if is_newer && !self.is_mine() {
+        if is_newer && !self.is_leader() {
             self.newest_fence = Some(leader.fence);
             self.leader = Some(leader);
         }
@@ -99,20 +99,20 @@
         self.own_claim = None;
     }
 
-    pub(crate) fn is_mine(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.own_claim.is_some()
     }
 }
 
 /// Releases the lease in a planned shutdown.
 pub(crate) async fn release(node: Node) {
-    if !node.holding.borrow().is_mine() {
+    if !node.leadership.borrow().is_leader() {
         return;
     }
     let Ok(log) = node.dialects.store.claims(None, Duration::ZERO).await else { return };
     let last = log.records.iter().rev().find_map(parse);
     let own_name = node.settings.borrow().node.clone();
-    node.holding.borrow_mut().step_down();
+    node.leadership.borrow_mut().step_down();
     if last.is_some_and(|entry| entry.node == own_name) {
         // If this fails, the successor waits until the lease expires.
         let released = serialize(&node, RecordKind::Release, log.end);
--- a/crates/gateway/src/holder/participant.rs
+++ b/crates/gateway/src/election/participant.rs
@@ -13,11 +13,11 @@
 use crate::dialect::{ClaimNews, Cursor, Malformed, Record, StoreError};
 use crate::eras;
 use crate::follow::StoreLink;
-use crate::keeper;
+use crate::leader;
 use crate::quotas;
 use crate::shared::Node;
 
-use super::Keeper;
+use super::LeaderInfo;
 use super::lease_record::{LeaseRecord, RecordKind, parse, serialize};
 
 /// Renewals per lease: two may fail before it expires.
@@ -56,7 +56,7 @@
 
 /// Claims, renews and follows the lease until the process ends.
 pub(crate) async fn take_part(node: Node) {
-    let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
+    let processor = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
     let base_delay =
         CLAIM_DELAY.div_f64(processor).min(MAX_CLAIM_DELAY).mul_f64(0.5 + random::<f64>() / 2.0);
     let lease_free_from = Duration::ZERO;
@@ -69,7 +69,7 @@
     };
     let mut link = StoreLink::new(&node, "claim");
     loop {
-        let result = if node.holding.borrow().is_mine() {
+        let result = if node.leadership.borrow().is_leader() {
             participant.renew().await
         } else {
             participant.follow().await
@@ -80,7 +80,7 @@
             }
             Err(e) => {
                 link.record_failure(&e);
-                if node.holding.borrow().is_mine() {
+                if node.leadership.borrow().is_leader() {
                     sleep(RETRY_PAUSE).await;
                 } else {
                     wait_to_retry(&node).await;
@@ -95,16 +95,16 @@
         let node = Rc::clone(&self.node);
         let lease = node.settings.borrow().lease;
         let Some(end) = self.log_end else { return self.read_log(Duration::ZERO).await };
-        if node.holding.borrow().own_claim.is_some_and(|mine| mine.era < end.era) {
+        if node.leadership.borrow().own_claim.is_some_and(|mine| mine.era < end.era) {
             return self.reclaim(end).await;
         }
         let sent_at = boot_time();
-        node.holding.borrow_mut().record_attempt(sent_at, lease);
+        node.leadership.borrow_mut().record_attempt(sent_at, lease);
         let renewal = serialize(&node, RecordKind::Renewal, end);
         match node.dialects.store.claim(end, renewal).await {
             Ok(()) => {
                 self.log_end = Some(end.plus(1));
-                node.holding.borrow_mut().record_renewal(sent_at, end.plus(1));
+                node.leadership.borrow_mut().record_renewal(sent_at, end.plus(1));
                 sleep(lease / RENEWALS_PER_LEASE).await;
                 Ok(())
             }
@@ -119,7 +119,7 @@
                 if no_response && self.read_log(Duration::ZERO).await.is_ok() {
                     return Ok(());
                 }
-                node.holding.borrow_mut().attempted_at = boot_time();
+                node.leadership.borrow_mut().attempted_at = boot_time();
                 Err(e)
             }
         }
@@ -147,19 +147,19 @@
             self.quiet_since = None;
             return Err(e);
         }
-        if self.node.is_stopping() || self.node.holding.borrow().is_mine() {
+        if self.node.is_stopping() || self.node.leadership.borrow().is_leader() {
             sleep(RETRY_PAUSE).await;
             return Ok(());
         }
         let now = self.node.now();
-        let since = |end| self.node.holding.borrow().leader_liveness.unrenewed_since(end, now);
+        let since = |end| self.node.leadership.borrow().leader_liveness.unrenewed_since(end, now);
         let unrenewed_since = self.log_end.map_or(now, since);
         let quiet_since = self.quiet_since.unwrap_or(now).min(unrenewed_since);
         self.quiet_since = Some(quiet_since);
         let quiet_ms = now - quiet_since;
         let is_free = self.is_lease_free(&own_name) && quiet_ms >= delay.as_millis() as Millis;
         let expired = quiet_ms >= (lease + delay).as_millis() as Millis;
-        let has_list = self.node.state.borrow().listed;
+        let has_list = self.node.state.borrow().has_engine_list;
         if has_list && (is_free || expired) { self.claim().await } else { Ok(()) }
     }
 
@@ -185,7 +185,7 @@
 
     /// Whether nobody has the lease, or an earlier process of this node does.
     fn is_lease_free(&self, own_name: &str) -> bool {
-        let leadership = self.node.holding.borrow();
+        let leadership = self.node.leadership.borrow();
         let is_free = leadership.leader.as_ref().is_none_or(|leader| leader.node == own_name);
         is_free && boot_time() >= self.lease_free_from
     }
@@ -193,7 +193,7 @@
     async fn claim(&mut self) -> Result<(), StoreError> {
         let Some(end) = self.log_end else { return Ok(()) };
         if let Some((fence, predecessor)) = self.append_claim(end).await? {
-            keeper::start(&self.node, fence, predecessor);
+            leader::start(&self.node, fence, predecessor);
         }
         Ok(())
     }
@@ -206,16 +206,16 @@
     async fn reclaim(&mut self, end: Cursor) -> Result<(), StoreError> {
         let node = Rc::clone(&self.node);
         let lease = node.settings.borrow().lease;
-        let Some(old_fence) = node.holding.borrow().sure(lease) else {
+        let Some(old_fence) = node.leadership.borrow().exclusive_fence(lease) else {
             let name = node.settings.borrow().node.clone();
-            let lost_claim = node.holding.borrow_mut().own_claim.take();
+            let lost_claim = node.leadership.borrow_mut().own_claim.take();
             if let Some(fence) = lost_claim.and_then(Cursor::fencing_token) {
                 emit(Event::KeeperLost, &[("node", &name), ("term", &fence)]);
             }
             return Ok(());
         };
         if let Some((fence, _)) = self.append_claim(end).await? {
-            keeper::continue_under(&node, fence);
+            leader::continue_under(&node, fence);
             quotas::go_on(&node, old_fence, fence);
         }
         Ok(())
@@ -257,11 +257,11 @@
         let node = &self.node;
         let (name, addr) = {
             let settings = node.settings.borrow();
-            (settings.node.clone(), settings.peers)
+            (settings.node.clone(), settings.peer_addr)
         };
         emit(Event::KeeperGained, &[("node", &name), ("term", &fence)]);
-        let mut leadership = node.holding.borrow_mut();
-        leadership.leader = Some(Keeper { node: name, addr, fence });
+        let mut leadership = node.leadership.borrow_mut();
+        leadership.leader = Some(LeaderInfo { node: name, addr, fence });
         leadership.own_claim = Some(claim_position);
         leadership.record_renewal(sent_at, claim_position.plus(1));
         leadership.newest_fence.replace(fence)
@@ -307,7 +307,7 @@
         eras::record_reported(&self.node, lease_record.era);
         self.lease_free_from = Duration::ZERO;
         let own_name = self.node.settings.borrow().node.clone();
-        let mut leadership = self.node.holding.borrow_mut();
+        let mut leadership = self.node.leadership.borrow_mut();
         let lost_claim = leadership.own_claim.filter(|mine| {
             lease_record.node != own_name
                 || (lease_record.kind == RecordKind::Claim && record.at != *mine)
@@ -330,8 +330,10 @@
             leadership.newest_fence = Some(fence);
         }
         leadership.leader = match kind {
-            RecordKind::Claim => Some(Keeper { node, addr, fence }),
-            RecordKind::Renewal => Some(Keeper { node, addr, fence: known_fence.unwrap_or(fence) }),
+            RecordKind::Claim => Some(LeaderInfo { node, addr, fence }),
+            RecordKind::Renewal => {
+                Some(LeaderInfo { node, addr, fence: known_fence.unwrap_or(fence) })
+            }
             RecordKind::Release => None,
         };
     }
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -39,14 +39,14 @@
     let is_new = known.observe(era, lasted, boot_time());
     node.era.set(known);
     // A node that has just started always sees a new era, which is not worth logging.
-    if is_new && node.state.borrow().listed {
+    if is_new && node.state.borrow().has_engine_list {
         let name = &node.settings.borrow().node;
         emit(Event::StoreCameBack, &[("node", name), ("era", &era), ("by", &source)]);
     }
 }
 
 /// Boot time at which lost writes are assumed to be written again; zero in the first era.
-pub(crate) fn written_again_at(node: &Shared) -> Duration {
+pub(crate) fn recovered_at(node: &Shared) -> Duration {
     let known = node.era.get();
     let is_first = known.era() == Era::FIRST;
     if is_first { Duration::ZERO } else { known.since() + RECOVERY_TIME }
@@ -54,5 +54,5 @@
 
 /// Whether data that a restore lost may still be missing.
 pub(crate) fn is_recovering(node: &Shared) -> bool {
-    boot_time() < written_again_at(node)
+    boot_time() < recovered_at(node)
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -12,7 +12,7 @@
 use crate::clock::boot_time;
 use crate::dialect::{Cursor, EngineChange, EngineEntry, EngineNews, StoreError};
 use crate::eras;
-use crate::keeper;
+use crate::leader;
 use crate::meter;
 use crate::peers;
 use crate::proof;
@@ -54,16 +54,16 @@
 /// Without the wait, hundreds of nodes that start together would all read everything from the
 /// store. Larger machines wait less, so one of them becomes the leader.
 pub(crate) async fn wait_for_first_update(node: &Node) {
-    let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
+    let processor = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
     let max_wait_alone =
         START_WAIT_WITHOUT_LEADER.div_f64(processor).min(MAX_START_WAIT_WITHOUT_LEADER).as_millis()
             as u64;
     loop {
         let now = node.now();
         let has_other_leader = {
-            let leadership = node.holding.borrow();
-            let own_addr = node.settings.borrow().peers;
-            !leadership.is_mine()
+            let leadership = node.leadership.borrow();
+            let own_addr = node.settings.borrow().peer_addr;
+            !leadership.is_leader()
                 && leadership.leader.as_ref().is_some_and(|leader| leader.addr != own_addr)
         };
         let max_wait =
@@ -204,7 +204,7 @@
     state.catalog = Some(Arc::new(catalog));
     state.catalog_text = text;
     drop(state);
-    keeper::catalog_changed(node);
+    leader::catalog_changed(node);
     Some(Adopted { version, is_newer: true })
 }
 
@@ -260,7 +260,7 @@
 
 fn list_read_pause(node: &Node) -> Duration {
     let pause = node.settings.borrow().list_read_interval();
-    if node.holding.borrow().is_mine() {
+    if node.leadership.borrow().is_leader() {
         pause / LEADER_READ_FACTOR
     } else if node.polls_store() {
         pause
@@ -318,8 +318,8 @@
     drop(state);
     node.handle_restarts();
     node.record_list_version(ListVersion::at_position(news.cursor), ListSource::Store);
-    keeper::notify_list_change(node);
-    node.placed.notify_waiters();
+    leader::notify_list_change(node);
+    node.placement_changed.notify_waiters();
 }
 
 /// Keeps the loaded models that the leader reported instead of those in a heartbeat, which may have
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -34,15 +34,15 @@
                 continue;
             }
         };
-        let open = node.stop.connections.get();
+        let open = node.shutdown.connections.get();
         // Beyond the descriptors that engines' connections need, the balancer's other nodes take it.
-        if open >= node.settings.borrow().connections || listen::prepare(&stream).is_err() {
+        if open >= node.settings.borrow().max_connections || listen::prepare(&stream).is_err() {
             continue;
         }
-        node.stop.connections.set(open + 1);
+        node.shutdown.connections.set(open + 1);
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
-            let stop = &node.stop;
+            let stop = &node.shutdown;
             connection(&node, stream).await;
             stop.connections.set(stop.connections.get() - 1);
         });
@@ -71,13 +71,13 @@
             // Its end, also by a fault of the caller's, needs nothing more.
             _ = conn.as_mut() => return,
             () = tokio::time::sleep(IDLE_CHECK) => {}
-            () = node.stop.changed.notified() => {}
+            () = node.shutdown.changed.notified() => {}
         }
         let idle = node.now().saturating_sub(usage.since.get());
         let longest = node.state.borrow().catalog.as_ref().map(|c| c.limits.idle_timeout);
         let longest = longest.unwrap_or(Duration::from_secs(60)).as_millis() as Millis;
         let unused = usage.requests.get() == 0 && idle > longest;
-        if !told && (unused || node.stop.closing.get()) {
+        if !told && (unused || node.shutdown.closing.get()) {
             told = true;
             conn.as_mut().graceful_shutdown();
         }
@@ -98,7 +98,7 @@
     usage.requests.set(usage.requests.get() + 1);
     let counted = Counted(usage, Rc::clone(&node));
     let mut answer = relay::answer(&node, req).await;
-    if node.sends_away() {
+    if node.should_close_connections() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     drop(counted);
--- a/crates/gateway/src/keeper/adapters.rs
+++ b/crates/gateway/src/leader/adapters.rs
@@ -47,7 +47,7 @@
     }
     // The demand report of its node arrives later, and the adapter must not be evicted until then.
     let now = node.now();
-    node.keeper.borrow_mut().demand.mark_requested(now, wanted);
+    node.leader_state.borrow_mut().demand.mark_requested(now, wanted);
     let model = ModelRef { model: wanted.model.clone(), adapter: None };
     if wanted.adapter.is_none() || !is_loaded(node, &model) {
         return Placement::Coming(models::expected_load_ms(node, &wanted.model));
@@ -67,13 +67,13 @@
     };
     known.remove_loaded(wanted);
     drop(state);
-    node.keeper.borrow_mut().surveyed.shift_remove(engine);
+    node.leader_state.borrow_mut().surveyed.shift_remove(engine);
     placement_changed(node, engine);
 }
 
 /// Starts to place an adapter unless that is in progress. The result is notified at the end.
 fn start_placement(node: &Node, wanted: &ModelRef, domain: &str) -> Rc<Notify> {
-    let mut leader = node.keeper.borrow_mut();
+    let mut leader = node.leader_state.borrow_mut();
     if let Some(in_progress) = leader.placing.get(wanted) {
         return Rc::clone(in_progress);
     }
@@ -82,7 +82,7 @@
     let (node, wanted, domain) = (Rc::clone(node), wanted.clone(), domain.to_owned());
     tokio::task::spawn_local(async move {
         place_adapter_now(&node, &wanted, &domain).await;
-        let done = node.keeper.borrow_mut().placing.shift_remove(&wanted);
+        let done = node.leader_state.borrow_mut().placing.shift_remove(&wanted);
         if let Some(done) = done {
             done.notify_waiters();
         }
@@ -93,7 +93,7 @@
 /// Places an adapter in demand that no engine has loaded, ahead of the next request for it.
 pub(super) fn place_missing_adapter(node: &Node, service: &ServiceId) {
     let wanted = {
-        let leader = node.keeper.borrow();
+        let leader = node.leader_state.borrow();
         if leader.placing.len() >= MAX_PLACEMENTS {
             return;
         }
@@ -135,7 +135,7 @@
     let now = node.now();
     for (service, pool) in model_pools(node) {
         let state = node.state.borrow();
-        let leader = node.keeper.borrow();
+        let leader = node.leader_state.borrow();
         let engines: Vec<&Engine> = state
             .engines
             .of_service(&service)
@@ -167,14 +167,14 @@
             && !e.has_loaded(wanted)
             && e.adapter_slots_used() - freed < max_slots
     });
-    let leader = node.keeper.borrow();
+    let leader = node.leader_state.borrow();
     let is_surveyed =
         leader.surveyed.contains_key(engine) && !leader.pending_loads.contains_key(engine);
     is_surveyed && fits.unwrap_or(false)
 }
 
 fn log_plan(node: &Node, engine: &EngineId, wanted: &ModelRef, instead_of: Option<&ModelRef>) {
-    let rate = format!("{:.1}", node.keeper.borrow().demand.rate(node.now(), wanted));
+    let rate = format!("{:.1}", node.leader_state.borrow().demand.rate(node.now(), wanted));
     let evict = instead_of.map(ModelRef::to_string).unwrap_or_default();
     emit(
         Event::AdapterPlanned,
@@ -195,9 +195,9 @@
             e.remove_loaded(&evicted);
         }
         placement_changed(node, engine);
-        node.keeper.borrow_mut().draining.insert(engine.clone());
+        node.leader_state.borrow_mut().draining.insert(engine.clone());
         let unloaded = order_until_done(node, engine, OrderKind::Unload, &evicted).await;
-        node.keeper.borrow_mut().draining.shift_remove(engine);
+        node.leader_state.borrow_mut().draining.shift_remove(engine);
         if !unloaded {
             return;
         }
@@ -252,6 +252,6 @@
             OrderResult::Superseded | OrderResult::Refused => break,
         }
     }
-    node.keeper.borrow_mut().surveyed.shift_remove(engine);
+    node.leader_state.borrow_mut().surveyed.shift_remove(engine);
     false
 }
--- a/crates/gateway/src/keeper/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -48,7 +48,7 @@
 
 /// State of the leader.
 #[derive(Debug, Default)]
-pub(crate) struct KeeperState {
+pub(crate) struct LeaderState {
     /// Fencing token of the claim that this state belongs to.
     fence: u64,
     /// Time of the claim.
@@ -91,7 +91,7 @@
 pub(crate) fn start(node: &Node, fence: u64, predecessor: Option<u64>) {
     let now = node.now();
     let load_starts = loads_started_under(node, predecessor);
-    let mut leader = KeeperState { fence, started_at: now, ..KeeperState::default() };
+    let mut leader = LeaderState { fence, started_at: now, ..LeaderState::default() };
     {
         let mut state = node.state.borrow_mut();
         // The demand below includes these counts.
@@ -106,13 +106,13 @@
             }
         }
     }
-    *node.keeper.borrow_mut() = leader;
+    *node.leader_state.borrow_mut() = leader;
     tokio::task::spawn_local(plan_until_replaced(Rc::clone(node), fence));
 }
 
 /// Continues under a new claim of the same leader, with no other leader in between.
 pub(crate) fn continue_under(node: &Node, fence: u64) {
-    node.keeper.borrow_mut().fence = fence;
+    node.leader_state.borrow_mut().fence = fence;
     tokio::task::spawn_local(plan_until_replaced(Rc::clone(node), fence));
     // Nodes send the old token, and are refused, until they receive the new one.
     node.update_available.notify_waiters();
@@ -122,7 +122,7 @@
 /// them.
 fn loads_started_under(node: &Node, claim: Option<u64>) -> Option<Vec<Millis>> {
     let claim = claim?;
-    let leader = node.keeper.borrow();
+    let leader = node.leader_state.borrow();
     if leader.fence == claim && leader.started_at > 0 {
         let now = node.now();
         return Some(leader.load_limiter.load_ages(now).iter().map(|age| now - age).collect());
@@ -134,12 +134,12 @@
 /// Counts a load from the weight store. Nodes are notified at once, because one of them may be the
 /// next leader.
 fn record_load(node: &Node) {
-    node.keeper.borrow_mut().load_limiter.record_load(node.now());
+    node.leader_state.borrow_mut().load_limiter.record_load(node.now());
     node.update_available.notify_waiters();
 }
 
 async fn plan_until_replaced(node: Node, fence: u64) {
-    while node.keeper.borrow().fence == fence && node.holding.borrow().is_mine() {
+    while node.leader_state.borrow().fence == fence && node.leadership.borrow().is_leader() {
         let started = node.now();
         survey(&node);
         notify_list_change(&node);
@@ -158,7 +158,7 @@
     let state = node.state.borrow();
     let engines = state.engines.iter().filter(|e| services.contains(&e.info.service));
     let ids: Vec<EngineId> = engines.map(|e| e.info.id.clone()).collect();
-    let mut leader = node.keeper.borrow_mut();
+    let mut leader = node.leader_state.borrow_mut();
     leader.surveyed.retain(|id, start| {
         let engine = state.engines.get(id).filter(|_| ids.contains(id));
         engine.is_some_and(|e| !start.is_before(e.info.started_at))
@@ -180,12 +180,12 @@
 
 /// Polls an engine until it has no order of an earlier leader in progress.
 async fn survey_engine(node: &Node, id: &EngineId) {
-    let fence = node.keeper.borrow().fence;
+    let fence = node.leader_state.borrow().fence;
     if !started_after_claim(node, id) {
         sleep(MAX_REPORT_AGE).await;
     }
-    let permits = Rc::clone(&node.keeper.borrow().survey_permits);
-    while node.keeper.borrow().fence == fence
+    let permits = Rc::clone(&node.leader_state.borrow().survey_permits);
+    while node.leader_state.borrow().fence == fence
         && let Some(start) = node.engine(id, |e| e.info.started_at)
     {
         let report = {
@@ -195,13 +195,13 @@
             order::fetch_report(node, id).await
         };
         if report == Some(order::Idle(true)) {
-            let mut leader = node.keeper.borrow_mut();
+            let mut leader = node.leader_state.borrow_mut();
             leader.surveyed.insert(id.clone(), start);
             break;
         }
         sleep(BUSY_RETRY_PAUSE).await;
     }
-    node.keeper.borrow_mut().surveying.shift_remove(id);
+    node.leader_state.borrow_mut().surveying.shift_remove(id);
 }
 
 /// Whether an engine started so long after the claim that no earlier leader can have sent it an
@@ -209,7 +209,7 @@
 fn started_after_claim(node: &Node, id: &EngineId) -> bool {
     let lease = node.settings.borrow().lease.as_millis() as Millis;
     let Some(start) = node.engine(id, |e| e.info.started_at) else { return false };
-    let mut leader = node.keeper.borrow_mut();
+    let mut leader = node.leader_state.borrow_mut();
     let leads_for = node.now().saturating_sub(leader.started_at);
     let seen_before = leader.seen.insert(id.clone(), start);
     leads_for > SOLE_LEADER_AFTER_LEASES * lease && seen_before != Some(start)
@@ -229,7 +229,7 @@
 }
 
 fn order_lock(node: &Node, engine: &EngineId) -> Rc<Mutex<()>> {
-    let mut leader = node.keeper.borrow_mut();
+    let mut leader = node.leader_state.borrow_mut();
     Rc::clone(leader.order_locks.entry(engine.clone()).or_default())
 }
 
@@ -241,7 +241,7 @@
 /// Adds the demand that a node reported.
 pub(crate) fn add_demand(node: &Node, counts: &[DemandCount]) {
     let now = node.now();
-    let mut leader = node.keeper.borrow_mut();
+    let mut leader = node.leader_state.borrow_mut();
     for entry in counts {
         let (wanted, count) = entry.clone().into_parts();
         leader.demand.record(now, &wanted, count);
@@ -251,11 +251,11 @@
 /// Adds the demand that a node saw before it knew this leader.
 pub(crate) fn add_earlier_demand(node: &Node, from: SocketAddr, earlier: &EarlierDemand) {
     let now = node.now();
-    if !node.keeper.borrow_mut().demand_reporters.insert(from) {
+    if !node.leader_state.borrow_mut().demand_reporters.insert(from) {
         return;
     }
     let since = earlier.counted_for_ms.map(|for_ms| now.saturating_sub(for_ms));
-    node.keeper.borrow_mut().demand.merge(now, since, &earlier.models);
+    node.leader_state.borrow_mut().demand.merge(now, since, &earlier.models);
 }
 
 /// Notifies waiting nodes if the engine list has changed.
@@ -263,7 +263,7 @@
     let Some(list_version) = node.state.borrow().list_version else { return };
     node.record_list_version(list_version, ListSource::Known);
     let changed_at = node.state.borrow().list_changes.changed_at();
-    let mut leader = node.keeper.borrow_mut();
+    let mut leader = node.leader_state.borrow_mut();
     if leader.notified_list_version < changed_at {
         leader.notified_list_version = changed_at;
         node.update_available.notify_waiters();
@@ -272,7 +272,7 @@
 
 /// Ages in milliseconds of the loads from the weight store that this leader started.
 pub(crate) fn load_ages(node: &Node) -> Vec<u64> {
-    node.keeper.borrow().load_limiter.load_ages(node.now())
+    node.leader_state.borrow().load_limiter.load_ages(node.now())
 }
 
 /// Contents of the engines that have `wanted` loaded.
@@ -301,5 +301,5 @@
     }
     node.placement_changes.borrow_mut().record(engine);
     node.update_available.notify_waiters();
-    node.placed.notify_waiters();
+    node.placement_changed.notify_waiters();
 }
--- a/crates/gateway/src/keeper/models.rs
+++ b/crates/gateway/src/leader/models.rs
@@ -48,7 +48,7 @@
     // to send the order the model would stay loaded and get no requests.
     while may_send_orders(node) {
         let now = node.now();
-        let mut leader = node.keeper.borrow_mut();
+        let mut leader = node.leader_state.borrow_mut();
         if count_evicting(&leader.pending_loads, &leader.loading) >= MAX_EVICTING_ENGINES {
             return;
         }
@@ -81,7 +81,7 @@
         tokio::task::spawn_local(async move {
             let engine = step.engine.clone();
             execute(&node, &pool, step).await;
-            let mut leader = node.keeper.borrow_mut();
+            let mut leader = node.leader_state.borrow_mut();
             leader.pending_loads.shift_remove(&engine);
             leader.loading.shift_remove(&engine);
         });
@@ -121,7 +121,7 @@
     }
     if source == WeightSource::Store {
         while !node
-            .keeper
+            .leader_state
             .borrow_mut()
             .load_limiter
             .allows(node.now(), &load_rate_limits(node, pool))
@@ -131,7 +131,7 @@
         record_load(node);
     }
     let usual_time = pool.models.get(&load).map_or(Duration::from_secs(5), |m| source.load_time(m));
-    node.keeper
+    node.leader_state
         .borrow_mut()
         .loading
         .insert(engine.clone(), node.now() + usual_time.as_millis() as u64);
@@ -144,7 +144,7 @@
     let usual_time =
         model_pools(node).iter().find_map(|(_, p)| p.models.get(model).map(|m| m.store_load_time));
     let usual_time = usual_time.unwrap_or(Duration::from_secs(5)).as_millis() as u64;
-    let leader = node.keeper.borrow();
+    let leader = node.leader_state.borrow();
     let loading = leader.pending_loads.iter().filter(|(_, m)| *m == model);
     let done_at = loading.filter_map(|(engine, _)| leader.loading.get(engine)).min();
     match done_at {
@@ -205,7 +205,7 @@
         }
     }
     // The outcome is unknown, so the engine has to be surveyed again.
-    node.keeper.borrow_mut().surveyed.shift_remove(engine);
+    node.leader_state.borrow_mut().surveyed.shift_remove(engine);
     false
 }
 
@@ -218,7 +218,7 @@
 async fn sleep_unless_restarted(node: &Node, engine: &EngineId, start: StartTime, pause: Duration) {
     let deadline = Instant::now() + pause;
     while Instant::now() < deadline {
-        let restarted = node.started_anew.notified();
+        let restarted = node.engine_restarted.notified();
         if !has_not_restarted(node, engine, start) || timeout_at(deadline, restarted).await.is_err()
         {
             return;
--- a/crates/gateway/src/keeper/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -41,7 +41,7 @@
 
 fn fence(node: &Node) -> Option<u64> {
     let settings = node.settings.borrow();
-    node.holding.borrow().fence(settings.lease, settings.engines_fence)
+    node.leadership.borrow().fence(settings.lease, settings.engines_check_fence)
 }
 
 /// Sends an order. Its precondition is the number of orders that the engine has accepted.
@@ -112,7 +112,7 @@
     meter::order(kind_name, outcome);
     if result == OrderResult::Superseded {
         emit(Event::KeeperLost, &[("node", &own_name), ("term", &fence)]);
-        node.holding.borrow_mut().step_down();
+        node.leadership.borrow_mut().step_down();
     }
     result
 }
@@ -200,7 +200,7 @@
     };
     match timeout(RESPONSE_TIMEOUT, response).await {
         Ok(Some((status, body))) => {
-            node.heard(engine);
+            node.mark_heard(engine);
             node.pool.put(addr, conn);
             CallResult::Responded(status, body)
         }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -42,7 +42,7 @@
             announced = register(&node).await;
             (counts_done, counted_at) = (0, None);
         }
-        let is_leader = node.holding.borrow().is_mine();
+        let is_leader = node.leadership.borrow().is_leader();
         if is_leader && !was_leader {
             (counts_done, counted_at) = (0, None);
         }
@@ -52,7 +52,8 @@
         let due =
             counted_at.is_none_or(|counted_at| node.now().saturating_sub(counted_at) >= pause);
         // Only the leader counts. While there is no leader, the last count remains in use.
-        let should_count = is_leader || node.members.borrow().is_empty() && !node.was_followed();
+        let should_count =
+            is_leader || node.members.borrow().is_empty() && !node.has_leader_updates();
         if announced && due && should_count {
             counted_at = Some(node.now());
             match count_nodes(&node).await {
@@ -69,9 +70,9 @@
         let settings = node.settings.borrow();
         Member {
             node: settings.node.clone(),
-            addr: settings.peers,
+            addr: settings.peer_addr,
             domain: settings.domain.clone(),
-            cpu_share: settings.processor,
+            cpu_share: settings.cpu_share,
         }
     };
     let entry = serde_json::to_vec(&member).expect("a member is valid JSON");
@@ -86,7 +87,7 @@
     let members: Vec<Member> = members.collect();
     node.state.borrow_mut().nodes = count.max(1);
     if broadcasts_sends(count) {
-        node.sends.set_peers(members.iter().map(|m| m.addr).collect());
+        node.peer_socket.set_peers(members.iter().map(|m| m.addr).collect());
     }
     let own = candidates(&members, &node.settings.borrow().domain);
     node.heads.borrow_mut().set_candidates(own);
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -117,13 +117,13 @@
     gauge!("hgw_engines", "state" => "silent").set(silent);
     gauge!("hgw_config_version").set(state.catalog.as_ref().map_or(0.0, |c| c.version as f64));
     gauge!("hgw_nodes").set(f64::from(state.nodes));
-    gauge!("hgw_list_age_seconds").set(node.word_age() as f64 / 1000.0);
+    gauge!("hgw_list_age_seconds").set(node.store_data_age() as f64 / 1000.0);
     if let Some(age) = proof::age(node) {
         gauge!("hgw_proof_age_seconds").set(age.as_secs_f64());
     }
     gauge!("hgw_store_era").set(node.era.get().era().number());
-    gauge!("hgw_keeper").set(f64::from(u8::from(node.holding.borrow().is_mine())));
+    gauge!("hgw_keeper").set(f64::from(u8::from(node.leadership.borrow().is_leader())));
     gauge!("hgw_ready").set(f64::from(u8::from(node.is_ready())));
-    gauge!("hgw_requests_open").set(f64::from(node.stop.active.get()));
-    gauge!("hgw_connections_open").set(node.stop.connections.get() as f64);
+    gauge!("hgw_requests_open").set(f64::from(node.shutdown.active_requests.get()));
+    gauge!("hgw_connections_open").set(node.shutdown.connections.get() as f64);
 }
--- a/crates/gateway/src/peers/children.rs
+++ b/crates/gateway/src/peers/children.rs
@@ -30,7 +30,7 @@
     }
 
     /// Number of nodes with a request within the last `age` milliseconds.
-    pub(crate) fn heard_within(&self, age: Millis, now: Millis) -> u32 {
+    pub(crate) fn count_within(&self, age: Millis, now: Millis) -> u32 {
         let last_polls = self.0.borrow();
         let recent = last_polls.values().filter(|at| now.saturating_sub(**at) < age);
         u32::try_from(recent.count()).unwrap_or(u32::MAX)
--- a/crates/gateway/src/peers/datagrams.rs
+++ b/crates/gateway/src/peers/datagrams.rs
@@ -24,12 +24,13 @@
 /// Without these, several nodes choose the same idle engine at the same time, and the prompts queue
 /// there. A lost datagram makes an engine look idle, or busy for at most two seconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Word {
+pub(crate) enum Datagram {
     /// A request with a prompt of this many tokens was sent.
     Sent(EngineId, StartTime, SendId, u32),
     /// The response begins, with the number of running and waiting requests if the engine reported
     /// them.
-    Answers(EngineId, StartTime, SendId, Option<(u32, u32)>),
+    #[serde(rename = "Answers")]
+    ResponseStarted(EngineId, StartTime, SendId, Option<(u32, u32)>),
     /// The request ended without a response.
     Ended(EngineId, StartTime, SendId),
     /// In-flight requests of a node, a domain or all nodes.
@@ -48,12 +49,12 @@
 
 /// UDP socket and addresses of the other nodes.
 #[derive(Debug, Default)]
-pub(crate) struct Sends {
+pub(crate) struct PeerSocket {
     socket: RefCell<Option<Rc<UdpSocket>>>,
     peers: RefCell<Vec<SocketAddr>>,
 }
 
-impl Sends {
+impl PeerSocket {
     /// Replaces the known addresses.
     pub(crate) fn set_peers(&self, peers: Vec<SocketAddr>) {
         *self.peers.borrow_mut() = peers;
@@ -89,16 +90,20 @@
     }
 
     /// Sends to all other nodes, unless there are too many to broadcast each request.
-    pub(crate) fn tell(&self, node: &Node, datagram: &Word) {
+    pub(crate) fn broadcast(&self, node: &Node, datagram: &Datagram) {
         let nodes = node.state.borrow().nodes;
-        let own_addr = node.settings.borrow().peers;
+        let own_addr = node.settings.borrow().peer_addr;
         if broadcasts_sends(nodes) {
             let peers = self.peers.borrow();
             self.send_to(peers.iter().filter(|other| **other != own_addr), datagram);
         }
     }
 
-    pub(super) fn send_to<'a>(&self, peers: impl Iterator<Item = &'a SocketAddr>, datagram: &Word) {
+    pub(super) fn send_to<'a>(
+        &self,
+        peers: impl Iterator<Item = &'a SocketAddr>,
+        datagram: &Datagram,
+    ) {
         let socket = self.socket.borrow();
         let Some(socket) = socket.as_ref() else { return };
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
@@ -114,18 +119,20 @@
 
 /// Receives datagrams until the process ends.
 pub(crate) async fn receive(node: Node, socket: Rc<UdpSocket>) {
-    *node.sends.socket.borrow_mut() = Some(Rc::clone(&socket));
+    *node.peer_socket.socket.borrow_mut() = Some(Rc::clone(&socket));
     let mut buf = [0; MAX_DATAGRAM_BYTES];
     loop {
         // An ICMP error of a stopped node is returned here; the socket remains usable.
         let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
         match ciborium::from_reader(&buf[..length]) {
-            Ok(Word::InFlight(scope, told)) => in_flight::apply_report(&node, from, scope, &told),
-            Ok(Word::Unreachable(key)) => unreachable::handle_unreachable(&node, from, key),
-            Ok(Word::UnreachableFrom(key, domain)) => {
+            Ok(Datagram::InFlight(scope, told)) => {
+                in_flight::apply_report(&node, from, scope, &told)
+            }
+            Ok(Datagram::Unreachable(key)) => unreachable::handle_unreachable(&node, from, key),
+            Ok(Datagram::UnreachableFrom(key, domain)) => {
                 unreachable::handle_hub_report(&node, from, key, &domain, true)
             }
-            Ok(Word::ReachableFrom(key, domain)) => {
+            Ok(Datagram::ReachableFrom(key, domain)) => {
                 unreachable::handle_hub_report(&node, from, key, &domain, false)
             }
             Ok(datagram) => apply_request_event(&node, datagram),
@@ -134,28 +141,28 @@
     }
 }
 
-fn apply_request_event(node: &Node, datagram: Word) {
+fn apply_request_event(node: &Node, datagram: Datagram) {
     let now = node.now();
-    let ends_prefill = !matches!(datagram, Word::Sent(..));
+    let ends_prefill = !matches!(datagram, Datagram::Sent(..));
     let mut state = node.state.borrow_mut();
     let engines = &mut state.engines;
     match datagram {
-        Word::Sent(engine, start, id, tokens) => {
+        Datagram::Sent(engine, start, id, tokens) => {
             let Some(engine) = engines.observe_start(&engine, start) else { return };
             engine.prefill_backlog.add_from_peer(id, tokens, now);
         }
-        Word::Answers(engine, start, id, load) => {
+        Datagram::ResponseStarted(engine, start, id, load) => {
             let Some(engine) = engines.observe_start(&engine, start) else { return };
             engine.prefill_backlog.finish(id, now);
             if let Some((running, waiting)) = load {
                 engine.record_peer_load(Load { running, waiting, slots: engine.info.slots }, now);
             }
         }
-        Word::InFlight(..)
-        | Word::Unreachable(_)
-        | Word::UnreachableFrom(..)
-        | Word::ReachableFrom(..) => {}
-        Word::Ended(engine, start, id) => {
+        Datagram::InFlight(..)
+        | Datagram::Unreachable(_)
+        | Datagram::UnreachableFrom(..)
+        | Datagram::ReachableFrom(..) => {}
+        Datagram::Ended(engine, start, id) => {
             let Some(engine) = engines.observe_start(&engine, start) else { return };
             engine.prefill_backlog.finish(id, now);
         }
--- a/crates/gateway/src/peers/in_flight.rs
+++ b/crates/gateway/src/peers/in_flight.rs
@@ -16,7 +16,7 @@
 
 use crate::shared::Node;
 
-use super::datagrams::Word;
+use super::datagrams::Datagram;
 
 /// Interval between reports. A request is known to all nodes after three reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(40);
@@ -31,9 +31,9 @@
 
 /// Nodes that this one exchanges sums with.
 pub(super) fn neighbors(node: &Node) -> Neighbors {
-    let (own_addr, topology) = (node.settings.borrow().peers, Topology::of(node));
+    let (own_addr, topology) = (node.settings.borrow().peer_addr, Topology::of(node));
     let is = |relation| move |addr: &SocketAddr| topology.relation(node, *addr) == relation;
-    let peers = node.sends.addrs().into_iter().filter(|addr| *addr != own_addr);
+    let peers = node.peer_socket.addrs().into_iter().filter(|addr| *addr != own_addr);
     let hubs = peers.filter(is(Relation::OtherHub)).collect();
     let children = node.children.addrs().into_iter().filter(is(Relation::Child)).collect();
     Neighbors { hub: topology.hub, hubs, children }
@@ -53,15 +53,16 @@
             Some((Parent::Hub(addr), _)) => Some(addr),
             _ => None,
         };
-        let own_addr = node.settings.borrow().peers;
-        let exchanges_with_hubs = hub.is_none() && node.sends.count_without(own_addr) <= MAX_HUBS;
+        let own_addr = node.settings.borrow().peer_addr;
+        let exchanges_with_hubs =
+            hub.is_none() && node.peer_socket.count_without(own_addr) <= MAX_HUBS;
         Topology { hub, exchanges_with_hubs }
     }
 
     fn relation(self, node: &Node, other: SocketAddr) -> Relation {
         if self.hub == Some(other) {
             Relation::Hub
-        } else if self.exchanges_with_hubs && node.sends.contains(other) {
+        } else if self.exchanges_with_hubs && node.peer_socket.contains(other) {
             Relation::OtherHub
         } else if node.children.contains(other) {
             Relation::Child
@@ -88,13 +89,14 @@
 }
 
 fn send_reports(node: &Node) {
-    if node.holding.borrow().is_mine() {
+    if node.leadership.borrow().is_leader() {
         publish_hubs(node);
     }
     let updates =
         node.sums.borrow_mut().next_updates(node.now(), own_in_flight(node), &neighbors(node));
     for update in updates {
-        node.sends.send_to(update.to.iter(), &Word::InFlight(update.scope, update.update));
+        node.peer_socket
+            .send_to(update.to.iter(), &Datagram::InFlight(update.scope, update.update));
     }
     update_engines(node);
 }
@@ -113,9 +115,9 @@
     });
     drop(by_domain);
     drop(members);
-    hubs.push(node.settings.borrow().peers);
+    hubs.push(node.settings.borrow().peer_addr);
     hubs.sort_unstable();
-    node.sends.set_peers(hubs);
+    node.peer_socket.set_peers(hubs);
 }
 
 /// In-flight requests of this node.
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -95,6 +95,6 @@
     changes.retain(|id| state.engines.get(id).is_some());
     drop((state, changes));
     node.handle_restarts();
-    node.placed.notify_waiters();
+    node.placement_changed.notify_waiters();
     node.update_available.notify_waiters();
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::holder::Keeper;
+use crate::election::LeaderInfo;
 
 use super::placements::ChangePosition;
 
@@ -81,7 +81,7 @@
 pub(crate) struct PollResponse {
     /// Newest leader known to the responding node.
     #[serde(rename = "keeper")]
-    pub(crate) leader: Option<Keeper>,
+    pub(crate) leader: Option<LeaderInfo>,
     #[serde(rename = "heard")]
     pub(crate) placements_seen: ChangePosition,
     #[serde(rename = "engines")]
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -27,12 +27,12 @@
 use crate::answer::{Answer, AnswerBody, Answered, own};
 use crate::eras;
 use crate::follow;
-use crate::keeper;
+use crate::leader;
 use crate::quotas;
 use crate::shared::Node;
 
 pub(crate) use children::Children;
-pub(crate) use datagrams::{Sends, Word, receive};
+pub(crate) use datagrams::{Datagram, PeerSocket, receive};
 pub(crate) use in_flight::report_in_flight;
 use list::apply_placements;
 use loads::apply_loads;
@@ -41,7 +41,7 @@
 use message::{PlacementResponse, PollRequest};
 pub(crate) use placements::PlacementChanges;
 pub(crate) use poll::poll;
-pub(crate) use unreachable::lost;
+pub(crate) use unreachable::report_unreachable;
 
 /// Maximum time that a poll waits for an update.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(400);
@@ -58,15 +58,15 @@
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Asks the leader to place a model or an adapter.
-pub(crate) async fn want(
+pub(crate) async fn request_placement(
     node: &Node,
     wanted: &ModelRef,
     stale_engine: Option<&EngineId>,
 ) -> Placement {
-    let leader = node.holding.borrow().leader.clone();
+    let leader = node.leadership.borrow().leader.clone();
     let domain = node.settings.borrow().domain.clone();
-    if node.holding.borrow().is_mine() {
-        return keeper::request_placement(node, wanted, &domain, stale_engine).await;
+    if node.leadership.borrow().is_leader() {
+        return leader::request_placement(node, wanted, &domain, stale_engine).await;
     }
     let Some(leader) = leader else { return Placement::Unknown };
     let request = PlacementRequest {
@@ -112,7 +112,7 @@
 }
 
 /// Makes this node poll another hub for a while.
-pub(crate) fn is_silent(node: &Node, hub: SocketAddr) {
+pub(crate) fn mark_unresponsive(node: &Node, hub: SocketAddr) {
     node.heads.borrow_mut().skip(hub, SkipReason::Unresponsive, node.now());
 }
 
@@ -195,7 +195,7 @@
         return own(StatusCode::BAD_REQUEST, "the body is not a poll request");
     };
     eras::record_reported(node, request.era);
-    let is_leader = node.holding.borrow().is_mine();
+    let is_leader = node.leadership.borrow().is_leader();
     // Two nodes that poll each other would each take the other's old data for new.
     let polls_sender = node.parent().is_some_and(|(_, addr)| addr == request.from);
     if !is_leader && (node.is_stopping() || polls_sender) {
@@ -205,9 +205,9 @@
     fetch_newer_catalog(node, request.from, request.catalog_version);
     if is_leader {
         if let Some(past) = &request.earlier_demand {
-            keeper::add_earlier_demand(node, request.from, past);
+            leader::add_earlier_demand(node, request.from, past);
         }
-        keeper::add_demand(node, &request.demand);
+        leader::add_demand(node, &request.demand);
         add_peer(node, request.from);
     } else {
         forward_demand(node, &request.demand);
@@ -222,7 +222,7 @@
     let mut state = node.state.borrow_mut();
     for entry in demand {
         let (wanted, count) = entry.clone().into_parts();
-        state.asked_for(now, &wanted, count);
+        state.record_demand(now, &wanted, count);
     }
 }
 
@@ -235,24 +235,24 @@
     }
     let wanted = ModelRef { model: request.model, adapter: request.adapter };
     let placement =
-        keeper::request_placement(node, &wanted, &request.domain, request.stale_engine.as_ref())
+        leader::request_placement(node, &wanted, &request.domain, request.stale_engine.as_ref())
             .await;
     json_response(&PlacementResponse {
         placement,
-        placements: keeper::placements_of(node, &wanted),
+        placements: leader::placements_of(node, &wanted),
     })
 }
 
 /// A new node counts at once, because the next count in the store takes seconds.
 fn add_peer(node: &Node, peer: SocketAddr) {
-    let known = u32::try_from(node.sends.add_peer(peer)).unwrap_or(u32::MAX);
+    let known = u32::try_from(node.peer_socket.add_peer(peer)).unwrap_or(u32::MAX);
     let mut state = node.state.borrow_mut();
     state.nodes = state.nodes.max(known);
 }
 
 fn is_leader(node: &Node, fence: u64) -> bool {
-    let leadership = node.holding.borrow();
-    leadership.is_mine() && leadership.leader.as_ref().is_some_and(|leader| leader.fence == fence)
+    let leadership = node.leadership.borrow();
+    leadership.is_leader() && leadership.leader.as_ref().is_some_and(|leader| leader.fence == fence)
 }
 
 fn json_response<T: Serialize>(message: &T) -> Answer {
--- a/crates/gateway/src/peers/poll.rs
+++ b/crates/gateway/src/peers/poll.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::boot_time;
 use crate::eras;
-use crate::keeper;
+use crate::leader;
 use crate::proof;
 use crate::shared::Node;
 
@@ -28,8 +28,8 @@
 pub(crate) async fn poll(node: Node) {
     let mut poller = Poller::default();
     loop {
-        if node.holding.borrow().is_mine() {
-            keeper::add_demand(&node, &take_unreported_demand(&node));
+        if node.leadership.borrow().is_leader() {
+            leader::add_demand(&node, &take_unreported_demand(&node));
             sleep(MAX_POLL_WAIT).await;
             continue;
         }
@@ -62,7 +62,7 @@
     /// Polls once. Returns the number of nodes that poll the same node, or none if it did not
     /// respond.
     async fn poll_once(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
-        let fence = node.holding.borrow().leader.as_ref().map_or(0, |leader| leader.fence);
+        let fence = node.leadership.borrow().leader.as_ref().map_or(0, |leader| leader.fence);
         let mut asked = take_unreported_demand(node);
         let reports_earlier_demand =
             parent == Parent::Leader && self.demand_reported_to != Some(fence);
@@ -122,7 +122,7 @@
         };
         let settings = node.settings.borrow();
         PollRequest {
-            from: settings.peers,
+            from: settings.peer_addr,
             domain: settings.domain.clone(),
             placements_seen: self.placements_seen,
             list_version: list,
@@ -131,7 +131,7 @@
             loads: loads_since(node, self.loads_reported_at, None),
             demand,
             earlier_demand,
-            peers_digest: node.sends.digest(),
+            peers_digest: node.peer_socket.digest(),
             hubs_digest: digest(node.heads.borrow().candidates()),
         }
     }
@@ -139,7 +139,7 @@
     fn record_timeout(&mut self, node: &Node, parent: Parent, addr: SocketAddr) {
         self.links.entry(addr).or_default().record_timeout(node, addr);
         if parent == Parent::Leader {
-            node.holding.borrow_mut().leader_liveness.mark_unresponsive();
+            node.leadership.borrow_mut().leader_liveness.mark_unresponsive();
         }
         node.heads.borrow_mut().skip(addr, SkipReason::Unresponsive, node.now());
     }
@@ -156,10 +156,10 @@
     let received_at = node.now();
     eras::record_reported(node, update.era);
     if let Some(leader) = update.leader {
-        node.holding.borrow_mut().record_reported_leader(leader);
+        node.leadership.borrow_mut().record_reported_leader(leader);
     }
     let last_renewal = update.last_renewal.map(|(end, age)| (end, received_at.saturating_sub(age)));
-    node.holding.borrow_mut().leader_liveness.record_response(last_renewal);
+    node.leadership.borrow_mut().leader_liveness.record_response(last_renewal);
     if let Some(hub_candidates) = update.hub_candidates {
         node.heads.borrow_mut().set_candidates(hub_candidates);
     }
@@ -168,7 +168,7 @@
     node.record_leader_update((polled_at + update.waited_ms).saturating_sub(update.data_age_ms));
     apply_placements(node, update.placements);
     apply_loads(node, &update.loads);
-    let fence = node.holding.borrow().leader.as_ref().map(|leader| leader.fence);
+    let fence = node.leadership.borrow().leader.as_ref().map(|leader| leader.fence);
     if let Some(fence) = fence {
         let load_starts = update.load_ages_ms.iter().map(|age| received_at.saturating_sub(*age));
         node.state.borrow_mut().leader_loads = Some((fence, load_starts.collect()));
@@ -176,7 +176,7 @@
     node.record_reported_catalog(update.catalog_version);
     node.state.borrow_mut().nodes = update.nodes.max(1);
     if let Some(peer_addrs) = update.peer_addrs {
-        node.sends.set_peers(peer_addrs);
+        node.peer_socket.set_peers(peer_addrs);
     }
 }
 
@@ -208,7 +208,7 @@
 
 /// Name of the node at `addr`, or the address if the name is unknown.
 fn peer_name(node: &Node, addr: SocketAddr) -> String {
-    let leadership = node.holding.borrow();
+    let leadership = node.leadership.borrow();
     let leader = leadership
         .leader
         .as_ref()
--- a/crates/gateway/src/peers/poll_response.rs
+++ b/crates/gateway/src/peers/poll_response.rs
@@ -5,7 +5,7 @@
 use tokio::time::timeout;
 
 use crate::eras;
-use crate::keeper;
+use crate::leader;
 use crate::proof;
 use crate::shared::Node;
 
@@ -25,7 +25,7 @@
     }
     let (placements_seen, changed) =
         node.placement_changes.borrow().changes_since(request.placements_seen);
-    let placements = changed.iter().filter_map(|id| keeper::placement_of(node, id)).collect();
+    let placements = changed.iter().filter_map(|id| leader::placement_of(node, id)).collect();
     let (list_update, catalog, nodes) = {
         let state = node.state.borrow();
         let list_update =
@@ -33,13 +33,13 @@
         (list_update, catalog_version(node), state.nodes)
     };
     PollResponse {
-        leader: node.holding.borrow().leader.clone(),
+        leader: node.leadership.borrow().leader.clone(),
         placements_seen,
         placements,
         list_update,
         era: eras::to_report(node),
         catalog_version: catalog,
-        data_age_ms: node.word_age(),
+        data_age_ms: node.store_data_age(),
         waited_ms: node.now().saturating_sub(started_at),
         nodes,
         peer_addrs: peer_addrs(node, request),
@@ -67,8 +67,8 @@
 
 /// Ages of the loads from the weight store, as started here or reported by the leader.
 fn load_ages(node: &Node) -> Vec<u64> {
-    if node.holding.borrow().is_mine() {
-        return keeper::load_ages(node);
+    if node.leadership.borrow().is_leader() {
+        return leader::load_ages(node);
     }
     let (now, state) = (node.now(), node.state.borrow());
     let load_starts = state.leader_loads.iter().flat_map(|(_, load_starts)| load_starts);
@@ -77,9 +77,12 @@
 
 /// Addresses of the peers that exchange datagrams, if the sender knows others.
 fn peer_addrs(node: &Node, request: &PollRequest) -> Option<Vec<std::net::SocketAddr>> {
-    let exchanges = broadcasts_sends(node.state.borrow().nodes) || node.holding.borrow().is_mine();
-    let should_send = exchanges && request.peers_digest != node.sends.digest();
-    should_send.then(|| node.sends.addrs()).filter(|peer_addrs| peer_addrs.len() <= MAX_PEER_ADDRS)
+    let exchanges =
+        broadcasts_sends(node.state.borrow().nodes) || node.leadership.borrow().is_leader();
+    let should_send = exchanges && request.peers_digest != node.peer_socket.digest();
+    should_send
+        .then(|| node.peer_socket.addrs())
+        .filter(|peer_addrs| peer_addrs.len() <= MAX_PEER_ADDRS)
 }
 
 /// Hub candidates of the sender's domain, if the sender knows others.
--- a/crates/gateway/src/peers/unreachable.rs
+++ b/crates/gateway/src/peers/unreachable.rs
@@ -17,7 +17,7 @@
 
 use crate::shared::Node;
 
-use super::datagrams::Word;
+use super::datagrams::Datagram;
 use super::in_flight::{neighbors, relation};
 
 /// Time for which a node believes a report. The hub repeats it while the engine stays unreachable,
@@ -32,13 +32,13 @@
 const RECENTLY_HEARD_MS: Millis = 400;
 
 /// Reports to the hub that an engine refused a connection or stopped responding on all of them.
-pub(crate) fn lost(node: &Node, key: EngineKey) {
+pub(crate) fn report_unreachable(node: &Node, key: EngineKey) {
     if broadcasts_sends(node.state.borrow().nodes) {
         return;
     }
     match node.parent() {
         Some((Parent::Hub(hub), _)) => {
-            node.sends.send_to([&hub].into_iter(), &Word::Unreachable(key));
+            node.peer_socket.send_to([&hub].into_iter(), &Datagram::Unreachable(key));
         }
         _ => start_probe(node, key),
     }
@@ -74,7 +74,7 @@
             if apply_report(node, key, is_unreachable) {
                 notify_children(node, &neighbors(node), key, is_unreachable);
             } else if relation == Relation::Hub {
-                node.sends.send_to([&from].into_iter(), &hub_report(node, key, false));
+                node.peer_socket.send_to([&from].into_iter(), &hub_report(node, key, false));
             }
         }
     }
@@ -117,7 +117,7 @@
     }
     let neighbors = neighbors(node);
     notify_children(node, &neighbors, key, is_unreachable);
-    node.sends.send_to(neighbors.hubs.iter(), &hub_report(node, key, is_unreachable));
+    node.peer_socket.send_to(neighbors.hubs.iter(), &hub_report(node, key, is_unreachable));
 }
 
 fn engine_domain(node: &Node, key: EngineKey) -> Option<String> {
@@ -125,15 +125,15 @@
 }
 
 fn notify_children(node: &Node, neighbors: &Neighbors, key: EngineKey, is_unreachable: bool) {
-    node.sends.send_to(neighbors.children.iter(), &hub_report(node, key, is_unreachable));
+    node.peer_socket.send_to(neighbors.children.iter(), &hub_report(node, key, is_unreachable));
 }
 
-fn hub_report(node: &Node, key: EngineKey, is_unreachable: bool) -> Word {
+fn hub_report(node: &Node, key: EngineKey, is_unreachable: bool) -> Datagram {
     let domain = node.settings.borrow().domain.clone();
     if is_unreachable {
-        Word::UnreachableFrom(key, domain)
+        Datagram::UnreachableFrom(key, domain)
     } else {
-        Word::ReachableFrom(key, domain)
+        Datagram::ReachableFrom(key, domain)
     }
 }
 
@@ -161,6 +161,6 @@
         );
     }
     drop(state);
-    node.dark.notify_waiters();
+    node.reachability_changed.notify_waiters();
     true
 }
--- a/crates/gateway/src/proof.rs
+++ b/crates/gateway/src/proof.rs
@@ -40,7 +40,7 @@
 pub(crate) fn read(node: &Shared, seen: VersionCheck) {
     let known = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
     let lacks = node.era.get().era() > Era::FIRST && seen.newest < known;
-    if !lacks && seen.asked_at >= eras::written_again_at(node) {
+    if !lacks && seen.asked_at >= eras::recovered_at(node) {
         learn(node, seen);
     }
 }
@@ -77,7 +77,7 @@
 
 /// Whether this node asks the store itself, as nobody tells it of younger questions.
 pub(crate) fn is_due(node: &Shared, behind_a_head: bool) -> bool {
-    let turn = TURNS * f64::from(node.draw) / f64::from(u32::MAX);
+    let turn = TURNS * f64::from(node.jitter) / f64::from(u32::MAX);
     !is_younger(node, if behind_a_head { ASKS_FROM_BEHIND + turn } else { ASKS_FROM })
 }
 
--- a/crates/gateway/src/quotas/fill.rs
+++ b/crates/gateway/src/quotas/fill.rs
@@ -89,7 +89,7 @@
 async fn fill(node: &Node, wants: Vec<(CustomerId, AllowanceRequest)>) {
     match source(node) {
         Source::Itself => {
-            let me = node.settings.borrow().peers;
+            let me = node.settings.borrow().peer_addr;
             let asked = now();
             let rows = wants.iter().map(|(c, want)| (c.clone(), *want, 0.0)).collect();
             let given = issue(node, &Ask { from: me, of_issuer: true, nodes: 0, rows });
@@ -144,7 +144,7 @@
             quotas.unanswered.set(quotas.unanswered.get() + 1);
             if quotas.unanswered.get() >= HEAD_SILENT {
                 quotas.unanswered.set(0);
-                peers::is_silent(node, addr);
+                peers::mark_unresponsive(node, addr);
             }
         }
     }
@@ -178,8 +178,8 @@
         rows.entry(used.customer.clone()).or_default().1 += used.amount;
     }
     let rows = rows.into_iter().map(|(customer, (want, used))| (customer, want, used)).collect();
-    let from = node.settings.borrow().peers;
-    let nodes = 1 + node.children.heard_within(HEARD_WITHIN, node.now());
+    let from = node.settings.borrow().peer_addr;
+    let nodes = 1 + node.children.count_within(HEARD_WITHIN, node.now());
     let asked = now();
     let given =
         peers::call(node, addr, "/quota", &Ask { from, of_issuer, nodes, rows }, patience).await?;
@@ -206,14 +206,14 @@
 /// Uses this domain's own share, where the issuer has been silent for a while.
 fn go_on_alone(node: &Node, wants: &[(CustomerId, AllowanceRequest)]) {
     let now = now();
-    let counted = !node.members.borrow().is_empty() || node.was_followed();
+    let counted = !node.members.borrow().is_empty() || node.has_leader_updates();
     let lately = now.saturating_sub(node.quotas.answered.get()) < ALONE_AFTER;
     if !counted || lately && !node.quotas.is_alone.get() {
         return;
     }
     is_alone(node, true);
     let nodes = node.state.borrow().nodes.max(1);
-    let with_it = 1 + node.children.heard_within(HEARD_WITHIN, node.now());
+    let with_it = 1 + node.children.count_within(HEARD_WITHIN, node.now());
     let share = (f64::from(with_it) / f64::from(nodes)).min(1.0);
     for (customer, want) in wants {
         let Some((terms, _)) = limit(node, customer, None) else { continue };
--- a/crates/gateway/src/quotas/give.rs
+++ b/crates/gateway/src/quotas/give.rs
@@ -17,7 +17,7 @@
 /// Gives allowances, where this node is sure that no other does.
 pub(super) fn issue(node: &Node, ask: &Ask) -> Option<Given> {
     let lease = node.settings.borrow().lease;
-    let fence = node.holding.borrow().sure(lease)?;
+    let fence = node.leadership.borrow().exclusive_fence(lease)?;
     let (now, nodes) = (now(), node.state.borrow().nodes);
     let mut issuer = node.quotas.issuer.borrow_mut();
     if issuer.as_ref().is_none_or(|(known, _)| *known != fence) {
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -176,7 +176,7 @@
 }
 
 fn source(node: &Node) -> Source {
-    if node.holding.borrow().is_mine() {
+    if node.leadership.borrow().is_leader() {
         return Source::Itself;
     }
     node.parent().map_or(Source::Nobody, |(parent, addr)| Source::Node(parent, addr))
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -137,7 +137,7 @@
         let waited = self.watched(&at_engine, sent).await;
         match waited {
             Waited::Done(Ok((head, marks))) => {
-                node.heard(engine);
+                node.mark_heard(engine);
                 self.take_in(engine, conn, head, marks, at_engine).await
             }
             Waited::Done(Err(e)) => {
@@ -146,7 +146,7 @@
                     Error::Io(_) | Error::Ended | Error::Malformed { .. } => AttemptOutcome::Failed,
                 };
                 at_engine.saw(verdict);
-                node.broke(engine);
+                node.mark_broken(engine);
                 self.runs += 1;
                 Tried::Lost
             }
@@ -169,18 +169,18 @@
 
     /// An engine could not be reached, or was silent.
     pub(super) fn lost(&self, engine: &EngineId) {
-        self.node.saw(engine, AttemptOutcome::Unreachable);
-        self.node.broke(engine);
+        self.node.record_outcome(engine, AttemptOutcome::Unreachable);
+        self.node.mark_broken(engine);
         if let Some(key) = self.node.engine(engine, Engine::key) {
-            peers::lost(&self.node, key);
+            peers::report_unreachable(&self.node, key);
         }
     }
 
     /// Ends when another node says that an engine cannot be reached.
     async fn until_dark(&self, engine: &EngineId) {
         loop {
-            let told = self.node.dark.notified();
-            if self.node.is_dark(engine) {
+            let told = self.node.reachability_changed.notified();
+            if self.node.is_reported_unreachable(engine) {
                 return;
             }
             told.await;
@@ -302,7 +302,7 @@
     pub(super) async fn at<F: Future>(&self, at_engine: &AtEngine, work: F) -> Waited<F::Output> {
         let mut work = std::pin::pin!(work);
         loop {
-            let started_anew = self.node.started_anew.notified();
+            let started_anew = self.node.engine_restarted.notified();
             if at_engine.has_ended() {
                 return Waited::StartedAnew;
             }
@@ -327,11 +327,12 @@
         let few = self.node.engine(engine, |e| e.own_requests).unwrap_or(0) < FEW;
         let usual = if few { DARK_AFTER_FEW } else { DARK_AFTER };
         loop {
-            let dark_after = if self.node.is_dark(engine) { DARK_AFTER_WORD } else { usual };
-            let silent = self.node.silent_for(engine).min(began.elapsed());
+            let dark_after =
+                if self.node.is_reported_unreachable(engine) { DARK_AFTER_WORD } else { usual };
+            let silent = self.node.time_since_heard(engine).min(began.elapsed());
             let look = (Instant::now() + dark_after.saturating_sub(silent)).min(began + hung);
-            let told = self.node.dark.notified();
-            let started_anew = self.node.started_anew.notified();
+            let told = self.node.reachability_changed.notified();
+            let started_anew = self.node.engine_restarted.notified();
             if at_engine.has_ended() {
                 return Waited::StartedAnew;
             }
@@ -346,7 +347,7 @@
             if now >= self.end {
                 return Waited::TimeOver;
             }
-            let silent = self.node.silent_for(engine).min(now - began);
+            let silent = self.node.time_since_heard(engine).min(now - began);
             if silent >= dark_after || now - began >= hung {
                 // Only where another engine can take it is it taken from this one.
                 if self.choose_now().is_ok() && self.may_go_on() {
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -21,8 +21,8 @@
 use crate::answer::{Answer, own};
 use crate::quotas::NoAllowance;
 use crate::shared::Node;
-use crate::stop;
-use crate::stop::Active;
+use crate::shutdown;
+use crate::shutdown::ActiveRequest;
 
 use identify::Identity;
 use request::Relayed;
@@ -32,12 +32,12 @@
 
 /// Answers a request.
 pub(crate) async fn answer(node: &Node, req: Request<Incoming>) -> Answer {
-    let active = Active::begin(node);
-    if stop::takes_no_more(node) {
+    let active = ActiveRequest::begin(node);
+    if shutdown::refuses_requests(node) {
         return refuse(node, Refusal::Stopping, Duration::ZERO);
     }
     let catalog = node.state.borrow().catalog.clone();
-    let listed = node.state.borrow().listed;
+    let listed = node.state.borrow().has_engine_list;
     match catalog.filter(|_| listed) {
         Some(catalog) => routed(node, active, catalog, req).await,
         None => refuse(node, Refusal::NotReady, NOT_READY),
@@ -46,7 +46,7 @@
 
 async fn routed(
     node: &Node,
-    active: Active,
+    active: ActiveRequest,
     catalog: Arc<Catalog>,
     req: Request<Incoming>,
 ) -> Answer {
--- a/crates/gateway/src/relay/plain.rs
+++ b/crates/gateway/src/relay/plain.rs
@@ -88,7 +88,7 @@
     };
     let failed = head.status >= 500;
     at_engine.saw(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success });
-    req.node.heard(&engine);
+    req.node.mark_heard(&engine);
     at_engine.keep(conn);
     drop(at_engine);
     if !failed {
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -18,7 +18,7 @@
 use crate::peers::{self, Placement};
 use crate::quotas::{self, NoAllowance, Spent};
 use crate::shared::Node;
-use crate::stop::Active;
+use crate::shutdown::ActiveRequest;
 use crate::turn::Turn;
 
 use super::identify::Identity;
@@ -55,7 +55,7 @@
 /// A caller's request while it is served.
 pub(super) struct Relayed {
     pub(super) node: Node,
-    _active: Active,
+    _active: ActiveRequest,
     pub(super) head: Parts,
     pub(super) body: Bytes,
     pub(super) call: Call,
@@ -103,7 +103,7 @@
     #[expect(clippy::too_many_arguments, reason = "each is a part of the request, met once")]
     pub(super) fn new(
         node: &Node,
-        active: Active,
+        active: ActiveRequest,
         head: Parts,
         body: Bytes,
         call: Call,
@@ -164,7 +164,7 @@
         let mut state = self.node.state.borrow_mut();
         state.budgets.entry(self.service.clone()).or_default().record_request(now, &limits);
         let Some(wanted) = self.wanted() else { return };
-        state.asked_for(now, wanted, 1.0);
+        state.record_demand(now, wanted, 1.0);
     }
 
     pub(super) fn prompt(&self) -> Option<&Prompt> {
@@ -220,7 +220,7 @@
             let (Err(NoEngine::NotLoaded(_)), Some(wanted)) = (&found, self.wanted()) else {
                 return found;
             };
-            let want = peers::want(&self.node, wanted, self.refuted.as_ref());
+            let want = peers::request_placement(&self.node, wanted, self.refuted.as_ref());
             match timeout_at(give_up, want).await {
                 Ok(Placement::Placed) => {
                     if let Ok(choice) = self.choose_now() {
@@ -289,7 +289,7 @@
     /// questions than there are requests.
     async fn until_placed(&self, give_up: Instant) -> Option<Choice> {
         let until = give_up.min(Instant::now() + PLACED_CHECK);
-        while timeout_at(until, self.node.placed.notified()).await.is_ok() {
+        while timeout_at(until, self.node.placement_changed.notified()).await.is_ok() {
             if let Ok(choice) = self.choose_now() {
                 return Some(choice);
             }
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -140,7 +140,7 @@
             let read = self.read().await;
             match read {
                 Waited::Done(Ok(Some(bytes))) => {
-                    self.req.node.heard(&self.engine);
+                    self.req.node.mark_heard(&self.engine);
                     let ready = if self.is_events { self.events.push(bytes) } else { Some(bytes) };
                     if let Some(bytes) = ready {
                         self.pace.piece();
@@ -163,7 +163,7 @@
                 }
                 Waited::StartedAnew | Waited::Done(Ok(None) | Err(_)) => {
                     self.at_engine.saw(AttemptOutcome::Failed);
-                    self.req.node.broke(&self.engine);
+                    self.req.node.mark_broken(&self.engine);
                     if !self.go_on().await {
                         return Some(self.break_off());
                     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -16,7 +16,9 @@
 use crate::clock::boot_time;
 use crate::dialect::Dialects;
 use crate::shared::{Node, Shared};
-use crate::{Settings, follow, front, holder, listen, members, meter, peers, proof, quotas, stop};
+use crate::{
+    Settings, election, follow, front, listen, members, meter, peers, proof, quotas, shutdown,
+};
 
 #[derive(Debug, Clone)]
 pub enum Signal {
@@ -60,18 +62,18 @@
     dialects: Dialects,
     mut signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
-    let callers = listen::listen(settings.callers)?;
-    let ready = listen::listen(settings.ready)?;
-    let peer_listener = listen::listen(settings.peers)?;
-    let datagrams = UdpSocket::bind(settings.peers).await;
-    let metrics = listen::listen(settings.metrics);
+    let callers = listen::listen(settings.caller_addr)?;
+    let ready = listen::listen(settings.ready_addr)?;
+    let peer_listener = listen::listen(settings.peer_addr)?;
+    let datagrams = UdpSocket::bind(settings.peer_addr).await;
+    let metrics = listen::listen(settings.metrics_addr);
     let node = Shared::new(settings, dialects);
     let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
         tokio::task::spawn_local(task);
     };
     spawn(Box::pin(follow::catalog(Rc::clone(&node))));
     spawn(Box::pin(follow::engines(Rc::clone(&node))));
-    spawn(Box::pin(holder::take_part(Rc::clone(&node))));
+    spawn(Box::pin(election::take_part(Rc::clone(&node))));
     spawn(Box::pin(peers::poll(Rc::clone(&node))));
     spawn(Box::pin(peers::report_in_flight(Rc::clone(&node))));
     spawn(Box::pin(quotas::keep(Rc::clone(&node))));
@@ -98,7 +100,7 @@
         }
     }
     tokio::select! {
-        () = stop::shut_down(&node) => Ok(Ended::Stopped),
+        () = shutdown::shut_down(&node) => Ok(Ended::Stopped),
         () = until_killed(&mut signals) => Ok(Ended::Killed),
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -9,15 +9,15 @@
     /// Failure domain of this node.
     pub domain: String,
     /// Listen address for callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Listen address for readiness checks.
-    pub ready: SocketAddr,
+    pub ready_addr: SocketAddr,
     /// Listen address for other nodes.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Listen address for metrics.
-    pub metrics: SocketAddr,
+    pub metrics_addr: SocketAddr,
     /// Maximum time from the stop signal to the end of the process.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Time within which a changed configuration must be in force.
     pub apply_within: Duration,
     /// Time within which a leaving engine must get no more requests.
@@ -29,7 +29,7 @@
     /// Time window over which retries are counted.
     pub retry_window: Duration,
     /// Whether engines reject orders with an outdated fencing token.
-    pub engines_fence: bool,
+    pub engines_check_fence: bool,
     /// Time for which the leader may act after its last renewal.
     pub lease: Duration,
     /// Time window over which loads from the weight store are counted.
@@ -37,14 +37,14 @@
     /// Interval between two heartbeats of an engine.
     pub heartbeat: Duration,
     /// Maximum number of open connections from callers.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time within which a revoked key must stop working on every node, if that is required even of
     /// nodes that are cut off.
     pub revoke_within: Option<Duration>,
     /// Limits for the quotas that customers may have.
     pub quotas: QuotaBounds,
     /// Number of processors available to this machine, possibly a fraction of one.
-    pub processor: f64,
+    pub cpu_share: f64,
 }
 
 /// Upper bound of the reaction time, so that deployments which allow more do not read the store
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -21,14 +21,14 @@
 use crate::backoff::Backoff;
 use crate::clock::Clock;
 use crate::dialect::{Cursor, Dialects};
-use crate::holder::Holding;
-use crate::keeper::KeeperState;
-use crate::peers::{Children, PlacementChanges, Sends};
+use crate::election::Leadership;
+use crate::leader::LeaderState;
+use crate::peers::{Children, PeerSocket, PlacementChanges};
 use crate::pool::Pool;
 use crate::proof::{self, Proofs};
 use crate::quotas::Quotas;
+use crate::shutdown::Shutdown;
 use crate::state::State;
-use crate::stop::Stopping;
 use crate::turn::Turns;
 
 /// Engines are a few milliseconds away, so a slower connection attempt has failed.
@@ -43,10 +43,10 @@
     pub(crate) clock: Clock,
     pub(crate) pool: Pool,
     pub(crate) state: RefCell<State>,
-    pub(crate) holding: RefCell<Holding>,
-    pub(crate) keeper: RefCell<KeeperState>,
-    pub(crate) stop: Stopping,
-    pub(crate) sends: Sends,
+    pub(crate) leadership: RefCell<Leadership>,
+    pub(crate) leader_state: RefCell<LeaderState>,
+    pub(crate) shutdown: Shutdown,
+    pub(crate) peer_socket: PeerSocket,
     pub(crate) turns: Turns,
     pub(crate) backoff: Backoff,
     /// Evidence that the configuration of this node is current.
@@ -57,7 +57,7 @@
     /// Unreachable engines that this node probes until they are back.
     pub(crate) probed_engines: RefCell<IndexSet<EngineKey>>,
     /// Notified when another node reports an engine unreachable or reachable again.
-    pub(crate) dark: Notify,
+    pub(crate) reachability_changed: Notify,
     /// Nodes that poll this one for updates.
     pub(crate) children: Children,
     /// Engines whose loaded models changed, for the nodes that poll this one.
@@ -69,7 +69,7 @@
     /// Notified when there is an update for the nodes that poll this one.
     pub(crate) update_available: Notify,
     /// Random number of this process, which spreads periodic work over the nodes.
-    pub(crate) draw: u32,
+    pub(crate) jitter: u32,
     /// Set when the engine list is too long to be sent by another node, so that this node reads it
     /// from the store.
     pub(crate) must_read_list: Cell<bool>,
@@ -95,9 +95,9 @@
     /// Whether this node reaches neither the store nor engines in other failure domains.
     cut_off: Cell<bool>,
     /// Notified when an engine is known to have loaded or unloaded a model or adapter.
-    pub(crate) placed: Notify,
+    pub(crate) placement_changed: Notify,
     /// Notified when an engine has restarted.
-    pub(crate) started_anew: Notify,
+    pub(crate) engine_restarted: Notify,
 }
 
 /// Source of a change in the engine list.
@@ -124,23 +124,23 @@
             clock: Clock::start(),
             pool: Pool::default(),
             state: RefCell::new(State { nodes: 1, ..State::default() }),
-            holding: RefCell::default(),
-            keeper: RefCell::default(),
-            stop: Stopping::default(),
-            sends: Sends::default(),
+            leadership: RefCell::default(),
+            leader_state: RefCell::default(),
+            shutdown: Shutdown::default(),
+            peer_socket: PeerSocket::default(),
             turns: Turns::default(),
             backoff: Backoff::default(),
             proofs: Proofs::default(),
             quotas: Quotas::default(),
             sums: RefCell::default(),
             probed_engines: RefCell::default(),
-            dark: Notify::new(),
+            reachability_changed: Notify::new(),
             children: Children::default(),
             placement_changes: RefCell::default(),
             heads: RefCell::default(),
             members: RefCell::default(),
             update_available: Notify::new(),
-            draw: random(),
+            jitter: random(),
             must_read_list: Cell::new(false),
             era: Cell::default(),
             store_responded_at: Cell::new(0),
@@ -152,8 +152,8 @@
             is_fetching_catalog: Cell::new(false),
             catalog_reported: Notify::new(),
             cut_off: Cell::new(false),
-            placed: Notify::new(),
-            started_anew: Notify::new(),
+            placement_changed: Notify::new(),
+            engine_restarted: Notify::new(),
         })
     }
 
@@ -162,13 +162,13 @@
     }
 
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stop.started_at.get().is_some()
+        self.shutdown.started_at.get().is_some()
     }
 
     /// Whether the readiness check succeeds.
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        let knows = state.catalog.is_some() && state.listed;
+        let knows = state.catalog.is_some() && state.has_engine_list;
         knows && !self.is_stopping() && !self.cut_off.get() && proof::holds(self)
     }
 
@@ -180,15 +180,15 @@
 
     /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
-        let leadership = self.holding.borrow();
-        if leadership.is_mine() {
+        let leadership = self.leadership.borrow();
+        if leadership.is_leader() {
             return leadership.last_renewal();
         }
         leadership.leader_liveness.last_renewal(self.now())
     }
 
     /// Age of this node's copy of the store data, read directly or received from the leader.
-    pub(crate) fn word_age(&self) -> Millis {
+    pub(crate) fn store_data_age(&self) -> Millis {
         let updated_at = self.leader_updated_at.get().unwrap_or(0).max(self.list_read_at.get());
         self.now().saturating_sub(updated_at)
     }
@@ -196,11 +196,11 @@
     /// Node that this one polls for updates: the hub of its domain or the leader. None if this node
     /// is the leader or knows no leader and no hub.
     pub(crate) fn parent(&self) -> Option<(Parent, SocketAddr)> {
-        if self.holding.borrow().is_mine() {
+        if self.leadership.borrow().is_leader() {
             return None;
         }
-        let leader_addr = self.holding.borrow().leader.as_ref().map(|leader| leader.addr);
-        let own_addr = self.settings.borrow().peers;
+        let leader_addr = self.leadership.borrow().leader.as_ref().map(|leader| leader.addr);
+        let own_addr = self.settings.borrow().peer_addr;
         let parent = self.heads.borrow().parent(own_addr, leader_addr, self.now());
         match parent {
             Parent::Hub(addr) => Some((parent, addr)),
@@ -214,7 +214,7 @@
     }
 
     /// Whether an update from the leader has ever arrived.
-    pub(crate) fn was_followed(&self) -> bool {
+    pub(crate) fn has_leader_updates(&self) -> bool {
         self.leader_updated_at.get().is_some()
     }
 
@@ -223,7 +223,7 @@
     /// Nodes behind a hub wait longer, so that they do not all read the store at once when the
     /// leader fails: the hubs read first and forward what they read.
     pub(crate) fn has_recent_leader_updates(&self) -> bool {
-        let is_leader = self.holding.borrow().is_mine();
+        let is_leader = self.leadership.borrow().is_leader();
         let max_age =
             self.settings.borrow().max_leader_update_age(self.has_head()).as_millis() as Millis;
         let age = self.leader_updated_at.get().map(|at| self.now().saturating_sub(at));
@@ -253,11 +253,11 @@
 
     /// Whether this node keeps reading the engine list from the store while no leader does.
     pub(crate) fn polls_store(&self) -> bool {
-        polls_store(&self.state.borrow().engines, self.poll_interval_factor(), self.draw)
+        polls_store(&self.state.borrow().engines, self.poll_interval_factor(), self.jitter)
     }
 
     /// Whether callers should reconnect to another node.
-    pub(crate) fn sends_away(&self) -> bool {
+    pub(crate) fn should_close_connections(&self) -> bool {
         self.is_stopping() || self.cut_off.get() || !proof::holds(self)
     }
 
@@ -285,7 +285,7 @@
             emit(Event::EngineStartedAnew, &[("node", node), ("addr", addr)]);
         }
         if !restarted.is_empty() {
-            self.started_anew.notify_waiters();
+            self.engine_restarted.notify_waiters();
         }
     }
 
@@ -293,8 +293,13 @@
     pub(crate) fn record_list_version(&self, place: ListVersion, source: ListSource) {
         let changes = {
             let mut state = self.state.borrow_mut();
-            let State { engines, list_changes: listing, list_version: list_at, listed, .. } =
-                &mut *state;
+            let State {
+                engines,
+                list_changes: listing,
+                list_version: list_at,
+                has_engine_list: listed,
+                ..
+            } = &mut *state;
             *listed = true;
             *list_at = (*list_at).max(Some(place));
             listing.update(engines, place.position())
@@ -329,7 +334,7 @@
     }
 
     /// Records the outcome of a request at an engine.
-    pub(crate) fn saw(&self, engine: &EngineId, verdict: AttemptOutcome) {
+    pub(crate) fn record_outcome(&self, engine: &EngineId, verdict: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.engines.get_mut(engine) else { return };
@@ -348,13 +353,13 @@
     }
 
     /// Whether another node reported the engine unreachable.
-    pub(crate) fn is_dark(&self, engine: &EngineId) -> bool {
+    pub(crate) fn is_reported_unreachable(&self, engine: &EngineId) -> bool {
         let now = self.now();
         self.engine(engine, |e| e.health.is_reported_unreachable(now)).unwrap_or(false)
     }
 
     /// Records that a byte arrived from an engine.
-    pub(crate) fn heard(&self, engine: &EngineId) {
+    pub(crate) fn mark_heard(&self, engine: &EngineId) {
         let now = self.now();
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
             engine.last_heard = now;
@@ -362,14 +367,14 @@
     }
 
     /// Discards the time of the engine's last byte after a broken connection.
-    pub(crate) fn broke(&self, engine: &EngineId) {
+    pub(crate) fn mark_broken(&self, engine: &EngineId) {
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
             engine.last_heard = 0;
         }
     }
 
     /// Time since the last byte from an engine.
-    pub(crate) fn silent_for(&self, engine: &EngineId) -> Duration {
+    pub(crate) fn time_since_heard(&self, engine: &EngineId) -> Duration {
         let state = self.state.borrow();
         let heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
         Duration::from_millis(self.now().saturating_sub(heard))
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::holder;
+use crate::election;
 use crate::shared::Node;
 
 /// Time for which the load balancer may still send callers here: it checks once a second, removes a
@@ -20,8 +20,8 @@
 const SERVE_TIME: Duration = Duration::from_millis(2_700);
 
 /// Whether new requests are refused because the process is about to end.
-pub(crate) fn takes_no_more(node: &Node) -> bool {
-    let since = node.stop.started_at.get();
+pub(crate) fn refuses_requests(node: &Node) -> bool {
+    let since = node.shutdown.started_at.get();
     since.is_some_and(|since| node.now() - since > SERVE_TIME.as_millis() as u64)
 }
 
@@ -32,18 +32,18 @@
 /// closes idle connections and returns with the last request.
 pub(crate) async fn shut_down(node: &Node) {
     let name = node.settings.borrow().node.clone();
-    let grace = node.settings.borrow().grace;
+    let grace = node.settings.borrow().shutdown_grace;
     let began = Instant::now();
     let deadline = began + grace.saturating_sub(CLOSE_TIME);
-    node.stop.started_at.set(Some(node.now()));
-    node.stop.changed.notify_waiters();
+    node.shutdown.started_at.set(Some(node.now()));
+    node.shutdown.changed.notify_waiters();
     emit(Event::ProcessStopping, &[("node", &name)]);
-    tokio::task::spawn_local(holder::release(Node::clone(node)));
+    tokio::task::spawn_local(election::release(Node::clone(node)));
     sleep_until((began + BALANCER_DELAY).min(deadline)).await;
-    node.stop.closing.set(true);
-    node.stop.changed.notify_waiters();
+    node.shutdown.closing.set(true);
+    node.shutdown.changed.notify_waiters();
     while Instant::now() < deadline
-        && (node.stop.active.get() > 0 || node.stop.connections.get() > 0)
+        && (node.shutdown.active_requests.get() > 0 || node.shutdown.connections.get() > 0)
     {
         sleep(Duration::from_millis(20)).await;
     }
@@ -51,33 +51,33 @@
 
 /// Progress of the planned shutdown.
 #[derive(Debug, Default)]
-pub(crate) struct Stopping {
+pub(crate) struct Shutdown {
     pub(crate) started_at: Cell<Option<Millis>>,
     /// Whether idle connections are closed.
     pub(crate) closing: Cell<bool>,
     /// Notified when `since` or `closing` changes.
     pub(crate) changed: Notify,
     /// Requests being served.
-    pub(crate) active: Cell<u32>,
+    pub(crate) active_requests: Cell<u32>,
     /// Open connections of callers.
     pub(crate) connections: Cell<usize>,
 }
 
 /// Counts a request as active until dropped.
-pub(crate) struct Active(Node);
+pub(crate) struct ActiveRequest(Node);
 
-impl Active {
-    pub(crate) fn begin(node: &Node) -> Active {
-        node.stop.active.set(node.stop.active.get() + 1);
-        Active(Rc::clone(node))
+impl ActiveRequest {
+    pub(crate) fn begin(node: &Node) -> ActiveRequest {
+        node.shutdown.active_requests.set(node.shutdown.active_requests.get() + 1);
+        ActiveRequest(Rc::clone(node))
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.stop.active.set(self.0.stop.active.get() - 1);
+        self.0.shutdown.active_requests.set(self.0.shutdown.active_requests.get() - 1);
         if self.0.is_stopping() {
-            self.0.stop.changed.notify_waiters();
+            self.0.shutdown.changed.notify_waiters();
         }
     }
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -16,7 +16,7 @@
     /// Serialized form, for nodes that cannot read it from the store.
     pub(crate) catalog_text: Bytes,
     /// Whether a complete engine list has been received.
-    pub(crate) listed: bool,
+    pub(crate) has_engine_list: bool,
     pub(crate) engines: Engines,
     /// Position up to which the engine list is known.
     pub(crate) list_version: Option<ListVersion>,
@@ -35,7 +35,7 @@
 
 impl State {
     /// Counts requests for a model or an adapter.
-    pub(crate) fn asked_for(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
+    pub(crate) fn record_demand(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
         self.demand.record(now, wanted, count);
         if self.unreported_demand.len() < MAX_UNREPORTED_NAMES {
             *self.unreported_demand.entry(wanted.clone()).or_default() += count;
--- a/crates/hibiscusgw/src/on_platform.rs
+++ b/crates/hibiscusgw/src/on_platform.rs
@@ -31,8 +31,8 @@
         &[
             ("node", &node),
             ("domain", &settings.domain),
-            ("callers", &settings.callers),
-            ("peers", &settings.peers),
+            ("callers", &settings.caller_addr),
+            ("peers", &settings.peer_addr),
             ("operators", &"none"),
         ],
     );
--- a/crates/hibiscusgw/src/settings.rs
+++ b/crates/hibiscusgw/src/settings.rs
@@ -157,10 +157,10 @@
     /// Puts them in place of what the file says.
     pub(crate) fn apply(&self, settings: hgw_gateway::Settings) -> hgw_gateway::Settings {
         hgw_gateway::Settings {
-            callers: self.callers.unwrap_or(settings.callers),
-            peers: self.peers.unwrap_or(settings.peers),
-            metrics: self.metrics.unwrap_or(settings.metrics),
-            connections: self.max_connections.unwrap_or(settings.connections),
+            caller_addr: self.callers.unwrap_or(settings.caller_addr),
+            peer_addr: self.peers.unwrap_or(settings.peer_addr),
+            metrics_addr: self.metrics.unwrap_or(settings.metrics_addr),
+            max_connections: self.max_connections.unwrap_or(settings.max_connections),
             ..settings
         }
     }
