--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -64,7 +64,7 @@
 
 /// Pause after a failed call, longer when many nodes poll the same hub.
 pub(crate) fn retry_pause(node: &Node) -> Duration {
-    let siblings = if node.has_head() { node.backoff.siblings.get() } else { 0 };
+    let siblings = if node.has_hub() { node.backoff.siblings.get() } else { 0 };
     let factor = siblings.div_ceil(NODES_RETRYING_AS_ONE).clamp(1, MAX_PAUSE_FACTOR);
     (MIN_RETRY_PAUSE * factor).mul_f64(1.0 + random::<f64>())
 }
--- a/crates/gateway/src/election/participant.rs
+++ b/crates/gateway/src/election/participant.rs
@@ -56,9 +56,9 @@
 
 /// Claims, renews and follows the lease until the process ends.
 pub(crate) async fn take_part(node: Node) {
-    let processor = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
+    let cpu_share = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
     let base_delay =
-        CLAIM_DELAY.div_f64(processor).min(MAX_CLAIM_DELAY).mul_f64(0.5 + random::<f64>() / 2.0);
+        CLAIM_DELAY.div_f64(cpu_share).min(MAX_CLAIM_DELAY).mul_f64(0.5 + random::<f64>() / 2.0);
     let lease_free_from = Duration::ZERO;
     let mut participant = Participant {
         node: Rc::clone(&node),
@@ -269,8 +269,8 @@
 
     async fn read_log(&mut self, wait: Duration) -> Result<(), StoreError> {
         let sent_at = boot_time();
-        let news = self.node.dialects.store.claims(self.log_end, wait).await?;
-        let ClaimNews { end, records } = news;
+        let update = self.node.dialects.store.claims(self.log_end, wait).await?;
+        let ClaimNews { end, records } = update;
         if self.log_end.is_some_and(|known| end < known) {
             // The log was rewound, so what was read before is void.
             self.log_end = None;
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -28,8 +28,8 @@
 }
 
 /// Takes in the era that another node reported.
-pub(crate) fn record_reported(node: &Shared, told: Option<(Era, u64)>) {
-    let Some((era, lasted_ms)) = told else { return };
+pub(crate) fn record_reported(node: &Shared, reported: Option<(Era, u64)>) {
+    let Some((era, lasted_ms)) = reported else { return };
     node.dialects.store.heard_of(era);
     record(node, era, Duration::from_millis(lasted_ms), "peer");
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -54,9 +54,9 @@
 /// Without the wait, hundreds of nodes that start together would all read everything from the
 /// store. Larger machines wait less, so one of them becomes the leader.
 pub(crate) async fn wait_for_first_update(node: &Node) {
-    let processor = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
+    let cpu_share = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
     let max_wait_alone =
-        START_WAIT_WITHOUT_LEADER.div_f64(processor).min(MAX_START_WAIT_WITHOUT_LEADER).as_millis()
+        START_WAIT_WITHOUT_LEADER.div_f64(cpu_share).min(MAX_START_WAIT_WITHOUT_LEADER).as_millis()
             as u64;
     loop {
         let now = node.now();
@@ -96,11 +96,11 @@
         {
             continue;
         }
-        // After an outage, a call that waits for news would delay the detection that the store is
+        // After an outage, a call that waits for update would delay the detection that the store is
         // back.
         let default_wait = proof::longest_wait(&node, node.settings.borrow().max_catalog_wait());
         let wait = if link.is_down() || has_leader_updates { Duration::ZERO } else { default_wait };
-        let asked = boot_time();
+        let asked_at = boot_time();
         if let Some((version, at)) =
             reported_catalog_position(&node).filter(|(_, at)| cursor < Some(*at))
         {
@@ -117,15 +117,15 @@
             }
         };
         match response {
-            Ok(news) => {
+            Ok(update) => {
                 link.record_success();
-                cursor = Some(news.cursor);
-                let is_unchanged = news.catalog.is_none();
-                if let Some(text) = news.catalog {
+                cursor = Some(update.cursor);
+                let is_unchanged = update.catalog.is_none();
+                if let Some(text) = update.catalog {
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
                 if let Some(newest) = newest {
-                    proof::read(&node, VersionCheck { newest, asked_at: asked });
+                    proof::read(&node, VersionCheck { newest, asked_at });
                     node.catalog_position.set(cursor.map(|at| (newest, at)));
                 }
                 if is_unchanged && node.state.borrow().catalog.is_none() {
@@ -157,18 +157,18 @@
 
 /// Whether this node must ask the store if its configuration is current.
 fn needs_store_check(node: &Node) -> bool {
-    proof::is_due(node, node.has_head())
+    proof::is_due(node, node.has_hub())
 }
 
 /// Resolves when another node reports a newer configuration. Requests would be served with the old
 /// one if the pending call to the store had to end first.
 async fn until_catalog_outdated(node: &Node) {
     loop {
-        let told = node.catalog_reported.notified();
+        let notified = node.catalog_reported.notified();
         if node.has_recent_leader_updates() && node.is_catalog_outdated() {
             return;
         }
-        told.await;
+        notified.await;
     }
 }
 
@@ -223,7 +223,7 @@
             continue;
         }
         match node.dialects.store.engines(cursor).await {
-            Ok(news) => {
+            Ok(update) => {
                 node.list_read_at.set(node.now());
                 node.must_read_list.set(false);
                 let had_outage = link.record_success()
@@ -236,11 +236,11 @@
                 // Nodes that poll this one learn the new age of the list, even if no engine
                 // changed.
                 node.update_available.notify_waiters();
-                cursor = Some(news.cursor);
+                cursor = Some(update.cursor);
                 let since_back = store_back_at.map(|at| node.now().saturating_sub(at));
                 let keep_missing =
                     since_back.is_some_and(|t| t < KEEP_MISSING_FOR.as_millis() as u64);
-                apply_list_update(&node, news, keep_missing);
+                apply_list_update(&node, update, keep_missing);
                 if store_back_at.is_some() && !keep_missing {
                     // A read of the complete list removes the engines that are still missing.
                     store_back_at = None;
@@ -273,18 +273,18 @@
     Duration::from_millis(node.now().saturating_sub(last))
 }
 
-fn apply_list_update(node: &Node, news: EngineNews, keep_missing: bool) {
+fn apply_list_update(node: &Node, update: EngineNews, keep_missing: bool) {
     let now = node.now();
-    if let Some(first) = news.malformed.first() {
-        let (name, entries) = (&node.settings.borrow().node, news.malformed.len());
+    if let Some(first) = update.malformed.first() {
+        let (name, entries) = (&node.settings.borrow().node, update.malformed.len());
         emit(Event::ConfigRejected, &[("node", name), ("why", first), ("entries", &entries)]);
     }
     let mut state = node.state.borrow_mut();
-    if news.whole && news.cursor.era > Era::FIRST {
-        state.engines.set_backup_end(news.cursor);
+    if update.whole && update.cursor.era > Era::FIRST {
+        state.engines.set_backup_end(update.cursor);
     }
     let mut snapshot = Vec::new();
-    for EngineChange { at, entry } in news.entries {
+    for EngineChange { at, entry } in update.entries {
         match entry {
             EngineEntry::Listed { mut listed, left } => {
                 if let Some(left) = left {
@@ -293,7 +293,7 @@
                 }
                 listed.position = at;
                 keep_reported_models(&state.engines, &mut listed);
-                if news.whole {
+                if update.whole {
                     snapshot.push(*listed);
                 } else {
                     state.engines.upsert(*listed);
@@ -306,18 +306,18 @@
             }
             EngineEntry::Unreadable(id) => {
                 state.engines.mark_unreadable(&id, at);
-                if news.whole {
+                if update.whole {
                     snapshot.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
             }
         }
     }
-    if news.whole {
-        state.engines.apply_snapshot(snapshot, news.cursor, keep_missing);
+    if update.whole {
+        state.engines.apply_snapshot(snapshot, update.cursor, keep_missing);
     }
     drop(state);
     node.handle_restarts();
-    node.record_list_version(ListVersion::at_position(news.cursor), ListSource::Store);
+    node.record_list_version(ListVersion::at_position(update.cursor), ListSource::Store);
     leader::notify_list_change(node);
     node.placement_changed.notify_waiters();
 }
--- a/crates/gateway/src/leader/adapters.rs
+++ b/crates/gateway/src/leader/adapters.rs
@@ -35,54 +35,54 @@
 /// Places a model or an adapter that a request is waiting for.
 pub(crate) async fn request_placement(
     node: &Node,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
     domain: &str,
     stale_engine: Option<&EngineId>,
 ) -> Placement {
     if let Some(engine) = stale_engine {
-        remove_stale_model(node, wanted, engine);
+        remove_stale_model(node, model_ref, engine);
     }
-    if is_loaded(node, wanted) {
+    if is_loaded(node, model_ref) {
         return Placement::Placed;
     }
     // The demand report of its node arrives later, and the adapter must not be evicted until then.
     let now = node.now();
-    node.leader_state.borrow_mut().demand.mark_requested(now, wanted);
-    let model = ModelRef { model: wanted.model.clone(), adapter: None };
-    if wanted.adapter.is_none() || !is_loaded(node, &model) {
-        return Placement::Coming(models::expected_load_ms(node, &wanted.model));
+    node.leader_state.borrow_mut().demand.mark_requested(now, model_ref);
+    let model = ModelRef { model: model_ref.model.clone(), adapter: None };
+    if model_ref.adapter.is_none() || !is_loaded(node, &model) {
+        return Placement::Coming(models::expected_load_ms(node, &model_ref.model));
     }
     // Runs as a task of its own, because the caller may leave while an order is pending.
-    let done = start_placement(node, wanted, domain);
+    let done = start_placement(node, model_ref, domain);
     // The check below shows whether the adapter was loaded.
     let _ = timeout(LOAD_TIMEOUT, done.notified()).await;
-    if is_loaded(node, wanted) { Placement::Placed } else { Placement::Unknown }
+    if is_loaded(node, model_ref) { Placement::Placed } else { Placement::Unknown }
 }
 
-/// Corrects the state of an engine that responded that `wanted` is not loaded.
-fn remove_stale_model(node: &Node, wanted: &ModelRef, engine: &EngineId) {
+/// Corrects the state of an engine that responded that `model_ref` is not loaded.
+fn remove_stale_model(node: &Node, model_ref: &ModelRef, engine: &EngineId) {
     let mut state = node.state.borrow_mut();
-    let Some(known) = state.engines.get_mut(engine).filter(|e| e.has_loaded(wanted)) else {
+    let Some(known) = state.engines.get_mut(engine).filter(|e| e.has_loaded(model_ref)) else {
         return;
     };
-    known.remove_loaded(wanted);
+    known.remove_loaded(model_ref);
     drop(state);
     node.leader_state.borrow_mut().surveyed.shift_remove(engine);
     placement_changed(node, engine);
 }
 
 /// Starts to place an adapter unless that is in progress. The result is notified at the end.
-fn start_placement(node: &Node, wanted: &ModelRef, domain: &str) -> Rc<Notify> {
+fn start_placement(node: &Node, model_ref: &ModelRef, domain: &str) -> Rc<Notify> {
     let mut leader = node.leader_state.borrow_mut();
-    if let Some(in_progress) = leader.placing.get(wanted) {
+    if let Some(in_progress) = leader.placing.get(model_ref) {
         return Rc::clone(in_progress);
     }
     let done = Rc::new(Notify::new());
-    leader.placing.insert(wanted.clone(), Rc::clone(&done));
-    let (node, wanted, domain) = (Rc::clone(node), wanted.clone(), domain.to_owned());
+    leader.placing.insert(model_ref.clone(), Rc::clone(&done));
+    let (node, model_ref, domain) = (Rc::clone(node), model_ref.clone(), domain.to_owned());
     tokio::task::spawn_local(async move {
-        place_adapter_now(&node, &wanted, &domain).await;
-        let done = node.leader_state.borrow_mut().placing.shift_remove(&wanted);
+        place_adapter_now(&node, &model_ref, &domain).await;
+        let done = node.leader_state.borrow_mut().placing.shift_remove(&model_ref);
         if let Some(done) = done {
             done.notify_waiters();
         }
@@ -92,7 +92,7 @@
 
 /// Places an adapter in demand that no engine has loaded, ahead of the next request for it.
 pub(super) fn place_missing_adapter(node: &Node, service: &ServiceId) {
-    let wanted = {
+    let model_ref = {
         let leader = node.leader_state.borrow();
         if leader.placing.len() >= MAX_PLACEMENTS {
             return;
@@ -102,34 +102,34 @@
             state.engines.of_service(service).filter(|e| e.accepts_requests()).collect();
         next_missing_adapter(&engines, &leader.demand, node.now())
     };
-    let Some(wanted) = wanted else { return };
-    start_placement(node, &wanted, "");
+    let Some(model_ref) = model_ref else { return };
+    start_placement(node, &model_ref, "");
 }
 
-fn is_loaded(node: &Node, wanted: &ModelRef) -> bool {
+fn is_loaded(node: &Node, model_ref: &ModelRef) -> bool {
     let now = node.now();
     let is_reachable = |e: &Engine| e.accepts_requests() && !e.health.is_reported_unreachable(now);
-    node.state.borrow().engines.iter().any(|e| is_reachable(e) && e.has_loaded(wanted))
+    node.state.borrow().engines.iter().any(|e| is_reachable(e) && e.has_loaded(model_ref))
 }
 
-async fn place_adapter_now(node: &Node, wanted: &ModelRef, domain: &str) {
+async fn place_adapter_now(node: &Node, model_ref: &ModelRef, domain: &str) {
     // An evicted adapter leaves the engine's state before the order is sent.
     if !may_send_orders(node) {
         return;
     }
-    if let Some((engine, instead_of)) = choose_engine(node, wanted, domain) {
+    if let Some((engine, evict)) = choose_engine(node, model_ref, domain) {
         let lock = order_lock(node, &engine);
         let _guard = lock.lock().await;
         // Another order may have taken the slot meanwhile.
-        if is_still_valid(node, wanted, &engine, instead_of.as_ref()) {
-            execute(node, &engine, wanted, instead_of).await;
+        if is_still_valid(node, model_ref, &engine, evict.as_ref()) {
+            execute(node, &engine, model_ref, evict).await;
         }
     }
 }
 
 fn choose_engine(
     node: &Node,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
     domain: &str,
 ) -> Option<(EngineId, Option<ModelRef>)> {
     let now = node.now();
@@ -144,9 +144,9 @@
             .filter(|e| !leader.pending_loads.contains_key(&e.info.id))
             .filter(|e| !leader.draining.contains(&e.info.id))
             .collect();
-        let action = place_adapter(&engines, &pool, &leader.demand, wanted, domain, now);
-        if let AdapterAction::Load { engine, evict: instead_of } = action {
-            return Some((engine, instead_of));
+        let action = place_adapter(&engines, &pool, &leader.demand, model_ref, domain, now);
+        if let AdapterAction::Load { engine, evict } = action {
+            return Some((engine, evict));
         }
     }
     None
@@ -155,16 +155,16 @@
 /// Whether the decision still holds: there is a free slot or the evicted adapter is still there.
 fn is_still_valid(
     node: &Node,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
     engine: &EngineId,
-    instead_of: Option<&ModelRef>,
+    evict: Option<&ModelRef>,
 ) -> bool {
     let max_slots =
         model_pools(node).iter().map(|(_, p)| p.adapter_slots).max().unwrap_or(0) as usize;
     let fits = node.engine(engine, |e| {
-        let freed = usize::from(instead_of.is_some_and(|w| e.has_loaded(w)));
-        e.has_model(&wanted.model)
-            && !e.has_loaded(wanted)
+        let freed = usize::from(evict.is_some_and(|w| e.has_loaded(w)));
+        e.has_model(&model_ref.model)
+            && !e.has_loaded(model_ref)
             && e.adapter_slots_used() - freed < max_slots
     });
     let leader = node.leader_state.borrow();
@@ -173,24 +173,24 @@
     is_surveyed && fits.unwrap_or(false)
 }
 
-fn log_plan(node: &Node, engine: &EngineId, wanted: &ModelRef, instead_of: Option<&ModelRef>) {
-    let rate = format!("{:.1}", node.leader_state.borrow().demand.rate(node.now(), wanted));
-    let evict = instead_of.map(ModelRef::to_string).unwrap_or_default();
+fn log_plan(node: &Node, engine: &EngineId, model_ref: &ModelRef, evict: Option<&ModelRef>) {
+    let rate = format!("{:.1}", node.leader_state.borrow().demand.rate(node.now(), model_ref));
+    let evict = evict.map(ModelRef::to_string).unwrap_or_default();
     emit(
         Event::AdapterPlanned,
         &[
             ("node", &node.settings.borrow().node),
             ("upstream", engine),
-            ("load", wanted),
+            ("load", model_ref),
             ("load_rate", &rate),
             ("drop", &evict),
         ],
     );
 }
 
-async fn execute(node: &Node, engine: &EngineId, wanted: &ModelRef, instead_of: Option<ModelRef>) {
-    log_plan(node, engine, wanted, instead_of.as_ref());
-    if let Some(evicted) = instead_of {
+async fn execute(node: &Node, engine: &EngineId, model_ref: &ModelRef, evict: Option<ModelRef>) {
+    log_plan(node, engine, model_ref, evict.as_ref());
+    if let Some(evicted) = evict {
         if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
             e.remove_loaded(&evicted);
         }
@@ -202,7 +202,7 @@
             return;
         }
     }
-    order_until_done(node, engine, OrderKind::Load, wanted).await;
+    order_until_done(node, engine, OrderKind::Load, model_ref).await;
 }
 
 /// Repeats an order until the engine has executed it. Returns whether it has.
@@ -210,7 +210,7 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
 ) -> bool {
     // An adapter in use is unloaded after its last request.
     let max_wait = if kind == OrderKind::Unload { UNLOAD_TIMEOUT } else { LOAD_TIMEOUT };
@@ -219,11 +219,11 @@
     if kind == OrderKind::Load
         && let Some(e) = node.state.borrow_mut().engines.get_mut(engine)
     {
-        e.expect_adapter(wanted);
+        e.expect_adapter(model_ref);
     }
     let mut accepted = false;
     while Instant::now() < deadline {
-        match send_order(node, engine, kind, wanted).await {
+        match send_order(node, engine, kind, model_ref).await {
             OrderResult::Done => {
                 if kind == OrderKind::Unload && !accepted {
                     // An unload that completes at once counts as an accepted order, too.
@@ -231,8 +231,8 @@
                 }
                 if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
                     match kind {
-                        OrderKind::Load => e.add_loaded(wanted),
-                        OrderKind::Unload => e.remove_loaded(wanted),
+                        OrderKind::Load => e.add_loaded(model_ref),
+                        OrderKind::Unload => e.remove_loaded(model_ref),
                     }
                 }
                 placement_changed(node, engine);
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -243,8 +243,8 @@
     let now = node.now();
     let mut leader = node.leader_state.borrow_mut();
     for entry in counts {
-        let (wanted, count) = entry.clone().into_parts();
-        leader.demand.record(now, &wanted, count);
+        let (model_ref, count) = entry.clone().into_parts();
+        leader.demand.record(now, &model_ref, count);
     }
 }
 
@@ -275,10 +275,10 @@
     node.leader_state.borrow().load_limiter.load_ages(node.now())
 }
 
-/// Contents of the engines that have `wanted` loaded.
-pub(crate) fn placements_of(node: &Node, wanted: &ModelRef) -> Vec<EnginePlacement> {
+/// Contents of the engines that have `model_ref` loaded.
+pub(crate) fn placements_of(node: &Node, model_ref: &ModelRef) -> Vec<EnginePlacement> {
     let state = node.state.borrow();
-    let engines = state.engines.iter().filter(|e| e.has_loaded(wanted));
+    let engines = state.engines.iter().filter(|e| e.has_loaded(model_ref));
     let ids: Vec<EngineId> = engines.map(|e| e.info.id.clone()).collect();
     drop(state);
     ids.iter().filter_map(|id| placement_of(node, id)).collect()
--- a/crates/gateway/src/leader/models.rs
+++ b/crates/gateway/src/leader/models.rs
@@ -135,8 +135,8 @@
         .borrow_mut()
         .loading
         .insert(engine.clone(), node.now() + usual_time.as_millis() as u64);
-    let wanted = ModelRef { model: load, adapter: None };
-    order_until_done(node, &engine, OrderKind::Load, &wanted, usual_time).await;
+    let model_ref = ModelRef { model: load, adapter: None };
+    order_until_done(node, &engine, OrderKind::Load, &model_ref, usual_time).await;
 }
 
 /// Estimated time in milliseconds until an engine has loaded the model.
@@ -158,7 +158,7 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
     usual_time: Duration,
 ) -> bool {
     let lock = order_lock(node, engine);
@@ -166,7 +166,7 @@
     if kind == OrderKind::Unload {
         // Requests are sent elsewhere from now on.
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
-            engine.remove_loaded(wanted);
+            engine.remove_loaded(model_ref);
         }
         placement_changed(node, engine);
         sleep(UNLOAD_NOTICE).await;
@@ -178,11 +178,11 @@
     while Instant::now() < deadline && has_not_restarted(node, engine, start) {
         let result = {
             let _guard = lock.lock().await;
-            send_order(node, engine, kind, wanted).await
+            send_order(node, engine, kind, model_ref).await
         };
         match result {
             OrderResult::Done => {
-                record_done(node, engine, kind, wanted);
+                record_done(node, engine, kind, model_ref);
                 return true;
             }
             OrderResult::Accepted => {
@@ -226,11 +226,11 @@
     }
 }
 
-fn record_done(node: &Node, engine: &EngineId, kind: OrderKind, wanted: &ModelRef) {
+fn record_done(node: &Node, engine: &EngineId, kind: OrderKind, model_ref: &ModelRef) {
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         match kind {
-            OrderKind::Load => engine.add_loaded(wanted),
-            OrderKind::Unload => engine.remove_loaded(wanted),
+            OrderKind::Load => engine.add_loaded(model_ref),
+            OrderKind::Unload => engine.remove_loaded(model_ref),
         }
     }
     placement_changed(node, engine);
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -49,13 +49,13 @@
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
 ) -> OrderResult {
     let own_name = node.settings.borrow().node.clone();
     let Some(fence) = fence(node) else { return OrderResult::Superseded };
     let known = node.engine(engine, |e| (e.info.addr, e.accepted_orders, e.info.started_at));
     let Some((addr, seq, start)) = known else { return OrderResult::Refused };
-    let order = Order { addr, engine, kind, wanted, seq, holder: &own_name, fence };
+    let order = Order { addr, engine, kind, wanted: model_ref, seq, holder: &own_name, fence };
     let req = node.dialects.upstreams.order(&order);
     let result = match call(node, engine, &req).await {
         CallResult::Responded(status, body) => {
@@ -66,7 +66,7 @@
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
                 ("node", &own_name),
                 ("upstream", engine),
-                ("what", wanted),
+                ("what", model_ref),
                 ("kind", &kind),
                 ("seq", &seq),
                 ("term", &fence),
@@ -90,7 +90,7 @@
                 &[
                     ("node", &own_name),
                     ("upstream", engine),
-                    ("what", wanted),
+                    ("what", model_ref),
                     ("kind", &kind),
                     ("seq", &seq),
                     ("status", &"none"),
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -89,8 +89,8 @@
     if broadcasts_sends(count) {
         node.peer_socket.set_peers(members.iter().map(|m| m.addr).collect());
     }
-    let own = candidates(&members, &node.settings.borrow().domain);
-    node.heads.borrow_mut().set_candidates(own);
+    let hub_candidates = candidates(&members, &node.settings.borrow().domain);
+    node.hubs.borrow_mut().set_candidates(hub_candidates);
     *node.members.borrow_mut() = members;
     true
 }
--- a/crates/gateway/src/peers/datagrams.rs
+++ b/crates/gateway/src/peers/datagrams.rs
@@ -125,8 +125,8 @@
         // An ICMP error of a stopped node is returned here; the socket remains usable.
         let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
         match ciborium::from_reader(&buf[..length]) {
-            Ok(Datagram::InFlight(scope, told)) => {
-                in_flight::apply_report(&node, from, scope, &told)
+            Ok(Datagram::InFlight(scope, update)) => {
+                in_flight::apply_report(&node, from, scope, &update)
             }
             Ok(Datagram::Unreachable(key)) => unreachable::handle_unreachable(&node, from, key),
             Ok(Datagram::UnreachableFrom(key, domain)) => {
--- a/crates/gateway/src/peers/in_flight.rs
+++ b/crates/gateway/src/peers/in_flight.rs
@@ -92,8 +92,11 @@
     if node.leadership.borrow().is_leader() {
         publish_hubs(node);
     }
-    let updates =
-        node.sums.borrow_mut().next_updates(node.now(), own_in_flight(node), &neighbors(node));
+    let updates = node.aggregator.borrow_mut().next_updates(
+        node.now(),
+        own_in_flight(node),
+        &neighbors(node),
+    );
     for update in updates {
         node.peer_socket
             .send_to(update.to.iter(), &Datagram::InFlight(update.scope, update.update));
@@ -135,24 +138,24 @@
     scope: ReportScope,
     update: &InFlightUpdate,
 ) {
-    let mut sums = node.sums.borrow_mut();
-    let engines = sums.apply(from, relation(node, from), scope, update, node.now());
-    if !sums.is_fresh() {
+    let mut aggregator = node.aggregator.borrow_mut();
+    let engines = aggregator.apply(from, relation(node, from), scope, update, node.now());
+    if !aggregator.is_fresh() {
         return;
     }
     let mut state = node.state.borrow_mut();
     for key in engines {
         if let Some(engine) = state.engines.by_key(key) {
-            engine.in_flight_elsewhere = Some(sums.in_flight_elsewhere(key));
+            engine.in_flight_elsewhere = Some(aggregator.in_flight_elsewhere(key));
         }
     }
 }
 
 fn update_engines(node: &Node) {
-    let sums = node.sums.borrow();
+    let aggregator = node.aggregator.borrow();
     for engine in node.state.borrow_mut().engines.iter_mut() {
         engine.in_flight_elsewhere =
-            sums.is_fresh().then(|| sums.in_flight_elsewhere(engine.key()));
+            aggregator.is_fresh().then(|| aggregator.in_flight_elsewhere(engine.key()));
     }
     node.turns.next.notify_waiters();
 }
--- a/crates/gateway/src/peers/loads.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -20,19 +20,19 @@
     since: u64,
     models: Option<&[DemandCount]>,
 ) -> Vec<EngineLoad> {
-    if node.sums.borrow().is_fresh() {
+    if node.aggregator.borrow().is_fresh() {
         return Vec::new();
     }
     let now = node.now();
     let since = since.max(now.saturating_sub(MAX_LOAD_AGE_MS));
     let state = node.state.borrow();
     let reported = state.engines.iter().filter_map(|e| Some((e, e.reported_load?)));
-    let heard = reported.filter(|(_, (_, at, _))| *at > since);
+    let recent = reported.filter(|(_, (_, at, _))| *at > since);
     let has_model = |e: &Engine| {
         models.is_none_or(|models| models.iter().any(|demand| e.has_model(&demand.model)))
     };
-    let heard = heard.filter(|(e, _)| has_model(e)).take(MAX_LOADS);
-    let recent = heard.map(|(e, (load, at, _))| {
+    let recent = recent.filter(|(e, _)| has_model(e)).take(MAX_LOADS);
+    let recent = recent.map(|(e, (load, at, _))| {
         let (id, start) = (e.info.id.clone(), e.info.started_at);
         EngineLoad(id, start, load.running, load.waiting, now.saturating_sub(at))
     });
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -60,19 +60,19 @@
 /// Asks the leader to place a model or an adapter.
 pub(crate) async fn request_placement(
     node: &Node,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
     stale_engine: Option<&EngineId>,
 ) -> Placement {
     let leader = node.leadership.borrow().leader.clone();
     let domain = node.settings.borrow().domain.clone();
     if node.leadership.borrow().is_leader() {
-        return leader::request_placement(node, wanted, &domain, stale_engine).await;
+        return leader::request_placement(node, model_ref, &domain, stale_engine).await;
     }
     let Some(leader) = leader else { return Placement::Unknown };
     let request = PlacementRequest {
         fence: leader.fence,
-        model: wanted.model.clone(),
-        adapter: wanted.adapter.clone(),
+        model: model_ref.model.clone(),
+        adapter: model_ref.adapter.clone(),
         domain,
         stale_engine: stale_engine.cloned(),
     };
@@ -113,7 +113,7 @@
 
 /// Makes this node poll another hub for a while.
 pub(crate) fn mark_unresponsive(node: &Node, hub: SocketAddr) {
-    node.heads.borrow_mut().skip(hub, SkipReason::Unresponsive, node.now());
+    node.hubs.borrow_mut().skip(hub, SkipReason::Unresponsive, node.now());
 }
 
 pub(crate) async fn call<T: Serialize, R: for<'a> Deserialize<'a>>(
@@ -204,8 +204,8 @@
     node.children.record_poll(request.from, node.now());
     fetch_newer_catalog(node, request.from, request.catalog_version);
     if is_leader {
-        if let Some(past) = &request.earlier_demand {
-            leader::add_earlier_demand(node, request.from, past);
+        if let Some(earlier) = &request.earlier_demand {
+            leader::add_earlier_demand(node, request.from, earlier);
         }
         leader::add_demand(node, &request.demand);
         add_peer(node, request.from);
@@ -221,8 +221,8 @@
     let now = node.now();
     let mut state = node.state.borrow_mut();
     for entry in demand {
-        let (wanted, count) = entry.clone().into_parts();
-        state.record_demand(now, &wanted, count);
+        let (model_ref, count) = entry.clone().into_parts();
+        state.record_demand(now, &model_ref, count);
     }
 }
 
@@ -233,13 +233,13 @@
     if !is_leader(node, request.fence) {
         return own(StatusCode::CONFLICT, "this node is not the leader");
     }
-    let wanted = ModelRef { model: request.model, adapter: request.adapter };
+    let model_ref = ModelRef { model: request.model, adapter: request.adapter };
     let placement =
-        leader::request_placement(node, &wanted, &request.domain, request.stale_engine.as_ref())
+        leader::request_placement(node, &model_ref, &request.domain, request.stale_engine.as_ref())
             .await;
     json_response(&PlacementResponse {
         placement,
-        placements: leader::placements_of(node, &wanted),
+        placements: leader::placements_of(node, &model_ref),
     })
 }
 
--- a/crates/gateway/src/peers/poll.rs
+++ b/crates/gateway/src/peers/poll.rs
@@ -63,16 +63,16 @@
     /// respond.
     async fn poll_once(&mut self, node: &Node, parent: Parent, addr: SocketAddr) -> Option<u32> {
         let fence = node.leadership.borrow().leader.as_ref().map_or(0, |leader| leader.fence);
-        let mut asked = take_unreported_demand(node);
+        let mut demand = take_unreported_demand(node);
         let reports_earlier_demand =
             parent == Parent::Leader && self.demand_reported_to != Some(fence);
         let earlier_demand = reports_earlier_demand.then(|| earlier_demand(node));
         if reports_earlier_demand {
             // The earlier demand includes these counts.
-            asked.clear();
+            demand.clear();
         }
-        let request = self.request(node, asked, earlier_demand);
-        let (now, asked) = (node.now(), boot_time());
+        let request = self.request(node, demand, earlier_demand);
+        let (now, sent_at) = (node.now(), boot_time());
         self.loads_reported_at = now;
         let update: PollResponse =
             match try_call(node, addr, "/tell", &request, MAX_POLL_WAIT + RESPONSE_TIMEOUT).await {
@@ -92,7 +92,7 @@
         if reports_earlier_demand {
             self.demand_reported_to = Some(fence);
         }
-        proof::hear(node, asked, update.waited_ms, update.freshness);
+        proof::hear(node, sent_at, update.waited_ms, update.freshness);
         if update.catalog_position > node.catalog_position.get() {
             node.catalog_position.set(update.catalog_position);
         }
@@ -100,7 +100,7 @@
         let children = update.children;
         node.backoff.set_siblings(children);
         if update.data_age_ms > max_data_age(node) {
-            node.heads.borrow_mut().skip(addr, SkipReason::Stale, node.now());
+            node.hubs.borrow_mut().skip(addr, SkipReason::Stale, node.now());
         }
         apply_update(node, now, update);
         Some(children)
@@ -132,7 +132,7 @@
             demand,
             earlier_demand,
             peers_digest: node.peer_socket.digest(),
-            hubs_digest: digest(node.heads.borrow().candidates()),
+            hubs_digest: digest(node.hubs.borrow().candidates()),
         }
     }
 
@@ -141,7 +141,7 @@
         if parent == Parent::Leader {
             node.leadership.borrow_mut().leader_liveness.mark_unresponsive();
         }
-        node.heads.borrow_mut().skip(addr, SkipReason::Unresponsive, node.now());
+        node.hubs.borrow_mut().skip(addr, SkipReason::Unresponsive, node.now());
     }
 }
 
@@ -161,7 +161,7 @@
     let last_renewal = update.last_renewal.map(|(end, age)| (end, received_at.saturating_sub(age)));
     node.leadership.borrow_mut().leader_liveness.record_response(last_renewal);
     if let Some(hub_candidates) = update.hub_candidates {
-        node.heads.borrow_mut().set_candidates(hub_candidates);
+        node.hubs.borrow_mut().set_candidates(hub_candidates);
     }
     apply_list_update(node, update.list_update);
     // Counted from the request, because the response may have been delayed on its way.
@@ -214,7 +214,7 @@
         .as_ref()
         .filter(|leader| leader.addr == addr)
         .map(|leader| leader.node.clone());
-    let hubs = node.heads.borrow();
+    let hubs = node.hubs.borrow();
     let hub = hubs.candidates().iter().find(|c| c.addr == addr).map(|c| c.node.clone());
     leader.or(hub).unwrap_or_else(|| addr.to_string())
 }
--- a/crates/gateway/src/peers/poll_response.rs
+++ b/crates/gateway/src/peers/poll_response.rs
@@ -91,7 +91,7 @@
     let hub_candidates = if !members.is_empty() {
         candidates(&members, &request.domain)
     } else if node.settings.borrow().domain == request.domain {
-        node.heads.borrow().candidates().to_vec()
+        node.hubs.borrow().candidates().to_vec()
     } else {
         return None;
     };
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -149,12 +149,12 @@
 }
 
 async fn answer_ready(node: Node, req: http::Request<Incoming>) -> Answered {
-    let (head, _) = req.into_parts();
-    Ok(ready_answer(&node, &head))
+    let (parts, _) = req.into_parts();
+    Ok(ready_answer(&node, &parts))
 }
 
-fn ready_answer(node: &Node, head: &http::request::Parts) -> Answer {
-    if !node.dialects.callers.asks_ready(head) {
+fn ready_answer(node: &Node, parts: &http::request::Parts) -> Answer {
+    if !node.dialects.callers.asks_ready(parts) {
         return own(StatusCode::NOT_FOUND, "unknown path");
     }
     if node.is_ready() {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -74,8 +74,8 @@
 
     /// Age of the leader's updates after which a node reads the store itself: longer than the
     /// leader's read interval, and short enough to catch up in time.
-    pub(crate) fn max_leader_update_age(&self, has_head: bool) -> Duration {
-        let longest = if has_head { HUB_WAIT_FACTOR } else { 1.0 };
-        self.follow_time().mul_f64(0.625 * longest)
+    pub(crate) fn max_leader_update_age(&self, has_hub: bool) -> Duration {
+        let factor = if has_hub { HUB_WAIT_FACTOR } else { 1.0 };
+        self.follow_time().mul_f64(0.625 * factor)
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -53,7 +53,7 @@
     pub(crate) proofs: Proofs,
     pub(crate) quotas: Quotas,
     /// In-flight requests at engines, as reported by other nodes.
-    pub(crate) sums: RefCell<Aggregator>,
+    pub(crate) aggregator: RefCell<Aggregator>,
     /// Unreachable engines that this node probes until they are back.
     pub(crate) probed_engines: RefCell<IndexSet<EngineKey>>,
     /// Notified when another node reports an engine unreachable or reachable again.
@@ -63,7 +63,7 @@
     /// Engines whose loaded models changed, for the nodes that poll this one.
     pub(crate) placement_changes: RefCell<PlacementChanges>,
     /// Candidates for the hub of this node's failure domain, which forwards the leader's updates.
-    pub(crate) heads: RefCell<Hubs>,
+    pub(crate) hubs: RefCell<Hubs>,
     /// All nodes in the store; empty until this node has read them.
     pub(crate) members: RefCell<Vec<Member>>,
     /// Notified when there is an update for the nodes that poll this one.
@@ -93,7 +93,7 @@
     /// Notified when the leader reports a newer configuration.
     pub(crate) catalog_reported: Notify,
     /// Whether this node reaches neither the store nor engines in other failure domains.
-    cut_off: Cell<bool>,
+    is_isolated: Cell<bool>,
     /// Notified when an engine is known to have loaded or unloaded a model or adapter.
     pub(crate) placement_changed: Notify,
     /// Notified when an engine has restarted.
@@ -132,12 +132,12 @@
             backoff: Backoff::default(),
             proofs: Proofs::default(),
             quotas: Quotas::default(),
-            sums: RefCell::default(),
+            aggregator: RefCell::default(),
             probed_engines: RefCell::default(),
             reachability_changed: Notify::new(),
             children: Children::default(),
             placement_changes: RefCell::default(),
-            heads: RefCell::default(),
+            hubs: RefCell::default(),
             members: RefCell::default(),
             update_available: Notify::new(),
             jitter: random(),
@@ -151,7 +151,7 @@
             catalog_position: Cell::new(None),
             is_fetching_catalog: Cell::new(false),
             catalog_reported: Notify::new(),
-            cut_off: Cell::new(false),
+            is_isolated: Cell::new(false),
             placement_changed: Notify::new(),
             engine_restarted: Notify::new(),
         })
@@ -169,7 +169,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.state.borrow();
         let knows = state.catalog.is_some() && state.has_engine_list;
-        knows && !self.is_stopping() && !self.cut_off.get() && proof::holds(self)
+        knows && !self.is_stopping() && !self.is_isolated.get() && proof::holds(self)
     }
 
     /// Records that the leader's updates reflect the store up to `at`.
@@ -201,7 +201,7 @@
         }
         let leader_addr = self.leadership.borrow().leader.as_ref().map(|leader| leader.addr);
         let own_addr = self.settings.borrow().peer_addr;
-        let parent = self.heads.borrow().parent(own_addr, leader_addr, self.now());
+        let parent = self.hubs.borrow().parent(own_addr, leader_addr, self.now());
         match parent {
             Parent::Hub(addr) => Some((parent, addr)),
             Parent::Leader => leader_addr.map(|addr| (parent, addr)),
@@ -209,7 +209,7 @@
     }
 
     /// Whether this node polls the hub of its domain rather than the leader.
-    pub(crate) fn has_head(&self) -> bool {
+    pub(crate) fn has_hub(&self) -> bool {
         matches!(self.parent(), Some((Parent::Hub(_), _)))
     }
 
@@ -225,7 +225,7 @@
     pub(crate) fn has_recent_leader_updates(&self) -> bool {
         let is_leader = self.leadership.borrow().is_leader();
         let max_age =
-            self.settings.borrow().max_leader_update_age(self.has_head()).as_millis() as Millis;
+            self.settings.borrow().max_leader_update_age(self.has_hub()).as_millis() as Millis;
         let age = self.leader_updated_at.get().map(|at| self.now().saturating_sub(at));
         !is_leader && !self.leader_refuses.get() && age.is_some_and(|age| age < max_age)
     }
@@ -258,18 +258,18 @@
 
     /// Whether callers should reconnect to another node.
     pub(crate) fn should_close_connections(&self) -> bool {
-        self.is_stopping() || self.cut_off.get() || !proof::holds(self)
+        self.is_stopping() || self.is_isolated.get() || !proof::holds(self)
     }
 
     /// Updates whether this node is cut off.
     pub(crate) fn update_cut_off(&self) {
         let now = self.now();
-        let store_silent_for = now.saturating_sub(self.store_responded_at.get());
-        let cut_off = {
+        let store_silence = now.saturating_sub(self.store_responded_at.get());
+        let is_isolated = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
-            is_isolated(store_silent_for, &state.engines, &settings.domain, now)
+            is_isolated(store_silence, &state.engines, &settings.domain, now)
         };
-        if cut_off != self.cut_off.replace(cut_off) {
+        if is_isolated != self.is_isolated.replace(is_isolated) {
             let node = self.settings.borrow().node.clone();
             emit(Event::ReadinessChanged, &[("node", &node), ("ready", &self.is_ready())]);
         }
@@ -290,19 +290,13 @@
     }
 
     /// Records that the engine list is known up to `place`.
-    pub(crate) fn record_list_version(&self, place: ListVersion, source: ListSource) {
+    pub(crate) fn record_list_version(&self, version: ListVersion, source: ListSource) {
         let changes = {
             let mut state = self.state.borrow_mut();
-            let State {
-                engines,
-                list_changes: listing,
-                list_version: list_at,
-                has_engine_list: listed,
-                ..
-            } = &mut *state;
-            *listed = true;
-            *list_at = (*list_at).max(Some(place));
-            listing.update(engines, place.position())
+            let State { engines, list_changes, list_version, has_engine_list, .. } = &mut *state;
+            *has_engine_list = true;
+            *list_version = (*list_version).max(Some(version));
+            list_changes.update(engines, version.position())
         };
         let node = &self.settings.borrow().node;
         for change in &changes {
@@ -313,7 +307,7 @@
                     ("upstream", &change.engine),
                     ("standing", change),
                     ("by", &source),
-                    ("place", &place.position()),
+                    ("place", &version.position()),
                 ],
             );
         }
@@ -334,11 +328,11 @@
     }
 
     /// Records the outcome of a request at an engine.
-    pub(crate) fn record_outcome(&self, engine: &EngineId, verdict: AttemptOutcome) {
+    pub(crate) fn record_outcome(&self, engine: &EngineId, outcome: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.engines.get_mut(engine) else { return };
-        let Some(health) = known.health.record(now, verdict) else { return };
+        let Some(health) = known.health.record(now, outcome) else { return };
         let failure_rate = format!("{:.2}", known.health.failure_rate(now));
         let node = &self.settings.borrow().node;
         emit(
@@ -376,8 +370,8 @@
     /// Time since the last byte from an engine.
     pub(crate) fn time_since_heard(&self, engine: &EngineId) -> Duration {
         let state = self.state.borrow();
-        let heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
-        Duration::from_millis(self.now().saturating_sub(heard))
+        let last_heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
+        Duration::from_millis(self.now().saturating_sub(last_heard))
     }
 
     pub(crate) fn engine<R>(&self, id: &EngineId, f: impl FnOnce(&Engine) -> R) -> Option<R> {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -35,10 +35,10 @@
 
 impl State {
     /// Counts requests for a model or an adapter.
-    pub(crate) fn record_demand(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
-        self.demand.record(now, wanted, count);
+    pub(crate) fn record_demand(&mut self, now: Millis, model_ref: &ModelRef, count: f64) {
+        self.demand.record(now, model_ref, count);
         if self.unreported_demand.len() < MAX_UNREPORTED_NAMES {
-            *self.unreported_demand.entry(wanted.clone()).or_default() += count;
+            *self.unreported_demand.entry(model_ref.clone()).or_default() += count;
         }
     }
 }
