--- a/crates/gateway/src/attempt_guard.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -6,7 +6,7 @@
 use hgw_direct::{AttemptOutcome, EngineId, Load, SendId, StartTime};
 use hgw_http1::Conn;
 
-use crate::peers::Word;
+use crate::peers::Datagram;
 use crate::shared::Node;
 
 /// A request in flight at an engine, until dropped.
@@ -39,7 +39,7 @@
             }
         }
         if let Some(id) = pending_prefill {
-            node.sends.tell(node, &Word::Sent(engine.clone(), started_at, id, tokens));
+            node.peer_socket.broadcast(node, &Datagram::Sent(engine.clone(), started_at, id, tokens));
         }
         AttemptGuard { node: Rc::clone(node), engine: engine.clone(), started_at, pending_prefill }
     }
@@ -58,7 +58,7 @@
     /// Records the outcome of the request, unless the engine has restarted since.
     pub(crate) fn record_outcome(&self, outcome: AttemptOutcome) {
         if !self.engine_restarted() {
-            self.node.saw(&self.engine, outcome);
+            self.node.record_outcome(&self.engine, outcome);
         }
     }
 
@@ -86,8 +86,8 @@
         let Some(id) = self.pending_prefill.take() else { return };
         let load = load.map(|load| (load.running, load.waiting));
         self.node
-            .sends
-            .tell(&self.node, &Word::Answers(self.engine.clone(), self.started_at, id, load));
+            .peer_socket
+            .broadcast(&self.node, &Datagram::ResponseStarted(self.engine.clone(), self.started_at, id, load));
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let Some(engine) = state.engines.get_mut(&self.engine) else { return };
@@ -124,8 +124,8 @@
         }
         if let Some(id) = pending_prefill {
             self.node
-                .sends
-                .tell(&self.node, &Word::Ended(self.engine.clone(), self.started_at, id));
+                .peer_socket
+                .broadcast(&self.node, &Datagram::Ended(self.engine.clone(), self.started_at, id));
             self.node.prefill_queue.changed.notify_waiters();
         }
     }
--- a/crates/gateway/src/caller_listener.rs
+++ b/crates/gateway/src/caller_listener.rs
@@ -34,18 +34,18 @@
                 continue;
             }
         };
-        let open = node.stop.connections.get();
+        let open = node.shutdown.connections.get();
         // Above the limit, file descriptors are kept for connections to engines; the load balancer
         // retries at another node.
-        if open >= node.settings.borrow().connections
+        if open >= node.settings.borrow().max_connections
             || listen::set_socket_options(&stream).is_err()
         {
             continue;
         }
-        node.stop.connections.set(open + 1);
+        node.shutdown.connections.set(open + 1);
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
-            let stop = &node.stop;
+            let stop = &node.shutdown;
             serve_connection(&node, stream).await;
             stop.connections.set(stop.connections.get() - 1);
         });
@@ -78,13 +78,13 @@
             // The connection has ended; an error of the caller needs no handling.
             _ = conn.as_mut() => return,
             () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {}
-            () = node.stop.changed.notified() => {}
+            () = node.shutdown.changed.notified() => {}
         }
         let idle = node.now().saturating_sub(activity.last_active.get());
         let idle_timeout = node.state.borrow().catalog.as_ref().map(|c| c.limits.idle_timeout);
         let idle_timeout = idle_timeout.unwrap_or(Duration::from_secs(60)).as_millis() as Millis;
         let is_idle = activity.open_requests.get() == 0 && idle > idle_timeout;
-        if !is_shutting_down && (is_idle || node.stop.closing.get()) {
+        if !is_shutting_down && (is_idle || node.shutdown.closing.get()) {
             is_shutting_down = true;
             conn.as_mut().graceful_shutdown();
         }
@@ -109,7 +109,7 @@
     activity.open_requests.set(activity.open_requests.get() + 1);
     let open_request = OpenRequest(activity, Rc::clone(&node));
     let mut response = relay::handle(&node, req).await;
-    if node.sends_away() {
+    if node.should_close_connections() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     drop(open_request);
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -1,7 +1,8 @@
-//! In which life of the store this node stands.
+//! Tracks the era of the store.
 //!
-//! The store may come back from a copy some seconds old. A node finds out by the first answer of any call, or by the word
-//! of another node; from then on no answer of an earlier era counts. What is known stays in use until it was read anew.
+//! The era increases by one each time the store is restored from a backup. A node learns of it from
+//! any response of the store or from another node, and then ignores responses of earlier eras. Data
+//! of the earlier era stays in use until it has been read again.
 
 use std::time::Duration;
 
@@ -11,47 +12,47 @@
 use crate::clock::boot_time;
 use crate::shared::Shared;
 
-/// Time after the store's return in which operators and engines write again what it has lost.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(2_000);
+/// Time after a restore in which operators and engines write again what the backup lacked.
+const RECOVERY_TIME: Duration = Duration::from_millis(2_000);
 
-/// A call to the store has ended: its answer may tell of a new era.
-pub(crate) fn look(node: &Shared) {
-    learn(node, node.protocols.store.era(), Duration::ZERO, "store");
+/// Checks for a new era after a call to the store.
+pub(crate) fn check(node: &Shared) {
+    record(node, node.dialects.store.era(), Duration::ZERO, "store");
 }
 
-/// What this node tells another: its era, and for how many milliseconds that has lasted at least; nothing in the first.
-pub(crate) fn told(node: &Shared) -> Option<(Era, u64)> {
+/// Era for other nodes and its least age in milliseconds; none in the first era.
+pub(crate) fn to_report(node: &Shared) -> Option<(Era, u64)> {
     let known = node.era.get();
     let lasted = known.min_age(boot_time()).as_millis() as u64;
     (known.era() > Era::FIRST).then_some((known.era(), lasted))
 }
 
-/// Another node tells the same.
-pub(crate) fn hear(node: &Shared, told: Option<(Era, u64)>) {
-    let Some((era, lasted_ms)) = told else { return };
-    node.protocols.store.observe_era(era);
-    learn(node, era, Duration::from_millis(lasted_ms), "peer");
+/// Takes in the era that another node reported.
+pub(crate) fn record_reported(node: &Shared, reported: Option<(Era, u64)>) {
+    let Some((era, lasted_ms)) = reported else { return };
+    node.dialects.store.observe_era(era);
+    record(node, era, Duration::from_millis(lasted_ms), "peer");
 }
 
-fn learn(node: &Shared, era: Era, lasted: Duration, by: &str) {
+fn record(node: &Shared, era: Era, lasted: Duration, source: &str) {
     let mut known = node.era.get();
     let is_new = known.observe(era, lasted, boot_time());
     node.era.set(known);
-    // A node that has just started finds the era that there is.
-    if is_new && node.state.borrow().listed {
+    // A node that has just started always sees a new era, which is not worth logging.
+    if is_new && node.state.borrow().has_engine_list {
         let name = &node.settings.borrow().node;
-        emit(Event::StoreCameBack, &[("node", name), ("era", &era), ("by", &by)]);
+        emit(Event::StoreCameBack, &[("node", name), ("era", &era), ("by", &source)]);
     }
 }
 
-/// When what the operators had written is there again at the latest; always, where nothing was lost.
-pub(crate) fn written_again_at(node: &Shared) -> Duration {
+/// Boot time at which lost writes are assumed to be written again; zero in the first era.
+pub(crate) fn recovered_at(node: &Shared) -> Duration {
     let known = node.era.get();
     let is_first = known.era() == Era::FIRST;
-    if is_first { Duration::ZERO } else { known.since() + WRITTEN_AGAIN }
+    if is_first { Duration::ZERO } else { known.since() + RECOVERY_TIME }
 }
 
-/// Whether what the store had lost may not be there again.
-pub(crate) fn is_young(node: &Shared) -> bool {
-    boot_time() < written_again_at(node)
+/// Whether data that a restore lost may still be missing.
+pub(crate) fn is_recovering(node: &Shared) -> bool {
+    boot_time() < recovered_at(node)
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the list of engines.
+//! Keeps the configuration and the engine list up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,171 +8,178 @@
 use hgw_events::{Event, emit};
 use tokio::time::{sleep, timeout};
 
-use crate::backoff::{after_failure, pause_after_failure};
+use crate::backoff::{retry_pause, wait_to_retry};
 use crate::clock::boot_time;
+use crate::protocol::{Cursor, EngineChange, EngineEntry, EngineListUpdate, StoreError};
 use crate::eras;
-use crate::freshness;
-use crate::keeper;
+use crate::leader;
 use crate::meter;
 use crate::peers;
-use crate::protocol::{Cursor, EngineChange, EngineEntry, EngineListUpdate, StoreError};
-use crate::shared::{ListedBy, Node};
+use crate::freshness;
+use crate::shared::{ListSource, Node};
 
-/// Pause before the next look for a configuration where there is none yet.
-const NONE_YET: Duration = Duration::from_millis(300);
+/// Pause before the next read while the store has no configuration.
+const NO_CONFIG_PAUSE: Duration = Duration::from_millis(300);
 
-/// By how much the keeper reads the list more often than a node that reads for itself: what it passes on is
-/// older by the time between two exchanges.
-const KEEPER_READS: u32 = 3;
+/// The leader reads the engine list this many times as often as other nodes, because forwarding
+/// adds the delay of an exchange.
+const LEADER_READ_FACTOR: u32 = 3;
 
-/// Heartbeats after which an entry may lapse because the store was away. A shorter silence is this node's own,
-/// and what is missing after it is gone.
-const KEPT_AFTER: u32 = 2;
+/// An outage of the store shorter than this many heartbeats cannot make entries expire, so missing
+/// engines are really gone.
+const MIN_OUTAGE_HEARTBEATS: u32 = 2;
 
-/// Time between two looks whether a node that has just started was told anything.
-const START_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a starting node checks for updates from the leader.
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks whether the keeper still tells what the store does.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a node checks whether the leader still sends updates.
+const UPDATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after the store's return for which entries that are missing are kept: they come back with their
-/// engines' next heartbeats.
-const KEPT_FOR: Duration = Duration::from_millis(2_000);
+/// After an outage of the store, time for which missing engines are kept: their next heartbeats
+/// restore the entries.
+const KEEP_MISSING_FOR: Duration = Duration::from_millis(2_000);
 
-/// Longest time after its start for which a node leaves it to a keeper to read the store. One that has just started itself
-/// answers hundreds of nodes within a second.
-const UNTOLD: Duration = Duration::from_millis(1_500);
+/// Maximum wait at the start for the leader's first update. A leader that has just started itself
+/// responds to hundreds of nodes within a second.
+const MAX_START_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Longest such time where no keeper is known.
-const UNKNOWN: Duration = Duration::from_millis(600);
+/// Maximum wait at the start while no leader is known.
+const MAX_START_WAIT_WITHOUT_LEADER: Duration = Duration::from_millis(600);
 
-/// Time that a node with a whole processor leaves it to others, where no keeper is known.
-const NO_KEEPER: Duration = Duration::from_millis(60);
+/// Wait at the start for a node with a full processor while no leader is known.
+const START_WAIT_WITHOUT_LEADER: Duration = Duration::from_millis(60);
 
-/// Waits at the start for what other nodes tell.
+/// Waits at the start for updates from the leader.
 ///
-/// Load: hundreds of nodes start at once, and each reads all that there is from the store before the first of them
-/// could tell the others. Larger machines read first, and one of them becomes the keeper.
-pub(crate) async fn until_told(node: &Node) {
-    let processor = node.settings.borrow().processor.clamp(0.01, 1.0);
-    let untold = NO_KEEPER.div_f64(processor).min(UNKNOWN).as_millis() as u64;
+/// Without the wait, hundreds of nodes that start together would all read everything from the
+/// store. Larger machines wait less, so one of them becomes the leader.
+pub(crate) async fn wait_for_first_update(node: &Node) {
+    let cpu_share = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
+    let max_wait_alone =
+        START_WAIT_WITHOUT_LEADER.div_f64(cpu_share).min(MAX_START_WAIT_WITHOUT_LEADER).as_millis()
+            as u64;
     loop {
         let now = node.now();
-        let others = {
-            let holding = node.holding.borrow();
-            let me = node.settings.borrow().peers;
-            !holding.is_mine() && holding.keeper.as_ref().is_some_and(|k| k.addr != me)
+        let has_other_leader = {
+            let leadership = node.leadership.borrow();
+            let own_addr = node.settings.borrow().peer_addr;
+            !leadership.is_leader()
+                && leadership.leader.as_ref().is_some_and(|leader| leader.addr != own_addr)
         };
-        let longest = if others { UNTOLD.as_millis() as u64 } else { untold };
-        if node.is_followed() || now >= longest {
+        let max_wait =
+            if has_other_leader { MAX_START_WAIT.as_millis() as u64 } else { max_wait_alone };
+        if node.has_recent_leader_updates() || now >= max_wait {
             return;
         }
-        sleep(START_LOOK).await;
+        sleep(START_CHECK_INTERVAL).await;
     }
 }
 
-/// Follows the configuration until the process ends.
+/// Keeps the configuration up to date until the process ends.
 pub(crate) async fn catalog(node: Node) {
     let mut cursor = None;
-    // The newest version up to there, where it could be read.
+    // Newest version up to `cursor`, unless it could not be parsed.
     let mut newest = None;
-    let mut link = Link::new(&node, "configuration");
-    until_told(&node).await;
+    let mut link = StoreLink::new(&node, "configuration");
+    wait_for_first_update(&node).await;
     loop {
-        let followed = node.is_followed();
-        if followed && !node.lacks_catalog() && !proof_is_due(&node) {
-            // The keeper reads for all nodes, and tells.
-            let _ = timeout(LOOK, node.catalog_news.notified()).await;
+        let has_leader_updates = node.has_recent_leader_updates();
+        if has_leader_updates && !node.is_catalog_outdated() && !needs_store_check(&node) {
+            // The leader reads the store for all nodes.
+            let _ = timeout(UPDATE_CHECK_INTERVAL, node.catalog_reported.notified()).await;
             continue;
         }
-        let told = followed && node.lacks_catalog();
-        if told
-            && let Some(text) = peers::catalog(&node).await
+        let is_reported = has_leader_updates && node.is_catalog_outdated();
+        if is_reported
+            && let Some(text) = peers::fetch_catalog(&node).await
             && adopt(&node, text).is_some_and(|adopted| adopted.is_newer)
         {
             continue;
         }
-        // An answer tells that the store is back: it must not wait there for news.
-        let usual = freshness::max_poll_wait(&node, node.settings.borrow().catalog_wait());
-        let wait = if link.is_down() || followed { Duration::ZERO } else { usual };
-        let asked = boot_time();
-        if let Some((version, at)) = told_place(&node).filter(|(_, at)| cursor < Some(*at)) {
+        // After an outage, a call that waits for update would delay the detection that the store is
+        // back.
+        let default_wait = freshness::max_poll_wait(&node, node.settings.borrow().max_catalog_wait());
+        let wait = if link.is_down() || has_leader_updates { Duration::ZERO } else { default_wait };
+        let asked_at = boot_time();
+        if let Some((version, at)) =
+            reported_catalog_position(&node).filter(|(_, at)| cursor < Some(*at))
+        {
             (newest, cursor) = (Some(version), Some(at));
         }
-        let call = node.protocols.store.poll_catalog(cursor, wait);
-        let answered = if told {
+        let call = node.dialects.store.poll_catalog(cursor, wait);
+        let response = if is_reported {
             call.await
         } else {
             tokio::select! {
                 biased;
-                answered = call => answered,
-                () = until_lacking(&node) => continue,
+                response = call => response,
+                () = until_catalog_outdated(&node) => continue,
             }
         };
-        match answered {
-            Ok(news) => {
-                link.up();
-                cursor = Some(news.cursor);
-                let nothing = news.catalog.is_none();
-                if let Some(text) = news.catalog {
+        match response {
+            Ok(update) => {
+                link.record_success();
+                cursor = Some(update.cursor);
+                let is_unchanged = update.catalog.is_none();
+                if let Some(text) = update.catalog {
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
                 if let Some(newest) = newest {
-                    freshness::record_store_read(&node, VersionCheck { newest, asked_at: asked });
-                    node.catalog_at.set(cursor.map(|at| (newest, at)));
+                    freshness::record_store_read(&node, VersionCheck { newest, asked_at });
+                    node.catalog_position.set(cursor.map(|at| (newest, at)));
                 }
-                if nothing && node.state.borrow().catalog.is_none() {
-                    sleep(NONE_YET).await;
+                if is_unchanged && node.state.borrow().catalog.is_none() {
+                    sleep(NO_CONFIG_PAUSE).await;
                 }
             }
             Err(e) => {
-                link.down(&e);
-                if followed {
-                    // Another node may yet tell of a younger question.
-                    sleep(pause_after_failure(&node).min(freshness::max_retry_delay(&node))).await;
+                link.record_failure(&e);
+                if has_leader_updates {
+                    // Another node may still send a more recent proof.
+                    sleep(retry_pause(&node).min(freshness::max_retry_delay(&node))).await;
                 } else {
-                    after_failure(&node).await;
+                    wait_to_retry(&node).await;
                 }
             }
         }
     }
 }
 
-/// The version of the configuration that this node was told, and where to read on from it.
+/// Version of this node's configuration and the log position to read on from, if another node sent
+/// them.
 ///
-/// Load: the keeper is lost, and hundreds of nodes ask at once whether what they have is still the newest. Without a
-/// place in the log each would read the whole text to learn that, more than the store gives in a second.
-fn told_place(node: &Node) -> Option<(u64, Cursor)> {
+/// Without the position, every node would read the complete configuration from the store when the
+/// leader fails.
+fn reported_catalog_position(node: &Node) -> Option<(u64, Cursor)> {
     let version = node.state.borrow().catalog.as_ref().map(|c| c.version);
-    node.catalog_at.get().filter(|(told, _)| Some(*told) == version)
+    node.catalog_position.get().filter(|(reported, _)| Some(*reported) == version)
 }
 
-/// Whether nobody tells this node that its configuration is still the newest, so that it asks the store.
-fn proof_is_due(node: &Node) -> bool {
-    freshness::needs_store_check(node, node.has_head())
+/// Whether this node must ask the store if its configuration is current.
+fn needs_store_check(node: &Node) -> bool {
+    freshness::needs_store_check(node, node.has_hub())
 }
 
-/// Ends when another node tells of a newer configuration. A call to the store may be without an answer for two seconds,
-/// in which callers would be answered by the old one.
-async fn until_lacking(node: &Node) {
+/// Resolves when another node reports a newer configuration. Requests would be served with the old
+/// one if the pending call to the store had to end first.
+async fn until_catalog_outdated(node: &Node) {
     loop {
-        let told = node.catalog_news.notified();
-        if node.is_followed() && node.lacks_catalog() {
+        let notified = node.catalog_reported.notified();
+        if node.has_recent_leader_updates() && node.is_catalog_outdated() {
             return;
         }
-        told.await;
+        notified.await;
     }
 }
 
-/// What a configuration was that this node was given.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Adopted {
     version: u64,
-    /// Whether it was newer than the one before, and is in force now.
+    /// Whether it replaced an older one.
     is_newer: bool,
 }
 
-/// Puts a configuration in force, where it is newer; nothing where it cannot be read.
+/// Puts a configuration in force if it is newer. Returns none if it cannot be parsed.
 pub(crate) fn adopt(node: &Node, text: Bytes) -> Option<Adopted> {
     let known = node.state.borrow().catalog.as_ref().map(|catalog| catalog.version);
     if let Some(version) = known
@@ -180,7 +187,7 @@
     {
         return Some(Adopted { version, is_newer: false });
     }
-    let catalog = match node.protocols.store.parse_catalog(&text) {
+    let catalog = match node.dialects.store.parse_catalog(&text) {
         Ok(catalog) => catalog,
         Err(e) => {
             emit(Event::ConfigRejected, &[("node", &node.settings.borrow().node), ("why", &e)]);
@@ -188,7 +195,7 @@
         }
     };
     let version = catalog.version;
-    // A store that has come back from a copy may tell an older one.
+    // A store restored from a backup may return an older version.
     if known.is_some_and(|known| known >= version) {
         return Some(Adopted { version, is_newer: false });
     }
@@ -197,85 +204,87 @@
     state.catalog = Some(Arc::new(catalog));
     state.catalog_text = text;
     drop(state);
-    keeper::catalog_changed(node);
+    leader::catalog_changed(node);
     Some(Adopted { version, is_newer: true })
 }
 
-/// Follows the list of engines until the process ends.
+/// Keeps the engine list up to date until the process ends.
 pub(crate) async fn engines(node: Node) {
     let mut cursor = None;
-    let mut link = Link::new(&node, "engines");
-    until_told(&node).await;
-    let (mut back_at, mut last) = (None, node.now());
+    let mut link = StoreLink::new(&node, "engines");
+    wait_for_first_update(&node).await;
+    let (mut store_back_at, mut last_read) = (None, node.now());
     loop {
-        if node.is_followed() && !node.reads_list.get() {
-            // Read anew from the start once the keeper tells no more.
-            (cursor, back_at, last) = (None, None, node.now());
-            sleep(LOOK).await;
+        if node.has_recent_leader_updates() && !node.must_read_list.get() {
+            // The complete list is read again once the leader's updates stop.
+            (cursor, store_back_at, last_read) = (None, None, node.now());
+            sleep(UPDATE_CHECK_INTERVAL).await;
             node.pool.sweep();
             continue;
         }
-        match node.protocols.store.read_engines(cursor).await {
-            Ok(news) => {
-                node.list_read.set(node.now());
-                node.reads_list.set(false);
-                let was_away = link.up()
-                    && down_for(&node, last) >= KEPT_AFTER * node.settings.borrow().heartbeat;
-                if was_away || eras::is_young(&node) && back_at.is_none() {
-                    back_at = Some(node.now());
+        match node.dialects.store.read_engines(cursor).await {
+            Ok(update) => {
+                node.list_read_at.set(node.now());
+                node.must_read_list.set(false);
+                let had_outage = link.record_success()
+                    && time_since(&node, last_read)
+                        >= MIN_OUTAGE_HEARTBEATS * node.settings.borrow().heartbeat;
+                if had_outage || eras::is_recovering(&node) && store_back_at.is_none() {
+                    store_back_at = Some(node.now());
                 }
-                last = node.now();
-                // Those that ask this node have the same from now on, also where nothing has changed.
-                node.news.notify_waiters();
-                cursor = Some(news.cursor);
-                let since_back = back_at.map(|at| node.now().saturating_sub(at));
-                let keep = since_back.is_some_and(|t| t < KEPT_FOR.as_millis() as u64);
-                take_in(&node, news, keep);
-                if back_at.is_some() && !keep {
-                    // What is still missing is gone: the whole list shows it.
-                    back_at = None;
+                last_read = node.now();
+                // Nodes that poll this one learn the new age of the list, even if no engine
+                // changed.
+                node.update_available.notify_waiters();
+                cursor = Some(update.cursor);
+                let since_back = store_back_at.map(|at| node.now().saturating_sub(at));
+                let keep_missing =
+                    since_back.is_some_and(|t| t < KEEP_MISSING_FOR.as_millis() as u64);
+                apply_list_update(&node, update, keep_missing);
+                if store_back_at.is_some() && !keep_missing {
+                    // A read of the complete list removes the engines that are still missing.
+                    store_back_at = None;
                     cursor = None;
                     continue;
                 }
-                sleep(pause_before_next(&node)).await;
+                sleep(list_read_pause(&node)).await;
             }
             Err(e) => {
-                link.down(&e);
-                after_failure(&node).await;
+                link.record_failure(&e);
+                wait_to_retry(&node).await;
             }
         }
         node.pool.sweep();
     }
 }
 
-/// Time until the list is read again.
-fn pause_before_next(node: &Node) -> Duration {
-    let pause = node.settings.borrow().list_pause();
-    if node.holding.borrow().is_mine() {
-        pause / KEEPER_READS
-    } else if node.reads_on() {
+fn list_read_pause(node: &Node) -> Duration {
+    let pause = node.settings.borrow().list_read_interval();
+    if node.leadership.borrow().is_leader() {
+        pause / LEADER_READ_FACTOR
+    } else if node.polls_store() {
         pause
     } else {
-        pause * node.crowd()
+        pause * node.poll_interval_factor()
     }
 }
 
-fn down_for(node: &Node, last: hgw_direct::Millis) -> Duration {
+fn time_since(node: &Node, last: hgw_direct::Millis) -> Duration {
     Duration::from_millis(node.now().saturating_sub(last))
 }
 
-fn take_in(node: &Node, news: EngineListUpdate, keep: bool) {
+fn apply_list_update(node: &Node, update: EngineListUpdate, keep_missing: bool) {
     let now = node.now();
-    if let Some(first) = news.malformed.first() {
-        let (name, entries) = (&node.settings.borrow().node, news.malformed.len());
+    if let Some(first) = update.malformed.first() {
+        let (name, entries) = (&node.settings.borrow().node, update.malformed.len());
         emit(Event::ConfigRejected, &[("node", name), ("why", first), ("entries", &entries)]);
     }
     let mut state = node.state.borrow_mut();
-    if news.is_full_list && news.cursor.era > Era::FIRST {
-        state.engines.set_backup_end(news.cursor);
+    if update.is_full_list && update.cursor.era > Era::FIRST {
+        state.engines.set_backup_end(update.cursor);
     }
-    let mut whole = Vec::new();
-    for EngineChange { at, entry } in news.entries {
+    let mut snapshot = Vec::new();
+    for EngineChange { at, entry } in update.entries {
         match entry {
             EngineEntry::Listed { mut listed, left } => {
                 if let Some(left) = left {
@@ -283,39 +292,40 @@
                     listed.state = EngineState::Leaving { terminates_at: gone_at };
                 }
                 listed.position = at;
-                keep_newer(&state.engines, &mut listed);
-                if news.is_full_list {
-                    whole.push(*listed);
+                keep_reported_models(&state.engines, &mut listed);
+                if update.is_full_list {
+                    snapshot.push(*listed);
                 } else {
                     state.engines.upsert(*listed);
                 }
             }
             EngineEntry::Gone(id) => {
-                if !keep {
+                if !keep_missing {
                     state.engines.remove(&id, at);
                 }
             }
             EngineEntry::Unreadable(id) => {
                 state.engines.mark_unreadable(&id, at);
-                if news.is_full_list {
-                    whole.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
+                if update.is_full_list {
+                    snapshot.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
             }
         }
     }
-    if news.is_full_list {
-        state.engines.apply_snapshot(whole, news.cursor, keep);
+    if update.is_full_list {
+        state.engines.apply_snapshot(snapshot, update.cursor, keep_missing);
     }
     drop(state);
-    node.look_for_starts();
-    node.listed_to(ListVersion::at_position(news.cursor), ListedBy::Store);
-    keeper::look_at_list(node);
-    node.placed.notify_waiters();
+    node.handle_restarts();
+    node.record_list_version(ListVersion::at_position(update.cursor), ListSource::Store);
+    leader::notify_list_change(node);
+    node.placement_changed.notify_waiters();
 }
 
-/// What the keeper told of an engine goes before its heartbeats: these may be written before an order has
-/// ended, and none is written for an adapter. The keeper tells every change.
-fn keep_newer(engines: &hgw_direct::Engines, listed: &mut EngineInfo) {
+/// Keeps the loaded models that the leader reported instead of those in a heartbeat, which may have
+/// been written before an order completed. Adapter loads write no heartbeat at all; the leader
+/// reports every change.
+fn keep_reported_models(engines: &hgw_direct::Engines, listed: &mut EngineInfo) {
     let Some(known) = engines.get(&listed.id) else { return };
     if known.placement_reported_at.is_some() && !known.info.started_at.is_before(listed.started_at)
     {
@@ -323,41 +333,40 @@
     }
 }
 
-/// Whether the store answers one kind of call, logged when it changes.
-pub(crate) struct Link {
+/// Tracks whether the store answers one kind of call and logs changes.
+pub(crate) struct StoreLink {
     node: Node,
     what: &'static str,
     up: Option<bool>,
 }
 
-impl Link {
-    pub(crate) fn new(node: &Node, what: &'static str) -> Link {
-        Link { node: Node::clone(node), what, up: None }
+impl StoreLink {
+    pub(crate) fn new(node: &Node, what: &'static str) -> StoreLink {
+        StoreLink { node: Node::clone(node), what, up: None }
     }
 
-    /// It answered; tells whether it had not before.
-    pub(crate) fn up(&mut self) -> bool {
+    /// Records a response. Returns whether the previous call failed.
+    pub(crate) fn record_success(&mut self) -> bool {
         meter::store_call(self.what, Ok(()));
-        eras::look(&self.node);
-        self.node.store_heard.set(self.node.now());
-        let back = self.up == Some(false);
-        if back {
+        eras::check(&self.node);
+        self.node.store_responded_at.set(self.node.now());
+        let recovered = self.up == Some(false);
+        if recovered {
             let name = self.node.settings.borrow().node.clone();
             emit(Event::LogUp, &[("node", &name), ("what", &self.what)]);
         }
         self.up = Some(true);
-        back
+        recovered
     }
 
-    /// Whether it did not answer last.
     pub(crate) fn is_down(&self) -> bool {
         self.up == Some(false)
     }
 
-    /// It did not answer.
-    pub(crate) fn down(&mut self, why: &StoreError) {
+    /// Records a failed call.
+    pub(crate) fn record_failure(&mut self, why: &StoreError) {
         meter::store_call(self.what, Err(why));
-        eras::look(&self.node);
+        eras::check(&self.node);
         if self.up != Some(false) {
             let name = self.node.settings.borrow().node.clone();
             emit(Event::LogDown, &[("node", &name), ("what", &self.what), ("why", why)]);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,18 +1,18 @@
-//! A node that serves callers from engines it reaches directly.
+//! A node that serves callers from engines it connects to directly.
 //!
-//! One thread does all of it: a stream has twenty events for each request, and an event that crosses
-//! threads pays for two wake-ups. What is decided lives in [`hgw_direct`]; names, formats and calls of a
-//! platform come in by the traits of [`protocol`].
+//! All tasks run on one thread, because passing the many events of a stream between threads would
+//! cost two wake-ups each. Decisions are made in [`hgw_direct`]; the names, formats and calls of a
+//! platform are defined by the traits of [`protocol`].
 
 mod attempt_guard;
 mod backoff;
 mod caller_listener;
 mod clock;
+mod election;
 mod eras;
 mod follow;
 mod freshness;
-mod holder;
-mod keeper;
+mod leader;
 mod listen;
 mod members;
 mod meter;
@@ -26,8 +26,8 @@
 mod run;
 mod settings;
 mod shared;
+mod shutdown;
 mod state;
-mod stop;
 
 pub use run::{Ended, Signal, run};
 pub use settings::Settings;
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,4 +1,4 @@
-//! The nodes that share budgets and connections: each makes itself known in the store, and the keeper counts them.
+//! Registers this node in the store and counts the nodes that share budgets and connections.
 
 use std::time::Duration;
 
@@ -6,89 +6,91 @@
 use hgw_direct::{Millis, broadcasts_sends};
 use tokio::time::sleep;
 
-use crate::backoff::after_failure;
-use crate::follow::until_told;
+use crate::backoff::wait_to_retry;
+use crate::follow::wait_for_first_update;
 use crate::shared::Node;
 
-/// Time between two counts.
-const COUNT: Millis = 10_000;
+const COUNT_INTERVAL_MS: Millis = 10_000;
 
-/// The same for the first counts of a node that gives orders: all may have started at once, and some made themselves
-/// known after it had counted.
-const FIRST_COUNTS: Millis = 1_000;
+/// Interval of a new leader's first counts: nodes that started together may register just after a
+/// count.
+const FIRST_COUNT_INTERVAL_MS: Millis = 1_000;
 
-/// How many those are.
-const FIRST: u32 = 3;
+/// Number of such counts.
+const FAST_COUNTS: u32 = 3;
 
-/// Pause before a node makes itself known that could not.
-const ANNOUNCE_AGAIN: Duration = Duration::from_millis(1_000);
+/// Pause before a failed registration is retried.
+const REGISTER_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Time between two looks whether it is time to count.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Makes this node known, and counts the others while nobody counts for it, until the process ends.
-pub(crate) async fn count(node: Node) {
-    let (mut announced, mut counted, mut at) = (announce(&node).await, 0, None);
+/// Registers this node, and counts the nodes if it is the leader or there is none, until the
+/// process ends.
+pub(crate) async fn register_and_count(node: Node) {
+    let (mut announced, mut counts_done, mut counted_at) = (register(&node).await, 0, None);
     let mut era = node.era.get().era();
-    let mut kept = false;
-    until_told(&node).await;
+    let mut was_leader = false;
+    wait_for_first_update(&node).await;
     loop {
         if !announced {
-            sleep(ANNOUNCE_AGAIN).await;
-            announced = announce(&node).await;
+            sleep(REGISTER_RETRY_PAUSE).await;
+            announced = register(&node).await;
         }
-        // What was made known may be lost with what the store had before.
-        let now_in = node.era.get().era();
-        if std::mem::replace(&mut era, now_in) != now_in {
-            announced = announce(&node).await;
-            (counted, at) = (0, None);
+        // A store restored from a backup may have lost the registration.
+        let current_era = node.era.get().era();
+        if std::mem::replace(&mut era, current_era) != current_era {
+            announced = register(&node).await;
+            (counts_done, counted_at) = (0, None);
         }
-        let keeps = node.holding.borrow().is_mine();
-        if keeps && !kept {
-            (counted, at) = (0, None);
+        let is_leader = node.leadership.borrow().is_leader();
+        if is_leader && !was_leader {
+            (counts_done, counted_at) = (0, None);
         }
-        kept = keeps;
-        let pause = if counted < FIRST { FIRST_COUNTS } else { COUNT };
-        let due = at.is_none_or(|at| node.now().saturating_sub(at) >= pause);
-        // A keeper counts for all; while there is none, the last count stands.
-        let counts = keeps || node.members.borrow().is_empty() && !node.was_followed();
-        if announced && due && counts {
-            at = Some(node.now());
-            match read(&node).await {
-                true => counted += 1,
-                false => after_failure(&node).await,
+        was_leader = is_leader;
+        let pause =
+            if counts_done < FAST_COUNTS { FIRST_COUNT_INTERVAL_MS } else { COUNT_INTERVAL_MS };
+        let due =
+            counted_at.is_none_or(|counted_at| node.now().saturating_sub(counted_at) >= pause);
+        // Only the leader counts. While there is no leader, the last count remains in use.
+        let should_count =
+            is_leader || node.members.borrow().is_empty() && !node.has_leader_updates();
+        if announced && due && should_count {
+            counted_at = Some(node.now());
+            match count_nodes(&node).await {
+                true => counts_done += 1,
+                false => wait_to_retry(&node).await,
             }
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn announce(node: &Node) -> bool {
-    let me = {
+async fn register(node: &Node) -> bool {
+    let member = {
         let settings = node.settings.borrow();
         Member {
             node: settings.node.clone(),
-            addr: settings.peers,
+            addr: settings.peer_addr,
             domain: settings.domain.clone(),
-            cpu_share: settings.processor,
+            cpu_share: settings.cpu_share,
         }
     };
-    let entry = serde_json::to_vec(&me).expect("a member can be written as JSON");
-    node.protocols.store.register_node(&me.node, entry.into()).await.is_ok()
+    let entry = serde_json::to_vec(&member).expect("a member is valid JSON");
+    node.dialects.store.register_node(&member.node, entry.into()).await.is_ok()
 }
 
-async fn read(node: &Node) -> bool {
-    let Ok(nodes) = node.protocols.store.registered_nodes().await else { return false };
-    // An entry that cannot be read is of another version of the program, and counts.
+async fn count_nodes(node: &Node) -> bool {
+    let Ok(nodes) = node.dialects.store.registered_nodes().await else { return false };
+    // An entry that cannot be parsed is from another version of the program and still counts.
     let count = u32::try_from(nodes.len()).unwrap_or(u32::MAX);
     let members = nodes.iter().filter_map(|(_, entry)| serde_json::from_slice(entry).ok());
     let members: Vec<Member> = members.collect();
     node.state.borrow_mut().nodes = count.max(1);
     if broadcasts_sends(count) {
-        node.sends.know(members.iter().map(|m| m.addr).collect());
+        node.peer_socket.set_peers(members.iter().map(|m| m.addr).collect());
     }
-    let own = candidates(&members, &node.settings.borrow().domain);
-    node.heads.borrow_mut().set_candidates(own);
+    let hub_candidates = candidates(&members, &node.settings.borrow().domain);
+    node.hubs.borrow_mut().set_candidates(hub_candidates);
     *node.members.borrow_mut() = members;
     true
 }
--- /dev/null
+++ b/crates/gateway/src/peers/datagrams.rs
@@ -0,0 +1,175 @@
+//! Datagrams between nodes, sent without an acknowledgement.
+
+use std::cell::RefCell;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use hgw_direct::aggregation::ReportScope;
+use hgw_direct::in_flight::{EngineKey, InFlightUpdate};
+use hgw_direct::{EngineId, Load, SendId, StartTime, broadcasts_sends};
+use serde::{Deserialize, Serialize};
+use tokio::net::UdpSocket;
+
+use crate::meter;
+use crate::shared::Node;
+
+use super::{in_flight, unreachable};
+
+/// Larger than any datagram here, and small enough to be sent without fragmentation.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+
+/// Event at an engine, sent to other nodes.
+///
+/// Without these, several nodes choose the same idle engine at the same time, and the prompts queue
+/// there. A lost datagram makes an engine look idle, or busy for at most two seconds.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) enum Datagram {
+    /// A request with a prompt of this many tokens was sent.
+    Sent(EngineId, StartTime, SendId, u32),
+    /// The response begins, with the number of running and waiting requests if the engine reported
+    /// them.
+    #[serde(rename = "Answers")]
+    ResponseStarted(EngineId, StartTime, SendId, Option<(u32, u32)>),
+    /// The request ended without a response.
+    Ended(EngineId, StartTime, SendId),
+    /// In-flight requests of a node, a domain or all nodes.
+    #[serde(rename = "Flights")]
+    InFlight(ReportScope, InFlightUpdate),
+    /// The sender cannot reach the engine.
+    #[serde(rename = "Lost")]
+    Unreachable(EngineKey),
+    /// The engine is unreachable from this failure domain.
+    #[serde(rename = "Dark")]
+    UnreachableFrom(EngineKey, String),
+    /// The engine is reachable again from this failure domain.
+    #[serde(rename = "Back")]
+    ReachableFrom(EngineKey, String),
+}
+
+/// UDP socket and addresses of the other nodes.
+#[derive(Debug, Default)]
+pub(crate) struct PeerSocket {
+    socket: RefCell<Option<Rc<UdpSocket>>>,
+    peers: RefCell<Vec<SocketAddr>>,
+}
+
+impl PeerSocket {
+    /// Replaces the known addresses.
+    pub(crate) fn set_peers(&self, peers: Vec<SocketAddr>) {
+        *self.peers.borrow_mut() = peers;
+    }
+
+    /// Adds an address. Returns the number of known addresses.
+    pub(crate) fn add_peer(&self, peer: SocketAddr) -> usize {
+        let mut peers = self.peers.borrow_mut();
+        if !peers.contains(&peer) {
+            peers.push(peer);
+        }
+        peers.len()
+    }
+
+    /// Number of known addresses without `own_addr`.
+    pub(super) fn count_without(&self, own_addr: SocketAddr) -> usize {
+        self.peers.borrow().iter().filter(|addr| **addr != own_addr).count()
+    }
+
+    pub(super) fn contains(&self, node: SocketAddr) -> bool {
+        self.peers.borrow().contains(&node)
+    }
+
+    pub(crate) fn addrs(&self) -> Vec<SocketAddr> {
+        self.peers.borrow().clone()
+    }
+
+    /// Hash by which two nodes compare their known addresses.
+    pub(crate) fn digest(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        self.peers.borrow().hash(&mut hasher);
+        hasher.finish()
+    }
+
+    /// Sends to all other nodes, unless there are too many to broadcast each request.
+    pub(crate) fn broadcast(&self, node: &Node, datagram: &Datagram) {
+        let nodes = node.state.borrow().nodes;
+        let own_addr = node.settings.borrow().peer_addr;
+        if broadcasts_sends(nodes) {
+            let peers = self.peers.borrow();
+            self.send_to(peers.iter().filter(|other| **other != own_addr), datagram);
+        }
+    }
+
+    pub(super) fn send_to<'a>(
+        &self,
+        peers: impl Iterator<Item = &'a SocketAddr>,
+        datagram: &Datagram,
+    ) {
+        let socket = self.socket.borrow();
+        let Some(socket) = socket.as_ref() else { return };
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+        ciborium::into_writer(datagram, &mut bytes).expect("a datagram is valid CBOR");
+        for peer in peers {
+            // A full send buffer loses the datagram, as the network may.
+            if socket.try_send_to(&bytes, *peer).is_err() {
+                meter::message_dropped();
+            }
+        }
+    }
+}
+
+/// Receives datagrams until the process ends.
+pub(crate) async fn receive(node: Node, socket: Rc<UdpSocket>) {
+    *node.peer_socket.socket.borrow_mut() = Some(Rc::clone(&socket));
+    let mut buf = [0; MAX_DATAGRAM_BYTES];
+    loop {
+        // An ICMP error of a stopped node is returned here; the socket remains usable.
+        let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
+        match ciborium::from_reader(&buf[..length]) {
+            Ok(Datagram::InFlight(scope, update)) => {
+                in_flight::apply_report(&node, from, scope, &update)
+            }
+            Ok(Datagram::Unreachable(key)) => unreachable::handle_unreachable(&node, from, key),
+            Ok(Datagram::UnreachableFrom(key, domain)) => {
+                unreachable::handle_hub_report(&node, from, key, &domain, true)
+            }
+            Ok(Datagram::ReachableFrom(key, domain)) => {
+                unreachable::handle_hub_report(&node, from, key, &domain, false)
+            }
+            Ok(datagram) => apply_request_event(&node, datagram),
+            Err(_) => {}
+        }
+    }
+}
+
+fn apply_request_event(node: &Node, datagram: Datagram) {
+    let now = node.now();
+    let ends_prefill = !matches!(datagram, Datagram::Sent(..));
+    let mut state = node.state.borrow_mut();
+    let engines = &mut state.engines;
+    match datagram {
+        Datagram::Sent(engine, start, id, tokens) => {
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.add_from_peer(id, tokens, now);
+        }
+        Datagram::ResponseStarted(engine, start, id, load) => {
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.finish(id, now);
+            if let Some((running, waiting)) = load {
+                engine.record_peer_load(Load { running, waiting, slots: engine.info.slots }, now);
+            }
+        }
+        Datagram::InFlight(..)
+        | Datagram::Unreachable(_)
+        | Datagram::UnreachableFrom(..)
+        | Datagram::ReachableFrom(..) => {}
+        Datagram::Ended(engine, start, id) => {
+            let Some(engine) = engines.observe_start(&engine, start) else { return };
+            engine.prefill_backlog.finish(id, now);
+        }
+    }
+    drop(state);
+    node.handle_restarts();
+    if ends_prefill {
+        node.turns.changed.notify_waiters();
+    }
+}
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -1,95 +1,100 @@
-//! What the keeper tells of engines: the list, and what they hold.
+//! Takes in the engine list and the loaded models that other nodes send.
 
 use hgw_direct::{
     CachedWeights, EngineInfo, EngineRecord, EngineState, Engines, ListUpdate, ListUpdateKind,
 };
 
-use crate::shared::{ListedBy, Node};
+use crate::shared::{ListSource, Node};
 
-use super::message::Told;
+use super::message::EnginePlacement;
 
-/// Takes the list of engines in that another node tells.
-pub(super) fn take_in_list(node: &Node, news: ListUpdate) {
+/// Updates the engine list.
+pub(super) fn apply_list_update(node: &Node, update: ListUpdate) {
     let mut state = node.state.borrow_mut();
-    if news.kind == ListUpdateKind::Unknown {
+    if update.kind == ListUpdateKind::Unknown {
         return;
     }
-    if news.kind == ListUpdateKind::RereadStore {
-        state.list_at = None;
-        node.reads_list.set(true);
+    if update.kind == ListUpdateKind::RereadStore {
+        state.list_version = None;
+        node.must_read_list.set(true);
         return;
     }
-    let changes =
-        news.kind == ListUpdateKind::Full || !news.engines.is_empty() || !news.removed.is_empty();
+    let has_changed = update.kind == ListUpdateKind::Full
+        || !update.engines.is_empty()
+        || !update.removed.is_empty();
     let engines = &mut state.engines;
-    engines.set_backup_end(news.backup_end);
+    engines.set_backup_end(update.backup_end);
     let entries: Vec<EngineInfo> =
-        news.engines.into_iter().map(|passed| listed_as(engines, passed)).collect();
-    if news.kind == ListUpdateKind::Full {
-        engines.apply_snapshot(entries, news.version.position(), false);
+        update.engines.into_iter().map(|record| to_engine_info(engines, record)).collect();
+    if update.kind == ListUpdateKind::Full {
+        engines.apply_snapshot(entries, update.version.position(), false);
     } else {
         for entry in entries {
             engines.upsert(entry);
         }
-        for (gone, at) in &news.removed {
+        for (gone, at) in &update.removed {
             engines.remove(gone, *at);
         }
     }
     drop(state);
-    node.look_for_starts();
-    node.listed_to(news.version, ListedBy::Peer);
-    if changes {
-        node.news.notify_waiters();
+    node.handle_restarts();
+    node.record_list_version(update.version, ListSource::Peer);
+    if has_changed {
+        node.update_available.notify_waiters();
     }
 }
 
-fn listed_as(engines: &Engines, passed: EngineRecord) -> EngineInfo {
+fn to_engine_info(engines: &Engines, record: EngineRecord) -> EngineInfo {
     let known =
-        engines.get(&passed.engine).filter(|k| !k.info.started_at.is_before(passed.started_at));
-    let standing = match (passed.leaving, passed.unreadable) {
+        engines.get(&record.engine).filter(|e| !e.info.started_at.is_before(record.started_at));
+    let engine_state = match (record.leaving, record.unreadable) {
         (_, true) => EngineState::Unreadable,
         (true, false) => EngineState::Leaving { terminates_at: None },
         (false, false) => EngineState::Ready,
     };
     EngineInfo {
-        id: passed.engine,
-        position: passed.position,
-        started_at: passed.started_at,
-        service: passed.service.into(),
-        addr: passed.addr,
-        domain: passed.domain,
-        slots: passed.slots,
-        state: standing,
+        id: record.engine,
+        position: record.position,
+        started_at: record.started_at,
+        service: record.service.into(),
+        addr: record.addr,
+        domain: record.domain,
+        slots: record.slots,
+        state: engine_state,
         loaded: known
-            .filter(|k| k.placement_reported_at.is_some())
-            .map_or(passed.loaded, |k| k.info.loaded.clone()),
+            .filter(|e| e.placement_reported_at.is_some())
+            .map_or(record.loaded, |e| e.info.loaded.clone()),
         cached: CachedWeights::default(),
-        warmup_ms_left: u64::from(passed.warming_up),
+        warmup_ms_left: u64::from(record.warming_up),
     }
 }
 
-pub(super) fn take_in(node: &Node, engines: Vec<Told>) {
-    if engines.is_empty() {
+pub(super) fn apply_placements(node: &Node, placements: Vec<EnginePlacement>) {
+    if placements.is_empty() {
         return;
     }
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let mut placements = node.placements.borrow_mut();
-    for told in engines {
-        let Some(engine) = state.engines.observe_start(&told.engine, told.start) else { continue };
-        if told.orders >= engine.accepted_orders {
-            let known = engine.placement_reported_at.is_some() && engine.info.loaded == told.held;
-            if !known || engine.accepted_orders != told.orders {
-                placements.changed(&told.engine);
+    let mut changes = node.placement_changes.borrow_mut();
+    for placement in placements {
+        let Some(engine) = state.engines.observe_start(&placement.engine, placement.started_at)
+        else {
+            continue;
+        };
+        if placement.accepted_orders >= engine.accepted_orders {
+            let is_known =
+                engine.placement_reported_at.is_some() && engine.info.loaded == placement.loaded;
+            if !is_known || engine.accepted_orders != placement.accepted_orders {
+                changes.record(&placement.engine);
             }
-            engine.accepted_orders = told.orders;
-            engine.info.loaded = told.held;
+            engine.accepted_orders = placement.accepted_orders;
+            engine.info.loaded = placement.loaded;
             engine.placement_reported_at = Some(now);
         }
     }
-    placements.retain(|id| state.engines.get(id).is_some());
-    drop((state, placements));
-    node.look_for_starts();
-    node.placed.notify_waiters();
-    node.news.notify_waiters();
+    changes.retain(|id| state.engines.get(id).is_some());
+    drop((state, changes));
+    node.handle_restarts();
+    node.placement_changed.notify_waiters();
+    node.update_available.notify_waiters();
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -7,108 +7,131 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::holder::Keeper;
+use crate::election::LeaderInfo;
 
-use super::placements::Heard;
+use super::placements::ChangePosition;
 
-/// What an engine holds, as the keeper knows it.
+/// Models loaded on an engine, as the leader knows them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct EnginePlacement {
     pub(crate) engine: EngineId,
-    /// The start of it that this holds for.
-    pub(crate) start: StartTime,
-    /// Orders that it has accepted.
-    pub(crate) orders: u64,
-    pub(crate) held: Vec<LoadedModel>,
+    /// Start of the engine that the entry refers to.
+    #[serde(rename = "start")]
+    pub(crate) started_at: StartTime,
+    /// Number of orders that the engine has accepted.
+    #[serde(rename = "orders")]
+    pub(crate) accepted_orders: u64,
+    #[serde(rename = "held")]
+    pub(crate) loaded: Vec<LoadedModel>,
 }
 
-/// How often something was asked for since the last exchange.
+/// Requests for a model or an adapter since the last exchange.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Asked {
+pub(crate) struct DemandCount {
     pub(crate) model: String,
     pub(crate) adapter: Option<String>,
     pub(crate) count: f64,
 }
 
-/// What a node tells the keeper.
+/// A poll: reports to the leader or a hub and asks for updates.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Tell {
-    /// Where other nodes reach it.
+pub(crate) struct PollRequest {
+    /// Peer address of the sender.
     pub(crate) from: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the sender.
     pub(crate) domain: String,
-    /// How far it has heard of what engines hold, by the node that it asks.
-    pub(crate) heard: Heard,
-    /// How far its list of engines goes; the first place where it has none.
-    pub(crate) list: ListVersion,
-    /// The era of the store that it knows, and for how long that has lasted, in milliseconds; nothing in the first.
+    /// Position in the receiver's changes of loaded models.
+    #[serde(rename = "heard")]
+    pub(crate) placements_seen: ChangePosition,
+    /// Position of the sender's engine list; the default without a list.
+    #[serde(rename = "list")]
+    pub(crate) list_version: ListVersion,
+    /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
-    /// The configuration that it has.
-    pub(crate) catalog: u64,
-    /// Loads that it heard of since the last exchange.
-    pub(crate) loads: Vec<HeardLoad>,
-    pub(crate) asked: Vec<Asked>,
-    /// In the first exchange with a keeper: what the node has counted before.
-    pub(crate) past: Option<CountedBefore>,
-    /// Digest of the nodes' addresses that it knows.
-    pub(crate) others: u64,
-    /// Digest of the nodes that it knows to pass on to its domain.
-    pub(crate) heads: u64,
+    /// Version of the sender's configuration.
+    #[serde(rename = "catalog")]
+    pub(crate) catalog_version: u64,
+    /// Loads received since the last exchange.
+    pub(crate) loads: Vec<EngineLoad>,
+    #[serde(rename = "asked")]
+    pub(crate) demand: Vec<DemandCount>,
+    /// Demand before the first exchange with this leader.
+    #[serde(rename = "past")]
+    pub(crate) earlier_demand: Option<EarlierDemand>,
+    /// Digest of the peer addresses that the sender knows.
+    #[serde(rename = "others")]
+    pub(crate) peers_digest: u64,
+    /// Digest of the hub candidates that the sender knows.
+    #[serde(rename = "heads")]
+    pub(crate) hubs_digest: u64,
 }
 
-/// What a node has been asked for before it knew the keeper.
+/// Demand that a node saw before it knew the leader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct CountedBefore {
-    /// For how long it has counted, if there was anything.
-    pub(crate) for_ms: Option<u64>,
+pub(crate) struct EarlierDemand {
+    /// Milliseconds since the first request; none without one.
+    #[serde(rename = "for_ms")]
+    pub(crate) counted_for_ms: Option<u64>,
     pub(crate) models: Vec<DemandSnapshot>,
 }
 
-/// What the keeper tells, or a node that passes it on.
+/// Response of the leader or a hub to a poll.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct News {
-    /// The newest keeper that the node which answers knows of.
-    pub(crate) keeper: Option<Keeper>,
-    pub(crate) heard: Heard,
-    pub(crate) engines: Vec<Told>,
-    /// The list of engines.
-    pub(crate) list: ListUpdate,
-    /// The era of the store that it knows, and for how long that has lasted, in milliseconds; nothing in the first.
+pub(crate) struct PollResponse {
+    /// Newest leader known to the responding node.
+    #[serde(rename = "keeper")]
+    pub(crate) leader: Option<LeaderInfo>,
+    #[serde(rename = "heard")]
+    pub(crate) placements_seen: ChangePosition,
+    #[serde(rename = "engines")]
+    pub(crate) placements: Vec<EnginePlacement>,
+    #[serde(rename = "list")]
+    pub(crate) list_update: ListUpdate,
+    /// Era of the store and its least age in milliseconds; none in the first era.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) era: Option<(Era, u64)>,
-    /// The newest configuration.
-    pub(crate) catalog: u64,
-    /// Age of what the node which answers has of the store.
-    pub(crate) age_ms: u64,
-    /// Time for which it held this answer back.
-    pub(crate) held_ms: u64,
-    /// Nodes that share budgets and connections.
+    /// Version of the responding node's configuration.
+    #[serde(rename = "catalog")]
+    pub(crate) catalog_version: u64,
+    /// Age of the responding node's copy of the store data.
+    #[serde(rename = "age_ms")]
+    pub(crate) data_age_ms: u64,
+    /// Time that the poll waited for an update.
+    #[serde(rename = "held_ms")]
+    pub(crate) waited_ms: u64,
+    /// Number of nodes that share budgets and connections.
     pub(crate) nodes: u32,
-    /// Their addresses, where the node has others.
-    pub(crate) others: Option<Vec<SocketAddr>>,
-    /// The nodes that pass on to the domain of the one that asks, where it knows others.
-    pub(crate) heads: Option<Vec<Member>>,
-    /// How many nodes ask the one that answers.
+    /// Their peer addresses, if the poll's digest differs.
+    #[serde(rename = "others")]
+    pub(crate) peer_addrs: Option<Vec<SocketAddr>>,
+    /// Hub candidates of the sender's domain, if the poll's digest differs.
+    #[serde(rename = "heads")]
+    pub(crate) hub_candidates: Option<Vec<Member>>,
+    /// Number of nodes that poll the responding node.
     pub(crate) children: u32,
-    /// Where the claim's log ended after the holder's last renewal, and how long ago that was sent.
-    pub(crate) renewed: Option<(Cursor, u64)>,
-    /// How long ago loads from the weight store began, by service, in milliseconds: a successor goes on from there.
-    pub(crate) begun: Vec<u64>,
-    /// Loads that any node heard of lately.
-    pub(crate) loads: Vec<HeardLoad>,
-    /// A version of the configuration that none followed, and how long ago the store was asked, in milliseconds.
+    /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
+    #[serde(rename = "renewed")]
+    pub(crate) last_renewal: Option<(Cursor, u64)>,
+    /// Ages of the loads from the weight store, in milliseconds, for a successor's rate limit.
+    #[serde(rename = "begun")]
+    pub(crate) load_ages_ms: Vec<u64>,
+    pub(crate) loads: Vec<EngineLoad>,
+    /// Configuration version last known to be the newest, and the age of that proof in
+    /// milliseconds.
     #[serde(default)]
-    pub(crate) proof: Option<(u64, u64)>,
-    /// A version, and how far in the store's log there is no newer one: a node that was told the text reads on from there.
+    #[serde(rename = "proof")]
+    pub(crate) freshness: Option<(u64, u64)>,
+    /// Configuration version and the log position up to which there is no newer one.
     #[serde(default)]
-    pub(crate) catalog_at: Option<(u64, Cursor)>,
+    #[serde(rename = "catalog_at")]
+    pub(crate) catalog_position: Option<(u64, Cursor)>,
 }
 
-/// The load of an engine, as somebody heard of it: its start, the requests that ran and waited there, and its age in
-/// milliseconds. Written without names: there is one for each engine in each exchange.
+/// Load of an engine: id, start, running requests, waiting requests, and age in milliseconds. A
+/// tuple, to keep messages with many loads small.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct HeardLoad(
+pub(crate) struct EngineLoad(
     pub(super) EngineId,
     pub(super) StartTime,
     pub(super) u32,
@@ -116,37 +139,38 @@
     pub(super) u64,
 );
 
-/// Asks the keeper for a model or an adapter.
+/// Asks the leader to place a model or an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Want {
+pub(super) struct PlacementRequest {
     pub(crate) fence: u64,
     pub(crate) model: String,
     pub(crate) adapter: Option<String>,
     pub(crate) domain: String,
-    /// An engine that was said to hold it and answered that it does not.
-    pub(crate) refuted: Option<EngineId>,
+    /// Engine that was listed as having it loaded and responded that it does not.
+    #[serde(rename = "refuted")]
+    pub(crate) stale_engine: Option<EngineId>,
 }
 
-/// The keeper's answer.
+/// The leader's response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Wish {
+pub(crate) struct PlacementResponse {
     pub(crate) placement: Placement,
-    pub(crate) engines: Vec<Told>,
+    #[serde(rename = "engines")]
+    pub(crate) placements: Vec<EnginePlacement>,
 }
 
-/// Whether something is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Placement {
-    /// It is, now.
+    /// An engine has it loaded.
     Placed,
-    /// It is on its way, for so many more milliseconds.
+    /// It is being loaded, for about this many milliseconds.
     Coming(u64),
-    /// The keeper cannot tell, or there is none.
+    /// The leader cannot tell, or there is none.
     Unknown,
 }
 
-impl Asked {
-    pub(crate) fn parts(self) -> (ModelRef, f64) {
+impl DemandCount {
+    pub(crate) fn into_parts(self) -> (ModelRef, f64) {
         (ModelRef { model: self.model, adapter: self.adapter }, self.count)
     }
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,15 +1,15 @@
-//! What nodes tell each other: what is asked for, and what the engines hold.
+//! Communication between nodes: polls for updates, placement requests and load reports.
 
 mod children;
-mod dark;
-mod exchange;
-mod flights;
-mod heard;
+mod datagrams;
+mod in_flight;
 mod list;
+mod loads;
 mod message;
-mod news;
 mod placements;
-mod sends;
+mod poll;
+mod poll_response;
+mod unreachable;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,91 +24,96 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
+use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::eras;
 use crate::follow;
-use crate::keeper;
+use crate::leader;
 use crate::quotas;
-use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::shared::Node;
 
 pub(crate) use children::Children;
-pub(crate) use dark::lost;
-pub(crate) use exchange::exchange;
-pub(crate) use flights::tell as tell_flights;
-use heard::take_in_loads;
-use list::take_in;
-use message::Want;
-pub(crate) use message::{Asked, CountedBefore, Placement, Told};
-use message::{Tell, Wish};
-pub(crate) use placements::Placements;
-pub(crate) use sends::{Sends, Word, listen};
-
-/// Longest that the keeper holds an answer back for want of news.
-const NEWS_WAIT: Duration = Duration::from_millis(400);
-
-/// Longest wait for the keeper beyond that.
-const PATIENCE: Duration = Duration::from_millis(600);
-
-/// Longest wait for the placement of an adapter or the word that a model is coming.
-const WANT_PATIENCE: Duration = Duration::from_millis(600);
-
-/// Pause while no keeper is known or it does not answer.
-const NO_KEEPER: Duration = Duration::from_millis(150);
-
-/// Bytes of a message.
-const MOST: usize = 1 << 20;
-
-/// Asks that a model or an adapter be placed.
-pub(crate) async fn want(node: &Node, wanted: &ModelRef, refuted: Option<&EngineId>) -> Placement {
-    let keeper = node.holding.borrow().keeper.clone();
+pub(crate) use datagrams::{Datagram, PeerSocket, receive};
+pub(crate) use in_flight::report_in_flight;
+use list::apply_placements;
+use loads::apply_loads;
+use message::PlacementRequest;
+pub(crate) use message::{DemandCount, EarlierDemand, EnginePlacement, Placement};
+use message::{PlacementResponse, PollRequest};
+pub(crate) use placements::PlacementChanges;
+pub(crate) use poll::poll;
+pub(crate) use unreachable::report_unreachable;
+
+/// Maximum time that a poll waits for an update.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(400);
+
+/// Timeout for a response, beyond the time that a poll waits.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// Timeout of a placement request, during which an adapter may be loaded.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// Pause while no leader is known or the polled node does not respond.
+const NO_LEADER_PAUSE: Duration = Duration::from_millis(150);
+
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// Asks the leader to place a model or an adapter.
+pub(crate) async fn request_placement(
+    node: &Node,
+    model_ref: &ModelRef,
+    stale_engine: Option<&EngineId>,
+) -> Placement {
+    let leader = node.leadership.borrow().leader.clone();
     let domain = node.settings.borrow().domain.clone();
-    if node.holding.borrow().is_mine() {
-        return keeper::want(node, wanted, &domain, refuted).await;
+    if node.leadership.borrow().is_leader() {
+        return leader::request_placement(node, model_ref, &domain, stale_engine).await;
     }
-    let Some(keeper) = keeper else { return Placement::Unknown };
-    let want = Want {
-        fence: keeper.fence,
-        model: wanted.model.clone(),
-        adapter: wanted.adapter.clone(),
+    let Some(leader) = leader else { return Placement::Unknown };
+    let request = PlacementRequest {
+        fence: leader.fence,
+        model: model_ref.model.clone(),
+        adapter: model_ref.adapter.clone(),
         domain,
-        refuted: refuted.cloned(),
+        stale_engine: stale_engine.cloned(),
     };
-    match call::<_, Wish>(node, keeper.addr, "/want", &want, WANT_PATIENCE).await {
-        Some(wish) => {
-            take_in(node, wish.engines);
-            wish.placement
+    match call::<_, PlacementResponse>(node, leader.addr, "/want", &request, PLACEMENT_TIMEOUT)
+        .await
+    {
+        Some(response) => {
+            apply_placements(node, response.placements);
+            response.placement
         }
         None => Placement::Unknown,
     }
 }
 
-/// The text of the configuration of the node that this one asks for what is new.
-pub(crate) async fn catalog(node: &Node) -> Option<Bytes> {
+/// Fetches the configuration from the node that this one polls.
+pub(crate) async fn fetch_catalog(node: &Node) -> Option<Bytes> {
     let (_, addr) = node.parent()?;
     let req = Request::post("/catalog", "peer", Bytes::new());
-    exchange_once(node, addr, &req, PATIENCE).await.ok().filter(|text| !text.is_empty())
+    send_request(node, addr, &req, RESPONSE_TIMEOUT).await.ok().filter(|text| !text.is_empty())
 }
 
-/// Takes the configuration of a node that asks this one and has a newer one: the store may have lost that, and this node
-/// may have started since.
-fn take_catalog(node: &Node, from: SocketAddr, newest: u64) {
-    if newest <= news::version(node) || node.takes_catalog.replace(true) {
+/// Fetches a newer configuration from a node that polls this one. The store may have lost that
+/// version in a restore, and this node may have started since.
+fn fetch_newer_catalog(node: &Node, from: SocketAddr, newest: u64) {
+    if newest <= poll_response::catalog_version(node) || node.is_fetching_catalog.replace(true) {
         return;
     }
     let node = Node::clone(node);
     tokio::task::spawn_local(async move {
         let req = Request::post("/catalog", "peer", Bytes::new());
-        // Where it does not answer, its next question comes soon.
-        if let Ok(text) = exchange_once(&node, from, &req, PATIENCE).await {
+        // After a failure the next poll of that node tries again.
+        if let Ok(text) = send_request(&node, from, &req, RESPONSE_TIMEOUT).await {
             follow::adopt(&node, text);
         }
-        node.takes_catalog.set(false);
+        node.is_fetching_catalog.set(false);
     });
 }
 
-/// A node that passes on does not answer: the next is asked for a while.
-pub(crate) fn is_silent(node: &Node, head: SocketAddr) {
-    node.heads.borrow_mut().skip(head, SkipReason::Unresponsive, node.now());
+/// Makes this node poll another hub for a while.
+pub(crate) fn mark_unresponsive(node: &Node, hub: SocketAddr) {
+    node.hubs.borrow_mut().skip(hub, SkipReason::Unresponsive, node.now());
 }
 
 pub(crate) async fn call<T: Serialize, R: for<'a> Deserialize<'a>>(
@@ -116,137 +121,141 @@
     addr: SocketAddr,
     path: &str,
     message: &T,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Option<R> {
-    ask(node, addr, path, message, patience).await.ok()
+    try_call(node, addr, path, message, max_wait).await.ok()
 }
 
-/// Why another node gave no answer.
+/// Why a call to another node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Unanswered {
-    /// It is there, and does not do what it was asked to.
+enum CallError {
+    /// The node responded with a status other than 200.
     Refused,
-    /// It did not answer in time, or not so that it can be read.
-    Silent,
+    /// There was no response in time, or it cannot be parsed.
+    NoResponse,
 }
 
-async fn ask<T: Serialize, R: for<'a> Deserialize<'a>>(
+async fn try_call<T: Serialize, R: for<'a> Deserialize<'a>>(
     node: &Node,
     addr: SocketAddr,
     path: &str,
     message: &T,
-    patience: Duration,
-) -> Result<R, Unanswered> {
-    let body = serde_json::to_vec(message).expect("a message can be written as JSON");
+    max_wait: Duration,
+) -> Result<R, CallError> {
+    let body = serde_json::to_vec(message).expect("a peer message is valid JSON");
     let req = Request::post(path, "peer", body.into());
-    let body = exchange_once(node, addr, &req, patience).await?;
-    serde_json::from_slice(&body).map_err(|_| Unanswered::Silent)
+    let body = send_request(node, addr, &req, max_wait).await?;
+    serde_json::from_slice(&body).map_err(|_| CallError::NoResponse)
 }
 
-/// The body of another node's answer, where it answered in time that all is well.
-async fn exchange_once(
+/// Sends a request to another node and returns the body of a 200 response.
+async fn send_request(
     node: &Node,
     addr: SocketAddr,
     req: &Request,
-    patience: Duration,
-) -> Result<Bytes, Unanswered> {
-    let exchange = async {
-        let mut conn = node.pool.get(addr, node.conn_timeouts()).await?;
+    max_wait: Duration,
+) -> Result<Bytes, CallError> {
+    let roundtrip = async {
+        let mut conn = node.pool.get(addr, node.connect_limits()).await?;
         let head = conn.round_trip(req).await?;
-        let body = conn.read_body(BodyDecoder::new(head.framing), MOST).await?;
+        let body = conn.read_body(BodyDecoder::new(head.framing), MAX_MESSAGE_BYTES).await?;
         node.pool.put(addr, conn);
         Ok::<_, hgw_http1::Error>((head.status, body))
     };
-    match timeout(patience, exchange).await {
+    match timeout(max_wait, roundtrip).await {
         Ok(Ok((200, body))) => Ok(body),
-        Ok(Ok(_)) => Err(Unanswered::Refused),
-        Ok(Err(_)) | Err(_) => Err(Unanswered::Silent),
+        Ok(Ok(_)) => Err(CallError::Refused),
+        Ok(Err(_)) | Err(_) => Err(CallError::NoResponse),
     }
 }
 
-/// Answers another node.
-pub(crate) async fn answer(node: Node, req: http::Request<Incoming>) -> ResponseResult {
+pub(crate) async fn handle_request(node: Node, req: http::Request<Incoming>) -> ResponseResult {
     let (head, body) = req.into_parts();
-    let Ok(body) = Limited::new(body, MOST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_MESSAGE_BYTES).collect().await else {
         return Ok(json_error(StatusCode::BAD_REQUEST, "the body cannot be read"));
     };
     let body = body.to_bytes();
     Ok(match (&head.method, head.uri.path()) {
-        (&Method::POST, "/tell") => answer_tell(&node, &body).await,
-        (&Method::POST, "/want") => answer_want(&node, &body).await,
+        (&Method::POST, "/tell") => handle_poll(&node, &body).await,
+        (&Method::POST, "/want") => handle_placement_request(&node, &body).await,
         (&Method::POST, "/quota") => match quotas::handle_request(&node, &body).await {
             Ok(Some(given)) => Response::new(ResponseBody::full(given)),
-            Ok(None) => json_error(StatusCode::CONFLICT, "gives no allowances"),
-            Err(_) => json_error(StatusCode::BAD_REQUEST, "not a question for allowances"),
+            Ok(None) => json_error(StatusCode::CONFLICT, "this node grants no quota allowances"),
+            Err(_) => json_error(StatusCode::BAD_REQUEST, "the body is not a quota request"),
         },
         (&Method::POST, "/catalog") => {
             Response::new(ResponseBody::full(node.state.borrow().catalog_text.clone()))
         }
-        _ => json_error(StatusCode::NOT_FOUND, "no such call"),
+        _ => json_error(StatusCode::NOT_FOUND, "unknown path"),
     })
 }
 
-async fn answer_tell(node: &Node, body: &Bytes) -> CallerResponse {
-    let Ok(tell) = serde_json::from_slice::<Tell>(body) else {
-        return json_error(StatusCode::BAD_REQUEST, "not a report of demand");
+async fn handle_poll(node: &Node, body: &Bytes) -> CallerResponse {
+    let Ok(request) = serde_json::from_slice::<PollRequest>(body) else {
+        return json_error(StatusCode::BAD_REQUEST, "the body is not a poll request");
     };
-    eras::hear(node, tell.era);
-    let keeps = node.holding.borrow().is_mine();
-    // Two nodes that asked each other would each take the other's old word for news.
-    let asks_it = node.parent().is_some_and(|(_, addr)| addr == tell.from);
-    if !keeps && (node.is_stopping() || asks_it) {
-        return json_error(StatusCode::CONFLICT, "passes nothing on");
+    eras::record_reported(node, request.era);
+    let is_leader = node.leadership.borrow().is_leader();
+    // Two nodes that poll each other would each take the other's old data for new.
+    let polls_sender = node.parent().is_some_and(|(_, addr)| addr == request.from);
+    if !is_leader && (node.is_stopping() || polls_sender) {
+        return json_error(StatusCode::CONFLICT, "this node forwards no updates");
     }
-    node.children.asks(tell.from, node.now());
-    take_catalog(node, tell.from, tell.catalog);
-    if keeps {
-        if let Some(past) = &tell.past {
-            keeper::counted_before(node, tell.from, past);
+    node.children.record_poll(request.from, node.now());
+    fetch_newer_catalog(node, request.from, request.catalog_version);
+    if is_leader {
+        if let Some(earlier) = &request.earlier_demand {
+            leader::add_earlier_demand(node, request.from, earlier);
         }
-        keeper::asked(node, &tell.asked);
-        meet(node, tell.from);
+        leader::add_demand(node, &request.demand);
+        add_peer(node, request.from);
     } else {
-        pass_on(node, &tell.asked);
+        forward_demand(node, &request.demand);
     }
-    take_in_loads(node, &tell.loads);
-    json(&news::news(node, &tell).await)
+    apply_loads(node, &request.loads);
+    json_response(&poll_response::poll_response(node, &request).await)
 }
 
-/// What the nodes of a domain are asked for goes to the keeper as what this one is asked for.
-fn pass_on(node: &Node, asked: &[Asked]) {
+/// Adds the demand of nodes behind this hub to its own report to the leader.
+fn forward_demand(node: &Node, demand: &[DemandCount]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    for one in asked {
-        let (wanted, count) = one.clone().parts();
-        state.asked_for(now, &wanted, count);
+    for entry in demand {
+        let (model_ref, count) = entry.clone().into_parts();
+        state.record_demand(now, &model_ref, count);
     }
 }
 
-async fn answer_want(node: &Node, body: &Bytes) -> CallerResponse {
-    let Ok(want) = serde_json::from_slice::<Want>(body) else {
-        return json_error(StatusCode::BAD_REQUEST, "not a wish for a model");
+async fn handle_placement_request(node: &Node, body: &Bytes) -> CallerResponse {
+    let Ok(request) = serde_json::from_slice::<PlacementRequest>(body) else {
+        return json_error(StatusCode::BAD_REQUEST, "the body is not a placement request");
     };
-    if !is_keeper(node, want.fence) {
-        return json_error(StatusCode::CONFLICT, "not the keeper");
+    if !is_leader(node, request.fence) {
+        return json_error(StatusCode::CONFLICT, "this node is not the leader");
     }
-    let wanted = ModelRef { model: want.model, adapter: want.adapter };
-    let placement = keeper::want(node, &wanted, &want.domain, want.refuted.as_ref()).await;
-    json(&Wish { placement, engines: keeper::told_of(node, &wanted) })
+    let model_ref = ModelRef { model: request.model, adapter: request.adapter };
+    let placement =
+        leader::request_placement(node, &model_ref, &request.domain, request.stale_engine.as_ref())
+            .await;
+    json_response(&PlacementResponse {
+        placement,
+        placements: leader::placements_of(node, &model_ref),
+    })
 }
 
-/// A node that has just come counts at once; the store's count comes seconds later.
-fn meet(node: &Node, other: SocketAddr) {
-    let known = u32::try_from(node.sends.meet(other)).unwrap_or(u32::MAX);
+/// A new node counts at once, because the next count in the store takes seconds.
+fn add_peer(node: &Node, peer: SocketAddr) {
+    let known = u32::try_from(node.peer_socket.add_peer(peer)).unwrap_or(u32::MAX);
     let mut state = node.state.borrow_mut();
     state.nodes = state.nodes.max(known);
 }
 
-fn is_keeper(node: &Node, fence: u64) -> bool {
-    let holding = node.holding.borrow();
-    holding.is_mine() && holding.keeper.as_ref().is_some_and(|k| k.fence == fence)
+fn is_leader(node: &Node, fence: u64) -> bool {
+    let leadership = node.leadership.borrow();
+    leadership.is_leader() && leadership.leader.as_ref().is_some_and(|leader| leader.fence == fence)
 }
 
-fn json<T: Serialize>(message: &T) -> CallerResponse {
-    let body = serde_json::to_vec(message).expect("a message can be written as JSON");
+fn json_response<T: Serialize>(message: &T) -> CallerResponse {
+    let body = serde_json::to_vec(message).expect("a peer message is valid JSON");
     Response::new(ResponseBody::full(body))
 }
--- a/crates/gateway/src/peers/placements.rs
+++ b/crates/gateway/src/peers/placements.rs
@@ -1,57 +1,64 @@
-//! What engines hold, as it changes: what a node tells those that ask it.
+//! Changes of the models loaded on engines, in order, for the nodes that poll this one.
 
 use hgw_direct::EngineId;
 use indexmap::IndexMap;
 use rand::random;
 use serde::{Deserialize, Serialize};
 
-/// Engines of which one answer tells what they hold: some sixty kilobytes.
-const MOST_TOLD: usize = 256;
+/// Maximum number of engines in one response, about 60 KB.
+const MAX_ENGINES_PER_RESPONSE: usize = 256;
 
-/// How far a node has heard of what engines hold, by the count of the node that told it. Each process counts for
-/// itself, so that one that has started again is not taken for the one before.
+/// Position in a node's changes: an identifier of the process, so that a restarted node is not
+/// confused with its predecessor, and a version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Heard(u64, u64);
+pub(crate) struct ChangePosition(u64, u64);
 
-/// The engines of which it changed what they hold, in the order of the changes.
+/// Version of the last change of each engine.
 #[derive(Debug)]
-pub(crate) struct Placements {
-    counter: u64,
+pub(crate) struct PlacementChanges {
+    process_id: u64,
     version: u64,
     versions: IndexMap<EngineId, u64>,
 }
 
-impl Default for Placements {
+impl Default for PlacementChanges {
     fn default() -> Self {
-        Placements { counter: random(), version: 0, versions: IndexMap::default() }
+        PlacementChanges { process_id: random(), version: 0, versions: IndexMap::default() }
     }
 }
 
-impl Placements {
-    /// What an engine holds has changed.
-    pub(crate) fn changed(&mut self, engine: &EngineId) {
+impl PlacementChanges {
+    pub(crate) fn record(&mut self, engine: &EngineId) {
         self.version += 1;
         self.versions.insert(engine.clone(), self.version);
     }
 
-    /// Engines that are gone are forgotten.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&EngineId) -> bool) {
         self.versions.retain(|id, _| is_known(id));
     }
 
-    /// Whether a node that has heard so much has heard all.
-    pub(crate) fn has_nothing_since(&self, heard: Heard) -> bool {
-        heard.0 == self.counter && heard.1 >= self.version || self.versions.is_empty()
+    /// Whether there is no change after `position`.
+    pub(crate) fn is_up_to_date(&self, position: ChangePosition) -> bool {
+        position.0 == self.process_id && position.1 >= self.version || self.versions.is_empty()
     }
 
-    /// The engines that changed since, with how far that goes. The rest comes with the next question.
-    pub(crate) fn since(&self, heard: Heard) -> (Heard, Vec<EngineId>) {
-        let since = if heard.0 == self.counter { heard.1 } else { 0 };
-        let newer = self.versions.iter().filter(|(_, version)| **version > since);
-        let mut newer: Vec<(u64, &EngineId)> = newer.map(|(id, version)| (*version, id)).collect();
-        newer.sort_unstable_by_key(|(version, _)| *version);
-        let version = newer.get(MOST_TOLD - 1).map_or(self.version, |(version, _)| *version);
-        newer.truncate(MOST_TOLD);
-        (Heard(self.counter, version), newer.into_iter().map(|(_, id)| id.clone()).collect())
+    /// Engines that changed after `position`, the earliest first, and the new position. Later polls
+    /// return what does not fit.
+    pub(crate) fn changes_since(
+        &self,
+        position: ChangePosition,
+    ) -> (ChangePosition, Vec<EngineId>) {
+        let since = if position.0 == self.process_id { position.1 } else { 0 };
+        let changed = self.versions.iter().filter(|(_, version)| **version > since);
+        let mut changed: Vec<(u64, &EngineId)> =
+            changed.map(|(id, version)| (*version, id)).collect();
+        changed.sort_unstable_by_key(|(version, _)| *version);
+        let version =
+            changed.get(MAX_ENGINES_PER_RESPONSE - 1).map_or(self.version, |(version, _)| *version);
+        changed.truncate(MAX_ENGINES_PER_RESPONSE);
+        (
+            ChangePosition(self.process_id, version),
+            changed.into_iter().map(|(_, id)| id.clone()).collect(),
+        )
     }
 }
--- a/crates/gateway/src/quotas/grant.rs
+++ b/crates/gateway/src/quotas/grant.rs
@@ -17,7 +17,7 @@
 /// Grants allowances if this node's lease ensures that no other node issues.
 pub(super) fn issue(node: &Node, request: &GrantRequest) -> Option<GrantResponse> {
     let lease = node.settings.borrow().lease;
-    let fence = node.holding.borrow().sure(lease)?;
+    let fence = node.leadership.borrow().exclusive_fence(lease)?;
     let (now, nodes) = (boot_now(), node.state.borrow().nodes);
     let mut issuer = node.quotas.issuer.borrow_mut();
     if issuer.as_ref().is_none_or(|(current, _)| *current != fence) {
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -179,7 +179,7 @@
 }
 
 fn allowance_source(node: &Node) -> AllowanceSource {
-    if node.holding.borrow().is_mine() {
+    if node.leadership.borrow().is_leader() {
         return AllowanceSource::Issuer;
     }
     node.parent()
--- a/crates/gateway/src/quotas/refill.rs
+++ b/crates/gateway/src/quotas/refill.rs
@@ -90,7 +90,7 @@
 async fn request_allowances(node: &Node, requests: Vec<(CustomerId, AllowanceRequest)>) {
     match allowance_source(node) {
         AllowanceSource::Issuer => {
-            let from = node.settings.borrow().peers;
+            let from = node.settings.borrow().peer_addr;
             let asked_at = boot_now();
             let rows = requests.iter().map(|(c, request)| (c.clone(), *request, 0.0)).collect();
             let response = issue(node, &GrantRequest { from, issuer_only: true, nodes: 0, rows });
@@ -153,7 +153,7 @@
             quotas.hub_timeouts.set(quotas.hub_timeouts.get() + 1);
             if quotas.hub_timeouts.get() >= MAX_HUB_TIMEOUTS {
                 quotas.hub_timeouts.set(0);
-                peers::is_silent(node, addr);
+                peers::mark_unresponsive(node, addr);
             }
         }
     }
@@ -188,8 +188,8 @@
     }
     let rows =
         rows.into_iter().map(|(customer, (request, usage))| (customer, request, usage)).collect();
-    let from = node.settings.borrow().peers;
-    let nodes = 1 + node.children.heard_within(CONTACT_WITHIN_MS, node.now());
+    let from = node.settings.borrow().peer_addr;
+    let nodes = 1 + node.children.count_within(CONTACT_WITHIN_MS, node.now());
     let asked_at = boot_now();
     let response = peers::call(
         node,
@@ -231,7 +231,7 @@
 /// Uses this domain's own share if the issuer has not responded for a while.
 fn use_fallback(node: &Node, requests: &[(CustomerId, AllowanceRequest)]) {
     let now = boot_now();
-    let knows_nodes = !node.members.borrow().is_empty() || node.was_followed();
+    let knows_nodes = !node.members.borrow().is_empty() || node.has_leader_updates();
     let has_recent_response =
         now.saturating_sub(node.quotas.last_response_at.get()) < FALLBACK_AFTER_MS;
     if !knows_nodes || has_recent_response && !node.quotas.uses_fallback.get() {
@@ -239,7 +239,7 @@
     }
     set_uses_fallback(node, true);
     let nodes = node.state.borrow().nodes.max(1);
-    let covered_nodes = 1 + node.children.heard_within(CONTACT_WITHIN_MS, node.now());
+    let covered_nodes = 1 + node.children.count_within(CONTACT_WITHIN_MS, node.now());
     let share = (f64::from(covered_nodes) / f64::from(nodes)).min(1.0);
     for (customer, request) in requests {
         let Some((params, _)) = customer_quota(node, customer, None) else { continue };
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -150,7 +150,7 @@
         let result = self.wait_for_first_byte(&guard, response_head).await;
         match result {
             WaitResult::Done(Ok((head, info))) => {
-                node.heard(engine);
+                node.mark_heard(engine);
                 self.handle_response_head(engine, conn, head, info, guard).await
             }
             WaitResult::Done(Err(e)) => {
@@ -161,7 +161,7 @@
                     }
                 };
                 guard.record_outcome(outcome);
-                node.broke(engine);
+                node.mark_broken(engine);
                 self.runs += 1;
                 AttemptResult::NoResponse
             }
@@ -184,18 +184,18 @@
 
     /// Records that an engine is unreachable or unresponsive, and reports it to the other nodes.
     pub(super) fn report_unreachable(&self, engine: &EngineId) {
-        self.node.saw(engine, AttemptOutcome::Unreachable);
-        self.node.broke(engine);
+        self.node.record_outcome(engine, AttemptOutcome::Unreachable);
+        self.node.mark_broken(engine);
         if let Some(key) = self.node.engine(engine, Engine::key) {
-            peers::lost(&self.node, key);
+            peers::report_unreachable(&self.node, key);
         }
     }
 
     /// Returns once another node reports that the engine is unreachable.
     async fn wait_until_reported_unreachable(&self, engine: &EngineId) {
         loop {
-            let changed = self.node.dark.notified();
-            if self.node.is_dark(engine) {
+            let changed = self.node.reachability_changed.notified();
+            if self.node.is_reported_unreachable(engine) {
                 return;
             }
             changed.await;
@@ -333,7 +333,7 @@
     ) -> WaitResult<F::Output> {
         let mut future = std::pin::pin!(future);
         loop {
-            let restarted = self.node.started_anew.notified();
+            let restarted = self.node.engine_restarted.notified();
             if guard.engine_restarted() {
                 return WaitResult::EngineRestarted;
             }
@@ -361,15 +361,15 @@
         let default_limit =
             if has_few_requests { UNRESPONSIVE_AFTER_FEW_REQUESTS } else { UNRESPONSIVE_AFTER };
         loop {
-            let limit = if self.node.is_dark(engine) {
+            let limit = if self.node.is_reported_unreachable(engine) {
                 UNRESPONSIVE_AFTER_PEER_REPORT
             } else {
                 default_limit
             };
-            let silence = self.node.silent_for(engine).min(started.elapsed());
+            let silence = self.node.time_since_heard(engine).min(started.elapsed());
             let check_at = (Instant::now() + limit.saturating_sub(silence)).min(started + hung);
-            let reachability_changed = self.node.dark.notified();
-            let restarted = self.node.started_anew.notified();
+            let reachability_changed = self.node.reachability_changed.notified();
+            let restarted = self.node.engine_restarted.notified();
             if guard.engine_restarted() {
                 return WaitResult::EngineRestarted;
             }
@@ -384,7 +384,7 @@
             if now >= self.deadline_at {
                 return WaitResult::TimedOut;
             }
-            let silence = self.node.silent_for(engine).min(now - started);
+            let silence = self.node.time_since_heard(engine).min(now - started);
             if silence >= limit || now - started >= hung {
                 // Leave this engine only if another one can take the request.
                 if self.choose_now().is_ok() && self.take_retry() {
--- a/crates/gateway/src/relay/buffered.rs
+++ b/crates/gateway/src/relay/buffered.rs
@@ -94,7 +94,7 @@
     };
     let is_failure = head.status >= 500;
     guard.record_outcome(if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Success });
-    req.node.heard(&engine);
+    req.node.mark_heard(&engine);
     guard.return_connection(conn);
     drop(guard);
     if !is_failure {
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -21,8 +21,8 @@
 use crate::quotas::NoAllowance;
 use crate::response::{CallerResponse, json_error};
 use crate::shared::Node;
-use crate::stop;
-use crate::stop::Active;
+use crate::shutdown;
+use crate::shutdown::ActiveRequest;
 
 use identity::Identity;
 use request::RelayedRequest;
@@ -31,12 +31,12 @@
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 pub(crate) async fn handle(node: &Node, req: Request<Incoming>) -> CallerResponse {
-    let active = Active::begin(node);
-    if stop::takes_no_more(node) {
+    let active = ActiveRequest::begin(node);
+    if shutdown::refuses_requests(node) {
         return refuse(node, Refusal::Stopping, Duration::ZERO);
     }
     let catalog = node.state.borrow().catalog.clone();
-    let has_engine_list = node.state.borrow().listed;
+    let has_engine_list = node.state.borrow().has_engine_list;
     match catalog.filter(|_| has_engine_list) {
         Some(catalog) => handle_routed(node, active, catalog, req).await,
         None => refuse(node, Refusal::NotReady, NOT_READY_RETRY_AFTER),
@@ -45,7 +45,7 @@
 
 async fn handle_routed(
     node: &Node,
-    active: Active,
+    active: ActiveRequest,
     catalog: Arc<Catalog>,
     req: Request<Incoming>,
 ) -> CallerResponse {
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -21,7 +21,7 @@
 use crate::quotas::{self, Charge, NoAllowance};
 use crate::response::CallerResponse;
 use crate::shared::Node;
-use crate::stop::Active;
+use crate::shutdown::ActiveRequest;
 
 use super::identity::Identity;
 
@@ -58,7 +58,7 @@
 
 pub(super) struct RelayedRequest {
     pub(super) node: Node,
-    _active: Active,
+    _active: ActiveRequest,
     pub(super) head: Parts,
     pub(super) body: Bytes,
     pub(super) info: RequestInfo,
@@ -103,7 +103,7 @@
     #[expect(clippy::too_many_arguments, reason = "each is a part of the request, met once")]
     pub(super) fn new(
         node: &Node,
-        active: Active,
+        active: ActiveRequest,
         head: Parts,
         body: Bytes,
         info: RequestInfo,
@@ -165,7 +165,7 @@
         let mut state = self.node.state.borrow_mut();
         state.budgets.entry(self.service.clone()).or_default().record_request(now, &limits);
         let Some(model_ref) = self.model_ref() else { return };
-        state.asked_for(now, model_ref, 1.0);
+        state.record_demand(now, model_ref, 1.0);
     }
 
     pub(super) fn prompt(&self) -> Option<&Prompt> {
@@ -223,7 +223,7 @@
             let (Err(NoEngine::NotLoaded(_)), Some(model_ref)) = (&result, self.model_ref()) else {
                 return result;
             };
-            let placement = peers::want(&self.node, model_ref, self.stale_engine.as_ref());
+            let placement = peers::request_placement(&self.node, model_ref, self.stale_engine.as_ref());
             match timeout_at(wait_until, placement).await {
                 Ok(Placement::Placed) => {
                     if let Ok(choice) = self.choose_now() {
@@ -295,7 +295,7 @@
     /// cost many more queries than there are requests.
     async fn wait_for_placement(&self, wait_until: Instant) -> Option<Choice> {
         let until = wait_until.min(Instant::now() + PLACEMENT_CHECK_INTERVAL);
-        while timeout_at(until, self.node.placed.notified()).await.is_ok() {
+        while timeout_at(until, self.node.placement_changed.notified()).await.is_ok() {
             if let Ok(choice) = self.choose_now() {
                 return Some(choice);
             }
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -147,7 +147,7 @@
             let read = self.read_chunk().await;
             match read {
                 WaitResult::Done(Ok(Some(bytes))) => {
-                    self.req.node.heard(&self.engine);
+                    self.req.node.mark_heard(&self.engine);
                     let ready = if self.is_events { self.events.push(bytes) } else { Some(bytes) };
                     if let Some(bytes) = ready {
                         self.timing.record_piece();
@@ -170,7 +170,7 @@
                 }
                 WaitResult::EngineRestarted | WaitResult::Done(Ok(None) | Err(_)) => {
                     self.guard.record_outcome(AttemptOutcome::Failed);
-                    self.req.node.broke(&self.engine);
+                    self.req.node.mark_broken(&self.engine);
                     if !self.retry_and_resume().await {
                         return Some(self.abort());
                     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! A node's life.
+//! Starts the tasks of a node and runs them until shutdown.
 
 use std::io;
 use std::rc::Rc;
@@ -12,40 +12,37 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
+use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::clock::boot_time;
 use crate::protocol::Protocols;
-use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::shared::{Node, Shared};
 use crate::{
-    Settings, caller_listener, follow, freshness, holder, listen, members, meter, peers, quotas,
-    stop,
+    Settings, election, follow, caller_listener, listen, members, meter, peers, freshness, quotas, shutdown,
 };
 
-/// What a node is told from outside.
 #[derive(Debug, Clone)]
 pub enum Signal {
-    /// Stop as planned.
+    /// Shut down as planned.
     Stop,
-    /// Stop at once.
+    /// End at once.
     Kill,
-    /// These settings are in force from now on; addresses stay as they are.
+    /// Replace the settings; changed listen addresses have no effect.
     Settings(Box<Settings>),
 }
 
-/// How a node ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// As planned.
+    /// After a planned shutdown.
     Stopped,
-    /// At once.
+    /// Immediately.
     Killed,
 }
 
-/// Time between two looks at the clocks.
-const CLOCK_CHECK: Duration = Duration::from_millis(200);
+/// Interval at which the boot clock is checked for a suspended machine.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A machine that stood still for this long believes nothing of its connections.
-const STOOD_STILL: Duration = Duration::from_millis(1_000);
+/// Pauses longer than this count as suspended: pooled connections may be dead.
+const MIN_SUSPEND_TIME: Duration = Duration::from_millis(1_000);
 
 /// Runs a node until it is told to end.
 pub fn run(
@@ -65,34 +62,34 @@
     dialects: Protocols,
     mut signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
-    let callers = listen::listen(settings.callers)?;
-    let ready = listen::listen(settings.ready)?;
-    let others = listen::listen(settings.peers)?;
-    let words = UdpSocket::bind(settings.peers).await;
-    let metrics = listen::listen(settings.metrics);
+    let callers = listen::listen(settings.caller_addr)?;
+    let ready = listen::listen(settings.ready_addr)?;
+    let peer_listener = listen::listen(settings.peer_addr)?;
+    let datagrams = UdpSocket::bind(settings.peer_addr).await;
+    let metrics = listen::listen(settings.metrics_addr);
     let node = Shared::new(settings, dialects);
-    let spawn = |work: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
-        tokio::task::spawn_local(work);
+    let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
+        tokio::task::spawn_local(task);
     };
     spawn(Box::pin(follow::catalog(Rc::clone(&node))));
     spawn(Box::pin(follow::engines(Rc::clone(&node))));
-    spawn(Box::pin(holder::hold(Rc::clone(&node))));
-    spawn(Box::pin(peers::exchange(Rc::clone(&node))));
-    spawn(Box::pin(peers::tell_flights(Rc::clone(&node))));
+    spawn(Box::pin(election::take_part(Rc::clone(&node))));
+    spawn(Box::pin(peers::poll(Rc::clone(&node))));
+    spawn(Box::pin(peers::report_in_flight(Rc::clone(&node))));
     spawn(Box::pin(quotas::refill(Rc::clone(&node))));
-    spawn(Box::pin(listen::serve(Rc::clone(&node), others, peers::answer)));
-    spawn(Box::pin(members::count(Rc::clone(&node))));
+    spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::handle_request)));
+    spawn(Box::pin(members::register_and_count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
     spawn(Box::pin(caller_listener::serve(Rc::clone(&node), callers)));
-    match words {
-        Ok(words) => spawn(Box::pin(peers::listen(Rc::clone(&node), Rc::new(words)))),
-        // Each node then chooses by what it sent itself.
+    match datagrams {
+        Ok(datagrams) => spawn(Box::pin(peers::receive(Rc::clone(&node), Rc::new(datagrams)))),
+        // Without datagrams a node balances by its own requests only.
         Err(e) => listener_failed(&node, "words of other nodes", &e),
     }
     match metrics {
         Ok(metrics) => spawn(Box::pin(serve_metrics(Rc::clone(&node), metrics))),
-        // Callers are served without them.
+        // Callers are served without metrics.
         Err(e) => listener_failed(&node, "metrics", &e),
     }
     loop {
@@ -103,7 +100,7 @@
         }
     }
     tokio::select! {
-        () = stop::stop(&node) => Ok(Ended::Stopped),
+        () = shutdown::shut_down(&node) => Ok(Ended::Stopped),
         () = until_killed(&mut signals) => Ok(Ended::Killed),
     }
 }
@@ -122,26 +119,25 @@
     std::future::pending().await
 }
 
-/// Finds out that the machine stood still, as kept connections may have ended meanwhile, and that this node is
-/// cut off.
+/// Drops pooled connections after the machine was suspended, and checks whether this node is cut
+/// off and its configuration proven current.
 async fn watch_clocks(node: Node) {
     let mut last = boot_time();
     loop {
-        sleep(CLOCK_CHECK).await;
+        sleep(CLOCK_CHECK_INTERVAL).await;
         let now = boot_time();
-        if now - last > CLOCK_CHECK + STOOD_STILL {
+        if now - last > CLOCK_CHECK_INTERVAL + MIN_SUSPEND_TIME {
             node.pool.clear();
             let ms = (now - last).as_millis();
             let name = node.settings.borrow().node.clone();
             emit(Event::StoodStill, &[("node", &name), ("ms", &ms)]);
         }
         last = now;
-        node.look_around();
+        node.update_cut_off();
         freshness::log_change(&node);
     }
 }
 
-/// Answers with the metrics as text.
 async fn serve_metrics(node: Node, listener: TcpListener) {
     let Some(recorder) = meter::install_recorder() else { return };
     let answer = move |node: Node, _| {
@@ -152,15 +148,14 @@
     listen::serve(node, listener, answer).await;
 }
 
-/// Answers whether this node takes callers.
 async fn answer_ready(node: Node, req: http::Request<Incoming>) -> ResponseResult {
-    let (head, _) = req.into_parts();
-    Ok(ready_answer(&node, &head))
+    let (parts, _) = req.into_parts();
+    Ok(ready_answer(&node, &parts))
 }
 
-fn ready_answer(node: &Node, head: &http::request::Parts) -> CallerResponse {
-    if !node.protocols.callers.is_readiness_probe(head) {
-        return json_error(StatusCode::NOT_FOUND, "no such call");
+fn ready_answer(node: &Node, parts: &http::request::Parts) -> CallerResponse {
+    if !node.dialects.callers.is_readiness_probe(parts) {
+        return json_error(StatusCode::NOT_FOUND, "unknown path");
     }
     if node.is_ready() {
         Response::new(ResponseBody::Full(None))
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -20,101 +20,100 @@
 use crate::Settings;
 use crate::backoff::Backoff;
 use crate::clock::Clock;
-use crate::freshness::{self, Freshness};
-use crate::holder::Holding;
-use crate::keeper::KeeperState;
-use crate::peers::{Children, Placements, Sends};
-use crate::pool::Pool;
-use crate::prefill_queue::PrefillQueue;
 use crate::protocol::{Cursor, Protocols};
+use crate::election::Leadership;
+use crate::leader::LeaderState;
+use crate::peers::{Children, PeerSocket, PlacementChanges};
+use crate::pool::Pool;
+use crate::freshness::{self, Freshness};
 use crate::quotas::Quotas;
+use crate::shutdown::Shutdown;
 use crate::state::State;
-use crate::stop::Stopping;
+use crate::prefill_queue::PrefillQueue;
 
-/// Longest time to connect to an engine: it is a few milliseconds away, or gone.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Engines are a few milliseconds away, so a slower connection attempt has failed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest time that bytes sent to an engine stay unacknowledged.
-const UNACKED: Duration = Duration::from_secs(1);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Everything that the tasks of a node share.
+/// State shared by all tasks of a node.
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<Settings>,
     pub(crate) protocols: Protocols,
     pub(crate) clock: Clock,
     pub(crate) pool: Pool,
     pub(crate) state: RefCell<State>,
-    pub(crate) holding: RefCell<Holding>,
-    pub(crate) keeper: RefCell<KeeperState>,
-    pub(crate) stop: Stopping,
-    pub(crate) sends: Sends,
+    pub(crate) leadership: RefCell<Leadership>,
+    pub(crate) leader_state: RefCell<LeaderState>,
+    pub(crate) shutdown: Shutdown,
+    pub(crate) peer_socket: PeerSocket,
     pub(crate) prefill_queue: PrefillQueue,
     pub(crate) backoff: Backoff,
-    /// That its configuration is the newest.
+    /// Evidence that the configuration of this node is current.
     pub(crate) freshness: Freshness,
-    /// What customers may use.
     pub(crate) quotas: Quotas,
-    /// What is at engines, as nodes tell each other.
-    pub(crate) sums: RefCell<Aggregator>,
-    /// Engines that could not be reached, of which this node looks whether they are back.
-    pub(crate) watched: RefCell<IndexSet<EngineKey>>,
-    /// Told whenever another node says that an engine cannot be reached, or can be again.
-    pub(crate) dark: Notify,
-    /// Nodes that ask this one for what is new.
+    /// In-flight requests at engines, as reported by other nodes.
+    pub(crate) aggregator: RefCell<Aggregator>,
+    /// Unreachable engines that this node probes until they are back.
+    pub(crate) probed_engines: RefCell<IndexSet<EngineKey>>,
+    /// Notified when another node reports an engine unreachable or reachable again.
+    pub(crate) reachability_changed: Notify,
+    /// Nodes that poll this one for updates.
     pub(crate) children: Children,
-    /// What is new of what engines hold.
-    pub(crate) placements: RefCell<Placements>,
-    /// Nodes of this one's domain that pass on what the keeper tells.
-    pub(crate) heads: RefCell<Hubs>,
-    /// All nodes, where this one has read of them.
+    /// Engines whose loaded models changed, for the nodes that poll this one.
+    pub(crate) placement_changes: RefCell<PlacementChanges>,
+    /// Candidates for the hub of this node's failure domain, which forwards the leader's updates.
+    pub(crate) hubs: RefCell<Hubs>,
+    /// All nodes in the store; empty until this node has read them.
     pub(crate) members: RefCell<Vec<Member>>,
-    /// Told whenever there is news for those that ask this node.
-    pub(crate) news: Notify,
-    /// Parts this node from others in what only some of them do.
-    pub(crate) draw: u32,
-    /// Whether the list is longer than another node tells, so that this one reads it itself.
-    pub(crate) reads_list: Cell<bool>,
-    /// The life of the store that this node knows of.
+    /// Notified when there is an update for the nodes that poll this one.
+    pub(crate) update_available: Notify,
+    /// Random number of this process, which spreads periodic work over the nodes.
+    pub(crate) jitter: u32,
+    /// Set when the engine list is too long to be sent by another node, so that this node reads it
+    /// from the store.
+    pub(crate) must_read_list: Cell<bool>,
+    /// Newest era of the store that this node knows.
     pub(crate) era: Cell<KnownEra>,
-    /// When the store last answered.
-    pub(crate) store_heard: Cell<Millis>,
-    /// When this node last read the list of engines.
-    pub(crate) list_read: Cell<Millis>,
-    /// Up to when this node has what the store tells, by its own reading or the keeper's.
-    followed_at: Cell<Option<Millis>>,
-    /// Whether the node that is taken for the keeper says that it is not.
-    pub(crate) keeper_refuses: Cell<bool>,
-    /// The newest configuration that the keeper told of.
-    told_catalog: Cell<u64>,
-    /// A version of the configuration, and how far in the store's log of it there is no newer one.
-    pub(crate) catalog_at: Cell<Option<(u64, Cursor)>>,
-    /// Whether this node is taking a newer configuration from one that asks it.
-    pub(crate) takes_catalog: Cell<bool>,
-    /// Told when the keeper has news of the configuration.
-    pub(crate) catalog_news: Notify,
-    /// Whether this node reaches neither the store nor engines elsewhere.
-    cut_off: Cell<bool>,
-    /// Told whenever an engine is seen to hold something new.
-    pub(crate) placed: Notify,
-    /// Told whenever an engine is seen to have started anew.
-    pub(crate) started_anew: Notify,
+    /// Time of the last response from the store.
+    pub(crate) store_responded_at: Cell<Millis>,
+    /// Time when this node last read the engine list from the store.
+    pub(crate) list_read_at: Cell<Millis>,
+    /// Time up to which the leader's updates reflect the store.
+    leader_updated_at: Cell<Option<Millis>>,
+    /// Whether the presumed leader refused the last request because it no longer leads.
+    pub(crate) leader_refuses: Cell<bool>,
+    /// Newest configuration version that the leader reported.
+    reported_catalog: Cell<u64>,
+    /// A configuration version, and the position in the store's log up to which there is no newer
+    /// one.
+    pub(crate) catalog_position: Cell<Option<(u64, Cursor)>>,
+    /// Whether a newer configuration is being fetched from a node that polls this one.
+    pub(crate) is_fetching_catalog: Cell<bool>,
+    /// Notified when the leader reports a newer configuration.
+    pub(crate) catalog_reported: Notify,
+    /// Whether this node reaches neither the store nor engines in other failure domains.
+    is_isolated: Cell<bool>,
+    /// Notified when an engine is known to have loaded or unloaded a model or adapter.
+    pub(crate) placement_changed: Notify,
+    /// Notified when an engine has restarted.
+    pub(crate) engine_restarted: Notify,
 }
 
-/// By whose word this node knows its list of engines.
+/// Source of a change in the engine list.
 #[derive(Debug, Clone, Copy, Display)]
-pub(crate) enum ListedBy {
-    /// It has read it in the store.
+pub(crate) enum ListSource {
+    /// Read from the store by this node.
     #[display("store")]
     Store,
-    /// Another node tells it.
+    /// Sent by another node.
     #[display("peer")]
     Peer,
-    /// It has found something out without reading on.
+    /// Derived by this node from what it already knew.
     #[display("known")]
     Known,
 }
 
-/// The node as its tasks see it.
 pub(crate) type Node = Rc<Shared>;
 
 impl Shared {
@@ -125,36 +124,36 @@
             clock: Clock::start(),
             pool: Pool::default(),
             state: RefCell::new(State { nodes: 1, ..State::default() }),
-            holding: RefCell::default(),
-            keeper: RefCell::default(),
-            stop: Stopping::default(),
-            sends: Sends::default(),
+            leadership: RefCell::default(),
+            leader_state: RefCell::default(),
+            shutdown: Shutdown::default(),
+            peer_socket: PeerSocket::default(),
             prefill_queue: PrefillQueue::default(),
             backoff: Backoff::default(),
             freshness: Freshness::default(),
             quotas: Quotas::default(),
-            sums: RefCell::default(),
-            watched: RefCell::default(),
-            dark: Notify::new(),
+            aggregator: RefCell::default(),
+            probed_engines: RefCell::default(),
+            reachability_changed: Notify::new(),
             children: Children::default(),
-            placements: RefCell::default(),
-            heads: RefCell::default(),
+            placement_changes: RefCell::default(),
+            hubs: RefCell::default(),
             members: RefCell::default(),
-            news: Notify::new(),
-            draw: random(),
-            reads_list: Cell::new(false),
+            update_available: Notify::new(),
+            jitter: random(),
+            must_read_list: Cell::new(false),
             era: Cell::default(),
-            store_heard: Cell::new(0),
-            list_read: Cell::new(0),
-            followed_at: Cell::new(None),
-            keeper_refuses: Cell::new(false),
-            told_catalog: Cell::new(0),
-            catalog_at: Cell::new(None),
-            takes_catalog: Cell::new(false),
-            catalog_news: Notify::new(),
-            cut_off: Cell::new(false),
-            placed: Notify::new(),
-            started_anew: Notify::new(),
+            store_responded_at: Cell::new(0),
+            list_read_at: Cell::new(0),
+            leader_updated_at: Cell::new(None),
+            leader_refuses: Cell::new(false),
+            reported_catalog: Cell::new(0),
+            catalog_position: Cell::new(None),
+            is_fetching_catalog: Cell::new(false),
+            catalog_reported: Notify::new(),
+            is_isolated: Cell::new(false),
+            placement_changed: Notify::new(),
+            engine_restarted: Notify::new(),
         })
     }
 
@@ -163,137 +162,141 @@
     }
 
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stop.since.get().is_some()
+        self.shutdown.started_at.get().is_some()
     }
 
-    /// Whether callers are to be sent here.
+    /// Whether the readiness check succeeds.
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        let knows = state.catalog.is_some() && state.listed;
-        knows && !self.is_stopping() && !self.cut_off.get() && freshness::is_fresh(self)
+        let knows = state.catalog.is_some() && state.has_engine_list;
+        knows && !self.is_stopping() && !self.is_isolated.get() && freshness::is_fresh(self)
     }
 
-    /// The keeper told what the store told it at this time.
-    pub(crate) fn followed(&self, at: Millis) {
-        self.followed_at.set(self.followed_at.get().max(Some(at)));
-        self.store_heard.set(self.store_heard.get().max(at));
+    /// Records that the leader's updates reflect the store up to `at`.
+    pub(crate) fn record_leader_update(&self, at: Millis) {
+        self.leader_updated_at.set(self.leader_updated_at.get().max(Some(at)));
+        self.store_responded_at.set(self.store_responded_at.get().max(at));
     }
 
-    /// The keeper's last renewal, by its own books or its word.
+    /// End of the lease log after the leader's last renewal, and the renewal's age in milliseconds.
     pub(crate) fn last_renewal(&self) -> Option<(Cursor, u64)> {
-        let holding = self.holding.borrow();
-        if holding.is_mine() {
-            return holding.last_renewal();
+        let leadership = self.leadership.borrow();
+        if leadership.is_leader() {
+            return leadership.last_renewal();
         }
-        holding.silence.last_renewal(self.now())
+        leadership.leader_liveness.last_renewal(self.now())
     }
 
-    /// Age of what this node has of the store, by its own reading or the keeper's.
-    pub(crate) fn word_age(&self) -> Millis {
-        let told = self.followed_at.get().unwrap_or(0).max(self.list_read.get());
-        self.now().saturating_sub(told)
+    /// Age of this node's copy of the store data, read directly or received from the leader.
+    pub(crate) fn store_data_age(&self) -> Millis {
+        let updated_at = self.leader_updated_at.get().unwrap_or(0).max(self.list_read_at.get());
+        self.now().saturating_sub(updated_at)
     }
 
-    /// Whom this node asks for what is new; nobody where it is the keeper, or knows of no keeper and no head.
+    /// Node that this one polls for updates: the hub of its domain or the leader. None if this node
+    /// is the leader or knows no leader and no hub.
     pub(crate) fn parent(&self) -> Option<(Parent, SocketAddr)> {
-        if self.holding.borrow().is_mine() {
+        if self.leadership.borrow().is_leader() {
             return None;
         }
-        let keeper = self.holding.borrow().keeper.as_ref().map(|k| k.addr);
-        let me = self.settings.borrow().peers;
-        let parent = self.heads.borrow().parent(me, keeper, self.now());
+        let leader_addr = self.leadership.borrow().leader.as_ref().map(|leader| leader.addr);
+        let own_addr = self.settings.borrow().peer_addr;
+        let parent = self.hubs.borrow().parent(own_addr, leader_addr, self.now());
         match parent {
             Parent::Hub(addr) => Some((parent, addr)),
-            Parent::Leader => keeper.map(|addr| (parent, addr)),
+            Parent::Leader => leader_addr.map(|addr| (parent, addr)),
         }
     }
 
-    /// Whether this node asks a head of its domain, and not the keeper itself.
-    pub(crate) fn has_head(&self) -> bool {
+    /// Whether this node polls the hub of its domain rather than the leader.
+    pub(crate) fn has_hub(&self) -> bool {
         matches!(self.parent(), Some((Parent::Hub(_), _)))
     }
 
-    /// Whether the keeper has told this node anything yet.
-    pub(crate) fn was_followed(&self) -> bool {
-        self.followed_at.get().is_some()
+    /// Whether an update from the leader has ever arrived.
+    pub(crate) fn has_leader_updates(&self) -> bool {
+        self.leader_updated_at.get().is_some()
     }
 
-    /// Whether the keeper tells what the store does, so that this node need not read it.
+    /// Whether the leader's updates are recent enough that this node need not read the store.
     ///
-    /// Load: the keeper ends, and all nodes read at the same moment. The nodes that pass on read first; what they read
-    /// reaches their domains before the others would.
-    pub(crate) fn is_followed(&self) -> bool {
-        let keeps = self.holding.borrow().is_mine();
-        let longest = self.settings.borrow().followed_for(self.has_head()).as_millis() as Millis;
-        let age = self.followed_at.get().map(|at| self.now().saturating_sub(at));
-        !keeps && !self.keeper_refuses.get() && age.is_some_and(|age| age < longest)
+    /// Nodes behind a hub wait longer, so that they do not all read the store at once when the
+    /// leader fails: the hubs read first and forward what they read.
+    pub(crate) fn has_recent_leader_updates(&self) -> bool {
+        let is_leader = self.leadership.borrow().is_leader();
+        let max_age =
+            self.settings.borrow().max_leader_update_age(self.has_hub()).as_millis() as Millis;
+        let age = self.leader_updated_at.get().map(|at| self.now().saturating_sub(at));
+        !is_leader && !self.leader_refuses.get() && age.is_some_and(|age| age < max_age)
     }
 
-    /// The keeper has a configuration.
-    pub(crate) fn catalog_told(&self, version: u64) {
-        self.told_catalog.set(version);
-        if self.lacks_catalog() {
-            self.catalog_news.notify_waiters();
+    /// Records the configuration version that the leader reports.
+    pub(crate) fn record_reported_catalog(&self, version: u64) {
+        self.reported_catalog.set(version);
+        if self.is_catalog_outdated() {
+            self.catalog_reported.notify_waiters();
         }
     }
 
-    /// Whether the keeper told of a newer configuration than this node has.
-    pub(crate) fn lacks_catalog(&self) -> bool {
-        let has = self.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
-        has < self.told_catalog.get()
+    /// Whether the leader reported a newer configuration than this node has.
+    pub(crate) fn is_catalog_outdated(&self) -> bool {
+        let version = self.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
+        version < self.reported_catalog.get()
     }
 
-    /// By how much nodes hold back, so that the keeper is asked as often by many as by ten.
-    pub(crate) fn crowd(&self) -> u32 {
+    /// Factor by which poll intervals grow with the number of nodes, which bounds the load on the
+    /// leader.
+    pub(crate) fn poll_interval_factor(&self) -> u32 {
         let nodes = self.state.borrow().nodes;
         poll_interval_factor(nodes, nodes)
     }
 
-    /// Whether this node reads the list when nobody reads it for all.
-    pub(crate) fn reads_on(&self) -> bool {
-        polls_store(&self.state.borrow().engines, self.crowd(), self.draw)
+    /// Whether this node keeps reading the engine list from the store while no leader does.
+    pub(crate) fn polls_store(&self) -> bool {
+        polls_store(&self.state.borrow().engines, self.poll_interval_factor(), self.jitter)
     }
 
-    /// Whether callers are better served by other nodes, to which their next connection leads them.
-    pub(crate) fn sends_away(&self) -> bool {
-        self.is_stopping() || self.cut_off.get() || !freshness::is_fresh(self)
+    /// Whether callers should reconnect to another node.
+    pub(crate) fn should_close_connections(&self) -> bool {
+        self.is_stopping() || self.is_isolated.get() || !freshness::is_fresh(self)
     }
 
-    /// Looks whether this node is cut off.
-    pub(crate) fn look_around(&self) {
+    /// Updates whether this node is cut off.
+    pub(crate) fn update_cut_off(&self) {
         let now = self.now();
-        let silent_for = now.saturating_sub(self.store_heard.get());
-        let cut_off = {
+        let store_silence = now.saturating_sub(self.store_responded_at.get());
+        let is_isolated = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
-            is_isolated(silent_for, &state.engines, &settings.domain, now)
+            is_isolated(store_silence, &state.engines, &settings.domain, now)
         };
-        if cut_off != self.cut_off.replace(cut_off) {
+        if is_isolated != self.is_isolated.replace(is_isolated) {
             let node = self.settings.borrow().node.clone();
             emit(Event::ReadinessChanged, &[("node", &node), ("ready", &self.is_ready())]);
         }
     }
 
-    /// Ends what was begun at engines that have started anew: their connections, and waits for their answers.
-    pub(crate) fn look_for_starts(&self) {
-        let anew = self.state.borrow_mut().engines.take_restarted();
-        for addr in &anew {
+    /// Closes connections to restarted engines and wakes the requests that wait for their
+    /// responses.
+    pub(crate) fn handle_restarts(&self) {
+        let restarted = self.state.borrow_mut().engines.take_restarted();
+        for addr in &restarted {
             self.pool.forget(*addr);
             let node = &self.settings.borrow().node;
             emit(Event::EngineStartedAnew, &[("node", node), ("addr", addr)]);
         }
-        if !anew.is_empty() {
-            self.started_anew.notify_waiters();
+        if !restarted.is_empty() {
+            self.engine_restarted.notify_waiters();
         }
     }
 
-    /// The list of engines goes as far as this now, by the word of the store or of another node.
-    pub(crate) fn listed_to(&self, place: ListVersion, by: ListedBy) {
+    /// Records that the engine list is known up to `place`.
+    pub(crate) fn record_list_version(&self, version: ListVersion, source: ListSource) {
         let changes = {
             let mut state = self.state.borrow_mut();
-            let State { engines, listing, list_at, listed, .. } = &mut *state;
-            *listed = true;
-            *list_at = (*list_at).max(Some(place));
-            listing.update(engines, place.position())
+            let State { engines, list_changes, list_version, has_engine_list, .. } = &mut *state;
+            *has_engine_list = true;
+            *list_version = (*list_version).max(Some(version));
+            list_changes.update(engines, version.position())
         };
         let node = &self.settings.borrow().node;
         for change in &changes {
@@ -303,8 +306,8 @@
                     ("node", node),
                     ("upstream", &change.engine),
                     ("standing", change),
-                    ("by", &by),
-                    ("place", &place.position()),
+                    ("by", &source),
+                    ("place", &version.position()),
                 ],
             );
         }
@@ -321,52 +324,57 @@
     }
 
     pub(crate) fn conn_timeouts(&self) -> ConnTimeouts {
-        ConnTimeouts { connect: CONNECT, dead_peer: UNACKED }
+        ConnTimeouts { connect: CONNECT_TIMEOUT, dead_peer: UNACKED_TIMEOUT }
     }
 
-    /// Takes in what became of a request at an engine.
-    pub(crate) fn saw(&self, engine: &EngineId, verdict: AttemptOutcome) {
+    /// Records the outcome of a request at an engine.
+    pub(crate) fn record_outcome(&self, engine: &EngineId, outcome: AttemptOutcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(known) = state.engines.get_mut(engine) else { return };
-        let Some(opinion) = known.health.record(now, verdict) else { return };
-        let failing = format!("{:.2}", known.health.failure_rate(now));
+        let Some(health) = known.health.record(now, outcome) else { return };
+        let failure_rate = format!("{:.2}", known.health.failure_rate(now));
         let node = &self.settings.borrow().node;
         emit(
             Event::EngineJudged,
-            &[("node", node), ("upstream", engine), ("opinion", &opinion), ("failing", &failing)],
+            &[
+                ("node", node),
+                ("upstream", engine),
+                ("opinion", &health),
+                ("failing", &failure_rate),
+            ],
         );
     }
 
-    /// Whether another node could not reach an engine.
-    pub(crate) fn is_dark(&self, engine: &EngineId) -> bool {
+    /// Whether another node reported the engine unreachable.
+    pub(crate) fn is_reported_unreachable(&self, engine: &EngineId) -> bool {
         let now = self.now();
         self.engine(engine, |e| e.health.is_reported_unreachable(now)).unwrap_or(false)
     }
 
-    /// A byte came from an engine.
-    pub(crate) fn heard(&self, engine: &EngineId) {
+    /// Records that a byte arrived from an engine.
+    pub(crate) fn mark_heard(&self, engine: &EngineId) {
         let now = self.now();
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
             engine.last_heard = now;
         }
     }
 
-    /// A connection to an engine has broken: that it was heard a moment ago speaks no more for it.
-    pub(crate) fn broke(&self, engine: &EngineId) {
+    /// Discards the time of the engine's last byte after a broken connection.
+    pub(crate) fn mark_broken(&self, engine: &EngineId) {
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
             engine.last_heard = 0;
         }
     }
 
-    /// Time since the last byte came from an engine.
-    pub(crate) fn silent_for(&self, engine: &EngineId) -> Duration {
+    /// Time since the last byte from an engine.
+    pub(crate) fn time_since_heard(&self, engine: &EngineId) -> Duration {
         let state = self.state.borrow();
-        let heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
-        Duration::from_millis(self.now().saturating_sub(heard))
+        let last_heard = state.engines.get(engine).map_or(0, |e| e.last_heard);
+        Duration::from_millis(self.now().saturating_sub(last_heard))
     }
 
-    pub(crate) fn engine<R>(&self, id: &EngineId, look: impl FnOnce(&Engine) -> R) -> Option<R> {
-        self.state.borrow().engines.get(id).map(look)
+    pub(crate) fn engine<R>(&self, id: &EngineId, f: impl FnOnce(&Engine) -> R) -> Option<R> {
+        self.state.borrow().engines.get(id).map(f)
     }
 }
--- /dev/null
+++ b/crates/gateway/src/shutdown.rs
@@ -0,0 +1,83 @@
+//! Planned shutdown.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hgw_direct::Millis;
+use hgw_events::{Event, emit};
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep, sleep_until};
+
+use crate::election;
+use crate::shared::Node;
+
+/// Time for which the load balancer may still send callers here: it checks once a second, removes a
+/// node after two failures, and requests already sent have to arrive.
+const BALANCER_DELAY: Duration = Duration::from_millis(3_300);
+
+/// Time after which requests are refused, because they may not complete before the process ends.
+const SERVE_TIME: Duration = Duration::from_millis(2_700);
+
+/// Whether new requests are refused because the process is about to end.
+pub(crate) fn refuses_requests(node: &Node) -> bool {
+    let since = node.shutdown.started_at.get();
+    since.is_some_and(|since| node.now() - since > SERVE_TIME.as_millis() as u64)
+}
+
+/// Part of the grace period that is kept for closing; requests that still run then are aborted.
+const CLOSE_TIME: Duration = Duration::from_millis(400);
+
+/// Shuts down as planned: fails the readiness check, serves the callers that still arrive, then
+/// closes idle connections and returns with the last request.
+pub(crate) async fn shut_down(node: &Node) {
+    let name = node.settings.borrow().node.clone();
+    let grace = node.settings.borrow().shutdown_grace;
+    let began = Instant::now();
+    let deadline = began + grace.saturating_sub(CLOSE_TIME);
+    node.shutdown.started_at.set(Some(node.now()));
+    node.shutdown.changed.notify_waiters();
+    emit(Event::ProcessStopping, &[("node", &name)]);
+    tokio::task::spawn_local(election::release(Node::clone(node)));
+    sleep_until((began + BALANCER_DELAY).min(deadline)).await;
+    node.shutdown.closing.set(true);
+    node.shutdown.changed.notify_waiters();
+    while Instant::now() < deadline
+        && (node.shutdown.active_requests.get() > 0 || node.shutdown.connections.get() > 0)
+    {
+        sleep(Duration::from_millis(20)).await;
+    }
+}
+
+/// Progress of the planned shutdown.
+#[derive(Debug, Default)]
+pub(crate) struct Shutdown {
+    pub(crate) started_at: Cell<Option<Millis>>,
+    /// Whether idle connections are closed.
+    pub(crate) closing: Cell<bool>,
+    /// Notified when `since` or `closing` changes.
+    pub(crate) changed: Notify,
+    /// Requests being served.
+    pub(crate) active_requests: Cell<u32>,
+    /// Open connections of callers.
+    pub(crate) connections: Cell<usize>,
+}
+
+/// Counts a request as active until dropped.
+pub(crate) struct ActiveRequest(Node);
+
+impl ActiveRequest {
+    pub(crate) fn begin(node: &Node) -> ActiveRequest {
+        node.shutdown.active_requests.set(node.shutdown.active_requests.get() + 1);
+        ActiveRequest(Rc::clone(node))
+    }
+}
+
+impl Drop for ActiveRequest {
+    fn drop(&mut self) {
+        self.0.shutdown.active_requests.set(self.0.shutdown.active_requests.get() - 1);
+        if self.0.is_stopping() {
+            self.0.shutdown.changed.notify_waiters();
+        }
+    }
+}
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -6,39 +6,39 @@
 };
 use indexmap::IndexMap;
 
-/// Models and adapters that are told to the keeper at a time.
-const MOST_ASKED: usize = 4_096;
+/// Bounds the memory used for names that callers make up while no leader collects them.
+const MAX_UNREPORTED_NAMES: usize = 4_096;
 
-/// What the node believes.
+/// A node's view of the configuration, the engines and the demand.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) catalog: Option<Arc<Catalog>>,
-    /// Its text, for nodes that the store turns away.
+    /// Serialized form, for nodes that cannot read it from the store.
     pub(crate) catalog_text: Bytes,
-    /// Whether a whole list of engines has been read.
-    pub(crate) listed: bool,
+    /// Whether a complete engine list has been received.
+    pub(crate) has_engine_list: bool,
     pub(crate) engines: Engines,
-    /// How far the list goes.
-    pub(crate) list_at: Option<ListVersion>,
-    /// What changed in it, for other nodes.
-    pub(crate) listing: ListChanges,
+    /// Position up to which the engine list is known.
+    pub(crate) list_version: Option<ListVersion>,
+    /// Changes in the engine list, for other nodes.
+    pub(crate) list_changes: ListChanges,
     pub(crate) budgets: IndexMap<ServiceId, RetryBudget>,
-    /// What this node has been asked for, for a keeper that is new.
+    /// Demand seen by this node, which a new leader starts from.
     pub(crate) demand: Demand,
-    /// Requests by model since the keeper was told.
-    pub(crate) asked: IndexMap<ModelRef, f64>,
-    /// When loads from the weight store began, as the holder of this claim told.
-    pub(crate) begun: Option<(u64, Vec<Millis>)>,
-    /// Nodes that share budgets and connections; at least this one.
+    /// Requests by model and adapter since the last report to the leader.
+    pub(crate) unreported_demand: IndexMap<ModelRef, f64>,
+    /// Fencing token of a leader, and the start times of its loads from the weight store.
+    pub(crate) leader_loads: Option<(u64, Vec<Millis>)>,
+    /// Number of nodes that share budgets and connections, this one included.
     pub(crate) nodes: u32,
 }
 
 impl State {
-    /// Requests came for something. While no keeper takes them, as many names are kept as callers can make up.
-    pub(crate) fn asked_for(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
-        self.demand.record(now, wanted, count);
-        if self.asked.len() < MOST_ASKED {
-            *self.asked.entry(wanted.clone()).or_default() += count;
+    /// Counts requests for a model or an adapter.
+    pub(crate) fn record_demand(&mut self, now: Millis, model_ref: &ModelRef, count: f64) {
+        self.demand.record(now, model_ref, count);
+        if self.unreported_demand.len() < MAX_UNREPORTED_NAMES {
+            *self.unreported_demand.entry(model_ref.clone()).or_default() += count;
         }
     }
 }
