--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -41,8 +41,8 @@
 /// nor while its newest version is older than the one known here.
 pub(crate) fn record_store_read(node: &Shared, check: VersionCheck) {
     let known_version = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
-    let is_outdated = node.era.get().era() > Era::FIRST && check.newest < known_version;
-    if !is_outdated && check.asked_at >= eras::written_again_at(node) {
+    let is_store_outdated = node.era.get().era() > Era::FIRST && check.newest < known_version;
+    if !is_store_outdated && check.asked_at >= eras::written_again_at(node) {
         record(node, check);
     }
 }
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -84,7 +84,7 @@
 pub enum UpstreamIdentity<'a> {
     /// No customers are configured: credentials are passed through to engines.
     PassThrough,
-    /// No credentials, on an open route.
+    /// No credentials, on a public route.
     Anonymous,
     /// A customer; its key is not forwarded.
     Customer(&'a CustomerId),
--- a/crates/gateway/src/quotas/grant.rs
+++ b/crates/gateway/src/quotas/grant.rs
@@ -73,6 +73,8 @@
     response.map(|response| serde_json::to_vec(&response)).transpose()
 }
 
+/// Grants from the allowances of this node, which acts as a hub. Where they are short, waits briefly
+/// for more from the issuer.
 async fn forward(node: &Node, request: &GrantRequest) -> GrantResponse {
     let mut waiters = Vec::new();
     for (customer, requested, _) in &request.rows {
--- a/crates/gateway/src/quotas/refill.rs
+++ b/crates/gateway/src/quotas/refill.rs
@@ -159,7 +159,8 @@
     }
 }
 
-/// Checks in the background whether an unresponsive issuer is back, so that requests need not wait for it.
+/// Checks in the background whether an unresponsive issuer is back, so that requests need not wait
+/// for it.
 fn probe(node: &Node, addr: SocketAddr) {
     if node.quotas.is_probing.replace(true) {
         return;
--- a/crates/gateway/src/relay/identity.rs
+++ b/crates/gateway/src/relay/identity.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Identity {
     credentials: Credentials,
-    /// Whether customers are configured, so that only they and open routes are served.
+    /// Whether customers are configured, so that only they and public routes are served.
     has_customers: bool,
     pub(super) customer: Option<CustomerId>,
 }
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -25,7 +25,7 @@
 
 use super::identity::Identity;
 
-/// Rejections by engines that a request may meet before it is given up.
+/// Rejections by engines after which a request is still retried.
 const MAX_REJECTED: u32 = 2;
 
 /// Unreachable engines that are skipped for one request.
@@ -100,7 +100,7 @@
 }
 
 impl RelayedRequest {
-    #[expect(clippy::too_many_arguments, reason = "each is a part of the request, met once")]
+    #[expect(clippy::too_many_arguments, reason = "constructor with a single caller")]
     pub(super) fn new(
         node: &Node,
         active: Active,
@@ -259,8 +259,8 @@
         let Some(gap) = self.route.max_event_gap.filter(|_| self.tried_engines.is_empty()) else {
             return false;
         };
-        let expected_gap = gap.mul_f64(CostWeights::default().gap_share);
-        let until = self.received_at + self.route.first_byte_objective.saturating_sub(expected_gap);
+        let reserve = gap.mul_f64(CostWeights::default().gap_share);
+        let until = self.received_at + self.route.first_byte_objective.saturating_sub(reserve);
         let is_busy = |choice: Result<Choice, NoEngine>| choice == Err(NoEngine::PrefillBusy);
         if Instant::now() >= until || !is_busy(self.choose_until(until)) {
             return false;
