--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -16,7 +16,7 @@
 /// Nodes behind one hub that together retry as often as the hub itself.
 const NODES_RETRYING_AS_ONE: u32 = 4;
 
-/// Largest factor by which nodes behind a hub stretch the pause.
+/// Maximum factor by which nodes behind a hub stretch the pause.
 const MAX_PAUSE_FACTOR: u32 = 12;
 
 /// Interval at which a waiting node checks whether the store is back.
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,3 +1,5 @@
+//! Clocks of the process and of the machine.
+
 use std::time::Duration;
 
 use hgw_direct::Millis;
--- a/crates/gateway/src/election/participant.rs
+++ b/crates/gateway/src/election/participant.rs
@@ -32,8 +32,8 @@
 /// reading on.
 const LEADER_JUST_SEEN_MS: Millis = 300;
 
-/// Wait before a claim for a node with a full processor, randomized so that nodes do not all claim at
-/// once.
+/// Wait before a claim for a node with a full processor, randomized so that nodes do not all claim
+/// at once.
 const CLAIM_DELAY: Duration = Duration::from_millis(60);
 
 /// Maximum wait before a claim. Slower machines wait longer, because the leader does more work.
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -135,7 +135,7 @@
             Err(e) => {
                 link.record_failure(&e);
                 if has_leader_updates {
-                    // Another node may still send a more recent proof.
+                    // Another node may still report that the configuration is current.
                     sleep(retry_pause(&node).min(proof::longest_pause(&node))).await;
                 } else {
                     wait_to_retry(&node).await;
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -22,7 +22,7 @@
 /// Interval between two placement plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Least pause after a plan, as a multiple of the time that it took. A plan for thousands of
+/// Minimum pause after a plan, as a multiple of the time that it took. A plan for thousands of
 /// engines keeps a small machine busy, and the nodes need responses meanwhile.
 const PLAN_REST_FACTOR: u32 = 10;
 
@@ -30,10 +30,10 @@
 /// machine from responding to other nodes.
 const MAX_CONCURRENT_SURVEYS: usize = 64;
 
-/// Largest age of the state in an engine's report.
+/// Maximum age of the state in an engine's report.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// Leases after the claim until the previous leader has surely noticed that it lost the lease.
+/// Leases after the claim by which the previous leader has noticed that its lease expired.
 const SOLE_LEADER_AFTER_LEASES: Millis = 2;
 
 /// Pause before an engine is asked again that executes an order of an earlier leader.
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -27,19 +27,19 @@
 /// Registers this node, and counts the nodes if it is the leader or there is none, until the
 /// process ends.
 pub(crate) async fn register_and_count(node: Node) {
-    let (mut announced, mut counts_done, mut counted_at) = (register(&node).await, 0, None);
+    let (mut registered, mut counts_done, mut counted_at) = (register(&node).await, 0, None);
     let mut era = node.era.get().era();
     let mut was_leader = false;
     wait_for_first_update(&node).await;
     loop {
-        if !announced {
+        if !registered {
             sleep(REGISTER_RETRY_PAUSE).await;
-            announced = register(&node).await;
+            registered = register(&node).await;
         }
         // A store restored from a backup may have lost the registration.
         let current_era = node.era.get().era();
         if std::mem::replace(&mut era, current_era) != current_era {
-            announced = register(&node).await;
+            registered = register(&node).await;
             (counts_done, counted_at) = (0, None);
         }
         let is_leader = node.leadership.borrow().is_leader();
@@ -49,12 +49,12 @@
         was_leader = is_leader;
         let pause =
             if counts_done < FAST_COUNTS { FIRST_COUNT_INTERVAL_MS } else { COUNT_INTERVAL_MS };
-        let due =
+        let is_due =
             counted_at.is_none_or(|counted_at| node.now().saturating_sub(counted_at) >= pause);
         // Only the leader counts. While there is no leader, the last count remains in use.
         let should_count =
             is_leader || node.members.borrow().is_empty() && !node.has_leader_updates();
-        if announced && due && should_count {
+        if registered && is_due && should_count {
             counted_at = Some(node.now());
             match count_nodes(&node).await {
                 true => counts_done += 1,
--- a/crates/gateway/src/peers/loads.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -6,7 +6,7 @@
 
 use super::message::{DemandCount, EngineLoad};
 
-/// Largest age of a load that is passed on, in milliseconds.
+/// Maximum age of a load that is passed on, in milliseconds.
 const MAX_LOAD_AGE_MS: u64 = 1_500;
 
 /// Maximum number of loads per message, whose total size would otherwise grow with engines and
@@ -26,8 +26,8 @@
     let now = node.now();
     let since = since.max(now.saturating_sub(MAX_LOAD_AGE_MS));
     let state = node.state.borrow();
-    let reported = state.engines.iter().filter_map(|e| Some((e, e.reported_load?)));
-    let recent = reported.filter(|(_, (_, at, _))| *at > since);
+    let with_load = state.engines.iter().filter_map(|e| Some((e, e.reported_load?)));
+    let recent = with_load.filter(|(_, (_, at, _))| *at > since);
     let has_model = |e: &Engine| {
         models.is_none_or(|models| models.iter().any(|demand| e.has_model(&demand.model)))
     };
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,3 +1,5 @@
+//! Messages between nodes.
+
 use std::net::SocketAddr;
 
 use hgw_direct::hubs::Member;
--- a/crates/gateway/src/peers/poll.rs
+++ b/crates/gateway/src/peers/poll.rs
@@ -21,7 +21,7 @@
 use super::placements::ChangePosition;
 use super::{CallError, MAX_POLL_WAIT, NO_LEADER_PAUSE, RESPONSE_TIMEOUT, try_call};
 
-/// Least pause between polls. Updates during a poll are returned at once.
+/// Minimum pause between polls. Updates during a poll are returned at once.
 const MIN_POLL_PAUSE: Duration = Duration::from_millis(40);
 
 /// Polls the leader or the hub of this node's domain until the process ends.
@@ -79,8 +79,8 @@
                 Ok(update) => update,
                 Err(error) => {
                     self.record_timeout(node, parent, addr);
-                    // A node that no longer leads refuses at once, so its successor need not wait until
-                    // its updates are too old.
+                    // A node that no longer leads refuses at once, so its successor need not wait
+                    // until its updates are too old.
                     node.leader_refuses
                         .set(parent == Parent::Leader && error == CallError::Refused);
                     restore_unreported_demand(node, request.demand);
--- a/crates/gateway/src/peers/poll_response.rs
+++ b/crates/gateway/src/peers/poll_response.rs
@@ -13,7 +13,8 @@
 use super::loads::loads_since;
 use super::message::{PollRequest, PollResponse};
 
-/// Longest address list that is sent. A longer one includes nodes that do not know their hub yet.
+/// Maximum number of addresses that are sent. A longer list includes nodes that do not know their
+/// hub yet.
 const MAX_PEER_ADDRS: usize = 41;
 
 /// Returns what changed since the sender's last poll, and waits for a change if there is none.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -119,8 +119,8 @@
     std::future::pending().await
 }
 
-/// Drops pooled connections after the machine was suspended, and checks whether this node is cut
-/// off and its configuration proven current.
+/// Drops pooled connections after the machine was suspended, and checks whether this node
+/// is isolated and its configuration current.
 async fn watch_clocks(node: Node) {
     let mut last = boot_time();
     loop {
@@ -133,7 +133,7 @@
             emit(Event::StoodStill, &[("node", &name), ("ms", &ms)]);
         }
         last = now;
-        node.update_cut_off();
+        node.update_isolation();
         proof::look(&node);
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,3 +1,5 @@
+//! Settings of a node.
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -39,11 +41,11 @@
     /// Maximum number of open connections from callers.
     pub max_connections: usize,
     /// Time within which a revoked key must stop working on every node, if that is required even of
-    /// nodes that are cut off.
+    /// isolated nodes.
     pub revoke_within: Option<Duration>,
     /// Limits for the quotas that customers may have.
     pub quotas: QuotaBounds,
-    /// Number of processors available to this machine, possibly a fraction of one.
+    /// Share of a processor that this machine has; 1.0 is a full processor.
     pub cpu_share: f64,
 }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,3 +1,5 @@
+//! State shared by the tasks of a node.
+
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -36,7 +38,6 @@
 
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// State shared by all tasks of a node.
 pub(crate) struct Shared {
     pub(crate) settings: RefCell<Settings>,
     pub(crate) dialects: Dialects,
@@ -261,8 +262,8 @@
         self.is_stopping() || self.is_isolated.get() || !proof::holds(self)
     }
 
-    /// Updates whether this node is cut off.
-    pub(crate) fn update_cut_off(&self) {
+    /// Updates whether this node is isolated.
+    pub(crate) fn update_isolation(&self) {
         let now = self.now();
         let store_silence = now.saturating_sub(self.store_responded_at.get());
         let is_isolated = {
@@ -289,7 +290,7 @@
         }
     }
 
-    /// Records that the engine list is known up to `place`.
+    /// Records that the engine list is known up to `version`.
     pub(crate) fn record_list_version(&self, version: ListVersion, source: ListSource) {
         let changes = {
             let mut state = self.state.borrow_mut();
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -21,8 +21,8 @@
 
 /// Whether new requests are refused because the process is about to end.
 pub(crate) fn refuses_requests(node: &Node) -> bool {
-    let since = node.shutdown.started_at.get();
-    since.is_some_and(|since| node.now() - since > SERVE_TIME.as_millis() as u64)
+    let started_at = node.shutdown.started_at.get();
+    started_at.is_some_and(|started_at| node.now() - started_at > SERVE_TIME.as_millis() as u64)
 }
 
 /// Part of the grace period that is kept for closing; requests that still run then are aborted.
@@ -33,13 +33,13 @@
 pub(crate) async fn shut_down(node: &Node) {
     let name = node.settings.borrow().node.clone();
     let grace = node.settings.borrow().shutdown_grace;
-    let began = Instant::now();
-    let deadline = began + grace.saturating_sub(CLOSE_TIME);
+    let started_at = Instant::now();
+    let deadline = started_at + grace.saturating_sub(CLOSE_TIME);
     node.shutdown.started_at.set(Some(node.now()));
     node.shutdown.changed.notify_waiters();
     emit(Event::ProcessStopping, &[("node", &name)]);
     tokio::task::spawn_local(election::release(Node::clone(node)));
-    sleep_until((began + BALANCER_DELAY).min(deadline)).await;
+    sleep_until((started_at + BALANCER_DELAY).min(deadline)).await;
     node.shutdown.closing.set(true);
     node.shutdown.changed.notify_waiters();
     while Instant::now() < deadline
@@ -55,7 +55,7 @@
     pub(crate) started_at: Cell<Option<Millis>>,
     /// Whether idle connections are closed.
     pub(crate) closing: Cell<bool>,
-    /// Notified when `since` or `closing` changes.
+    /// Notified when `started_at` or `closing` changes.
     pub(crate) changed: Notify,
     /// Requests being served.
     pub(crate) active_requests: Cell<u32>,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,3 +1,5 @@
+//! What a node knows of the configuration, the engines and the demand.
+
 use std::sync::Arc;
 
 use bytes::Bytes;
@@ -9,7 +11,6 @@
 /// Bounds the memory used for names that callers make up while no leader collects them.
 const MAX_UNREPORTED_NAMES: usize = 4_096;
 
-/// A node's view of the configuration, the engines and the demand.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) catalog: Option<Arc<Catalog>>,
