--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,12 +12,12 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
+use crate::answer::{Answer, AnswerBody, Answered, own};
 use crate::clock::boot_time;
-use crate::protocol::Protocols;
+use crate::dialect::Dialects;
 use crate::shared::{Node, Shared};
 use crate::{
-    Settings, election, follow, caller_listener, listen, members, meter, peers, freshness, quotas, shutdown,
+    Settings, election, follow, front, listen, members, meter, peers, proof, quotas, shutdown,
 };
 
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
 /// Runs a node until it is told to end.
 pub fn run(
     settings: Settings,
-    dialects: Protocols,
+    dialects: Dialects,
     signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -59,7 +59,7 @@
 
 async fn serve(
     settings: Settings,
-    dialects: Protocols,
+    dialects: Dialects,
     mut signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
     let callers = listen::listen(settings.caller_addr)?;
@@ -76,12 +76,12 @@
     spawn(Box::pin(election::take_part(Rc::clone(&node))));
     spawn(Box::pin(peers::poll(Rc::clone(&node))));
     spawn(Box::pin(peers::report_in_flight(Rc::clone(&node))));
-    spawn(Box::pin(quotas::refill(Rc::clone(&node))));
+    spawn(Box::pin(quotas::keep(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::handle_request)));
     spawn(Box::pin(members::register_and_count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
-    spawn(Box::pin(caller_listener::serve(Rc::clone(&node), callers)));
+    spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
     match datagrams {
         Ok(datagrams) => spawn(Box::pin(peers::receive(Rc::clone(&node), Rc::new(datagrams)))),
         // Without datagrams a node balances by its own requests only.
@@ -119,8 +119,8 @@
     std::future::pending().await
 }
 
-/// Drops pooled connections after the machine was suspended, and checks whether this node is cut
-/// off and its configuration proven current.
+/// Drops pooled connections after the machine was suspended, and checks whether this node
+/// is isolated and its configuration current.
 async fn watch_clocks(node: Node) {
     let mut last = boot_time();
     loop {
@@ -133,33 +133,33 @@
             emit(Event::StoodStill, &[("node", &name), ("ms", &ms)]);
         }
         last = now;
-        node.update_cut_off();
-        freshness::log_change(&node);
+        node.update_isolation();
+        proof::look(&node);
     }
 }
 
 async fn serve_metrics(node: Node, listener: TcpListener) {
-    let Some(recorder) = meter::install_recorder() else { return };
+    let Some(recorder) = meter::recorder() else { return };
     let answer = move |node: Node, _| {
-        meter::update_gauges(&node);
+        meter::beliefs(&node);
         let text = recorder.render();
-        async { Ok(Response::new(ResponseBody::full(text))) }
+        async { Ok(Response::new(AnswerBody::whole(text))) }
     };
     listen::serve(node, listener, answer).await;
 }
 
-async fn answer_ready(node: Node, req: http::Request<Incoming>) -> ResponseResult {
+async fn answer_ready(node: Node, req: http::Request<Incoming>) -> Answered {
     let (parts, _) = req.into_parts();
     Ok(ready_answer(&node, &parts))
 }
 
-fn ready_answer(node: &Node, parts: &http::request::Parts) -> CallerResponse {
-    if !node.dialects.callers.is_readiness_probe(parts) {
-        return json_error(StatusCode::NOT_FOUND, "unknown path");
+fn ready_answer(node: &Node, parts: &http::request::Parts) -> Answer {
+    if !node.dialects.callers.asks_ready(parts) {
+        return own(StatusCode::NOT_FOUND, "unknown path");
     }
     if node.is_ready() {
-        Response::new(ResponseBody::Full(None))
+        Response::new(AnswerBody::Whole(None))
     } else {
-        json_error(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        own(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
