--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -24,8 +24,8 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ConnTimeouts {
     pub connect: Duration,
-    /// Longest time that sent bytes may stay unacknowledged, and idle time before keepalive probes. Without this, a
-    /// connection to a machine that lost power hangs.
+    /// Longest time that sent bytes may stay unacknowledged, and idle time before keepalive probes. Without
+    /// this, a connection to a machine that lost power hangs.
     pub dead_peer: Duration,
 }
 
@@ -50,8 +50,8 @@
     awaits: bool,
 }
 
-/// Resets the connection if a request was cancelled: otherwise bytes still queued in the kernel would reach the peer
-/// after a network failure ends, and the peer would run a request that nobody waits for.
+/// Resets the connection if a request was cancelled: otherwise bytes still queued in the kernel would reach
+/// the peer after a network failure ends, and the peer would run a request that nobody waits for.
 impl Drop for Conn {
     fn drop(&mut self) {
         if self.awaits {
@@ -82,8 +82,8 @@
         self.since
     }
 
-    /// Whether another request may be sent: the connection is open, has no unexpected bytes, and the peer's keep-alive
-    /// timeout does not expire within `margin`.
+    /// Whether another request may be sent: the connection is open, has no unexpected bytes, and the peer's
+    /// keep-alive timeout does not expire within `margin`.
     pub fn is_reusable(&mut self, margin: Duration) -> bool {
         let idle = self.since.elapsed();
         let expires = self.kept_for.is_some_and(|kept| idle + margin >= kept);
@@ -95,8 +95,8 @@
         matches!(self.stream.try_read(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of the response. If the response starts before the request is completely
-    /// sent, the connection cannot be reused.
+    /// Sends a request and reads the head of the response. If the response starts before the request is
+    /// completely sent, the connection cannot be reused.
     pub async fn round_trip(&mut self, req: &Request) -> Result<Head> {
         self.send_request(req).await?;
         self.read_head(&req.method).await
--- a/crates/http1/tests/conn.rs
+++ b/crates/http1/tests/conn.rs
@@ -86,8 +86,8 @@
     assert!(conn.was_used());
 }
 
-/// A request sent just as the peer's keep-alive timeout expires races with the close, and it is unknown whether
-/// the request has run.
+/// A request sent just as the peer's keep-alive timeout expires races with the close, and it is unknown
+/// whether the request has run.
 #[tokio::test]
 async fn connection_that_is_about_to_end_is_not_used() {
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n";
@@ -150,7 +150,8 @@
     stream.read(&mut buf).await
 }
 
-/// Unsent bytes of a cancelled request must not reach the peer after a network failure ends; only a reset discards them.
+/// Unsent bytes of a cancelled request must not reach the peer after a network failure ends; only a reset
+/// discards them.
 #[tokio::test]
 async fn request_that_is_given_up_resets_its_connection() {
     let read = read_after_drop(b"").await;
--- a/crates/types/tests/text_forms.rs
+++ b/crates/types/tests/text_forms.rs
@@ -1,4 +1,5 @@
-//! Text forms of the newtypes: they parse back, and an invalid value yields an error that says what is expected.
+//! Text forms of the newtypes: they parse back, and an invalid value yields an error that says what is
+//! expected.
 
 use std::fmt::{Debug, Display};
 use std::str::FromStr;
