--- a/crates/direct/src/place/even.rs
+++ b/crates/direct/src/placement/balance.rs
@@ -1,22 +1,22 @@
-use super::models::{Bounds, Candidates, LEAST_NEED, ModelStep};
-use super::room::free_mb;
+//! Moves model copies so that the load of the engines is balanced.
+
+use super::capacity::free_mb;
+use super::models::{Bounds, Candidates, LEAST_NEED, ModelLoad};
 use super::targets::{IN_DEMAND, copy_rate};
-use crate::{Engine, Held};
+use crate::{Engine, LoadedModel};
 
-/// How much more than an engine without a model its least loaded copy must have to do before that engine gets
-/// one too, against the mean of all engines: below, the time of a load costs more than the difference.
+/// Minimum load difference, as a part of the mean load, that justifies the time of another load.
 const UNEVEN: f64 = 0.4;
 
-/// What an engine must have to do, against the mean, to take a model over that is hardly asked for.
+/// Minimum load, as a part of the mean, of an engine that takes over a rarely requested model.
 const BUSY: f64 = 0.7;
 
 impl Candidates<'_> {
-    /// Another copy of a model whose copies all have much to do, at an engine that has little; or room for it
-    /// there.
+    /// Plans another copy of a model whose copies are all busy, at an engine with little load; or
+    /// makes room for it there.
     ///
-    /// Load: demand moves to other models every few seconds. Engines that are left with models which nobody
-    /// asks for stand idle, while the others are so full that streams pause for longer than is on time.
-    pub(super) fn evening_out(&self) -> Option<ModelStep> {
+    /// Prevents engines from being idle because they hold models that are no longer requested.
+    pub(super) fn evening_out(&self) -> Option<ModelLoad> {
         let uneven = UNEVEN * self.spread.mean();
         let levels = self.levels();
         let copy = |(model, level): &(&str, f64)| {
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Models in demand and what their least loaded copies have to do, the most first.
+    /// Models in demand with the load of their least loaded copy, highest first.
     fn levels(&self) -> Vec<(&str, f64)> {
         let least = copy_rate(self.pool);
         let in_demand = self.rates.models.iter().filter(|(_, rate)| **rate >= IN_DEMAND);
@@ -39,19 +39,19 @@
         levels
     }
 
-    /// Whether a model that is hardly asked for is on its way to a second place.
+    /// Whether a rarely requested model is being loaded at a second engine.
     fn is_moving(&self) -> bool {
         let held = |model: &String| self.held.contains_key(model.as_str());
         self.pending.values().any(|m| held(m) && self.rate(m) < IN_DEMAND)
     }
 
-    /// Loads a last copy elsewhere that stands in the way of `model` at an engine with at most this much to do:
-    /// once there are two, the one here makes way.
-    fn move_away(&self, model: &str, most: f64) -> Option<ModelStep> {
+    /// Loads a last copy elsewhere if it is in the way of `model` at an engine with at most this
+    /// load. Once there are two copies, the one here can be evicted.
+    fn move_away(&self, model: &str, most: f64) -> Option<ModelLoad> {
         let needs = self.pool.models.get(model)?.weights_mb;
         let idle = self.engines.iter().enumerate().filter(|(at, engine)| {
-            let taken = self.pending.contains_key(&engine.listed.id);
-            self.spread.load(*at) <= most && !taken && !engine.holds_model(model)
+            let taken = self.pending.contains_key(&engine.info.id);
+            self.spread.load(*at) <= most && !taken && !engine.has_model(model)
         });
         let mut idle: Vec<(usize, &&Engine)> = idle.collect();
         idle.sort_by(|a, b| self.spread.load(a.0).total_cmp(&self.spread.load(b.0)));
@@ -61,8 +61,9 @@
             loss: UNEVEN * self.spread.mean(),
         };
         idle.into_iter().find_map(|(_, engine)| {
-            let weights = |h: &Held| self.pool.models.get(&h.model).map_or(0.0, |m| m.weights_mb);
-            let held = engine.listed.held.iter();
+            let weights =
+                |h: &LoadedModel| self.pool.models.get(&h.model).map_or(0.0, |m| m.weights_mb);
+            let held = engine.info.loaded.iter();
             let spare: f64 = held.clone().filter(|h| self.is_spare(&h.model)).map(weights).sum();
             let lacks = needs - spare - free_mb(engine, self.pool, self.reserved);
             let in_the_way = held.filter(|h| {
