--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -16,11 +16,11 @@
 }
 
 /// Length to which an error truncates the input, in characters.
-const SHOWN: usize = 64;
+const MAX_VALUE_CHARS: usize = 64;
 
 impl ParseError {
     /// Creates the error; `value` is truncated to 64 characters.
     pub fn new(kind: &'static str, value: &str, allowed: &'static str) -> Self {
-        ParseError { kind, value: value.chars().take(SHOWN).collect(), allowed }
+        ParseError { kind, value: value.chars().take(MAX_VALUE_CHARS).collect(), allowed }
     }
 }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -8,16 +8,16 @@
 
 use crate::{ParseError, Result};
 
-const MAX_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
 const NAME_RULE: &str = "1 to 128 of A-Z a-z 0-9 . _ : / @ + -";
 
-fn is_name(s: &str) -> bool {
+fn is_valid_name(s: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"._:/@+-".contains(&b);
-    !s.is_empty() && s.len() <= MAX_NAME && s.bytes().all(allowed)
+    !s.is_empty() && s.len() <= MAX_NAME_BYTES && s.bytes().all(allowed)
 }
 
-macro_rules! names {
+macro_rules! name_types {
     ($($(#[$doc:meta])* $name:ident = $kind:literal;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -39,7 +39,7 @@
             type Err = ParseError;
 
             fn from_str(s: &str) -> Result<Self> {
-                if is_name(s) {
+                if is_valid_name(s) {
                     Ok($name(s.into()))
                 } else {
                     Err(ParseError::new($kind, s, NAME_RULE))
@@ -62,7 +62,7 @@
     )*};
 }
 
-names! {
+name_types! {
     /// A node: one process of the gateway. Unique among running nodes.
     NodeId = "node id";
     DomainId = "failure domain id";
@@ -116,7 +116,9 @@
     }
 }
 
-macro_rules! made_ids {
+const GENERATED_ID_RULE: &str = "a hexadecimal number, `-` and a decimal number";
+
+macro_rules! generated_ids {
     ($($(#[$doc:meta])* $name:ident = $kind:literal;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -140,13 +142,13 @@
                 let parts = s.split_once('-').and_then(|(boot, seq)| {
                     Some($name { boot: u64::from_str_radix(boot, 16).ok()?, seq: seq.parse().ok()? })
                 });
-                parts.ok_or_else(|| ParseError::new($kind, s, "a hexadecimal number, `-` and a decimal number"))
+                parts.ok_or_else(|| ParseError::new($kind, s, GENERATED_ID_RULE))
             }
         }
     )*};
 }
 
-made_ids! {
+generated_ids! {
     /// An attempt of a request at an upstream; unique across nodes and restarts.
     AttemptId = "attempt id";
     /// A log record. Identifies duplicates, and records whose append got no response.
--- a/crates/types/src/quantity.rs
+++ b/crates/types/src/quantity.rs
@@ -8,7 +8,7 @@
 use crate::{ParseError, Result};
 
 /// Defines integer newtypes; `[...]` lists additional derives.
-macro_rules! counts {
+macro_rules! integer_types {
     ($($(#[$doc:meta])* $name:ident($inner:ty) [$($derive:ident),*] = $kind:literal;)*) => {$(
         $(#[$doc])*
         #[derive(
@@ -28,10 +28,10 @@
     )*};
 }
 
-counts! {
+integer_types! {
     /// Position of a record in a log stream.
     Offset(u64) [] = "offset";
-    /// Log offset of a lease holder's claim; used as the fencing token of its orders.
+    /// Log offset of the record that acquired a lease; the fencing token of the leader's orders.
     Term(u64) [] = "term";
     /// Number of starts of an upstream. After a change, its memory is empty.
     Generation(u64) [] = "generation";
