--- a/crates/events/src/catalogue.rs
+++ b/crates/events/src/catalogue.rs
@@ -65,11 +65,11 @@
     ConfigFromPeer = 3002, Info, "a configuration was received from a peer";
     ConfigRejected = 3003, Warn, "a configuration change in the log was rejected";
     ConfigLost = 3004, Warn, "no configuration is stored anywhere; this node starts without one";
-    ProofLost = 3005, Warn, "the configuration cannot be confirmed as current; requests with keys are refused";
+    ProofLost = 3005, Warn, "the configuration is not confirmed as current; requests with keys are refused";
     ProofGained = 3006, Info, "the configuration is confirmed as current";
     LogDown = 3101, Warn, "the platform's log does not respond";
     LogUp = 3102, Info, "the platform's log responds again";
-    StoreCameBack = 3103, Warn, "the platform's store was restored from a backup; lost records are read and written again";
+    StoreCameBack = 3103, Warn, "the platform's store was restored from a backup; lost records are rewritten";
     KeeperGained = 4001, Info, "this node became the leader of its failure domain";
     KeeperLost = 4002, Info, "this node is no longer the leader of its failure domain";
     OrderSent = 4003, Info, "an order was sent to an engine";
@@ -94,5 +94,5 @@
     RequestServed = 5006, Info, "an engine has sent a complete response";
     TryFailed = 5007, Info, "an attempt at an engine has failed";
     CallerLeft = 5008, Info, "a caller disconnected before its response was complete";
-    CallerDenied = 5009, Info, "a request was refused because its key is missing, invalid or could not be verified";
+    CallerDenied = 5009, Info, "a request was refused: its key is missing, invalid or could not be verified";
 }
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -15,7 +15,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/EVENTS.md");
     let page = std::fs::read_to_string(path).unwrap();
     let is_row = |line: &&str| line.starts_with("| ") && line.as_bytes()[2].is_ascii_digit();
-    let listed: Vec<String> = page.lines().filter(is_row).map(without_fields).collect();
+    let listed: Vec<String> = page.lines().filter(is_row).map(strip_fields).collect();
     let logged: Vec<String> = Event::ALL.iter().map(|e| row(*e)).collect();
     assert_eq!(listed, logged);
 }
@@ -25,7 +25,7 @@
     format!("| {} | {} | {level} | {}", event.number(), event.name(), event.text())
 }
 
-fn without_fields(line: &str) -> String {
+fn strip_fields(line: &str) -> String {
     line.split(" | ").take(4).collect::<Vec<_>>().join(" | ")
 }
 
@@ -34,19 +34,19 @@
 fn every_event_is_logged_somewhere() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut code = String::new();
-    read_sources(&crates, &mut code);
+    append_sources(&crates, &mut code);
     let logged = |event: &&Event| code.contains(&format!("Event::{}", event.name()));
-    let silent: Vec<&Event> = Event::ALL.iter().filter(|e| !logged(e)).collect();
-    assert!(silent.is_empty(), "never logged: {silent:?}");
+    let unlogged: Vec<&Event> = Event::ALL.iter().filter(|e| !logged(e)).collect();
+    assert!(unlogged.is_empty(), "never logged: {unlogged:?}");
 }
 
 /// Appends all sources below `folder`, except tests and the catalogue itself.
-fn read_sources(folder: &Path, code: &mut String) {
-    for entry in std::fs::read_dir(folder).unwrap() {
+fn append_sources(dir: &Path, code: &mut String) {
+    for entry in std::fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap().to_owned();
         if path.is_dir() && name != "tests" {
-            read_sources(&path, code);
+            append_sources(&path, code);
         } else if name.ends_with(".rs") && name != "catalogue.rs" {
             code.push_str(&std::fs::read_to_string(&path).unwrap());
         }
