--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -6,9 +6,9 @@
 use crate::{Error, Result};
 
 /// Longest line of chunked framing: a chunk size or a trailer, in bytes.
-const MAX_CHUNK_LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 
-const MAX_CHUNK: u64 = 1 << 30;
+const MAX_CHUNK_BYTES: u64 = 1 << 30;
 
 /// Decoder of a response body: strips the framing and detects the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,21 +24,21 @@
     ChunkEnd,
     Trailer,
     UntilClose,
-    Whole,
+    Complete,
 }
 
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Bytes(Bytes),
     /// The decoder needs more input.
-    More,
-    Whole,
+    NeedsInput,
+    Complete,
 }
 
 impl BodyDecoder {
     pub fn new(framing: Framing) -> BodyDecoder {
         let state = match framing {
-            Framing::Length(0) => State::Whole,
+            Framing::Length(0) => State::Complete,
             Framing::Length(n) => State::Length(n),
             Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
@@ -47,14 +47,14 @@
     }
 
     pub fn is_complete(&self) -> bool {
-        self.state == State::Whole
+        self.state == State::Complete
     }
 
     /// Handles the end of the connection, which completes the body only if that is its framing.
-    pub(crate) fn end(&mut self) -> Result<()> {
+    pub(crate) fn finish(&mut self) -> Result<()> {
         match self.state {
-            State::Whole | State::UntilClose => {
-                self.state = State::Whole;
+            State::Complete | State::UntilClose => {
+                self.state = State::Complete;
                 Ok(())
             }
             _ => Err(Error::Incomplete),
@@ -62,38 +62,40 @@
     }
 
     /// Decodes the next bytes in `buf`.
-    pub(crate) fn step(&mut self, buf: &mut BytesMut) -> Result<Step> {
+    pub(crate) fn decode(&mut self, buf: &mut BytesMut) -> Result<Step> {
         loop {
             match self.state {
-                State::Whole => return Ok(Step::Whole),
-                _ if buf.is_empty() => return Ok(Step::More),
+                State::Complete => return Ok(Step::Complete),
+                _ if buf.is_empty() => return Ok(Step::NeedsInput),
                 State::UntilClose => return Ok(Step::Bytes(buf.split().freeze())),
-                State::Length(left) => {
-                    let (bytes, left) = split(buf, left);
-                    self.state = if left == 0 { State::Whole } else { State::Length(left) };
+                State::Length(remaining) => {
+                    let (bytes, remaining) = take_up_to(buf, remaining);
+                    self.state =
+                        if remaining == 0 { State::Complete } else { State::Length(remaining) };
                     return Ok(Step::Bytes(bytes));
                 }
-                State::Chunk(left) => {
-                    let (bytes, left) = split(buf, left);
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
+                State::Chunk(remaining) => {
+                    let (bytes, remaining) = take_up_to(buf, remaining);
+                    self.state =
+                        if remaining == 0 { State::ChunkEnd } else { State::Chunk(remaining) };
                     return Ok(Step::Bytes(bytes));
                 }
                 State::ChunkSize => {
-                    let Some(line) = take_line(buf)? else { return Ok(Step::More) };
+                    let Some(line) = take_line(buf)? else { return Ok(Step::NeedsInput) };
                     let size = chunk_size(&line)?;
                     self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
                 }
                 State::ChunkEnd => {
-                    let Some(line) = take_line(buf)? else { return Ok(Step::More) };
+                    let Some(line) = take_line(buf)? else { return Ok(Step::NeedsInput) };
                     if !line.is_empty() {
                         return Err(Error::Malformed { what: "line after a chunk" });
                     }
                     self.state = State::ChunkSize;
                 }
                 State::Trailer => {
-                    let Some(line) = take_line(buf)? else { return Ok(Step::More) };
+                    let Some(line) = take_line(buf)? else { return Ok(Step::NeedsInput) };
                     if line.is_empty() {
-                        self.state = State::Whole;
+                        self.state = State::Complete;
                     }
                 }
             }
@@ -101,14 +103,15 @@
     }
 }
 
-fn split(buf: &mut BytesMut, left: u64) -> (Bytes, u64) {
-    let take = usize::try_from(left).unwrap_or(usize::MAX).min(buf.len());
-    (buf.split_to(take).freeze(), left - take as u64)
+/// Takes up to `remaining` bytes; returns them and the number of bytes still missing.
+fn take_up_to(buf: &mut BytesMut, remaining: u64) -> (Bytes, u64) {
+    let take = usize::try_from(remaining).unwrap_or(usize::MAX).min(buf.len());
+    (buf.split_to(take).freeze(), remaining - take as u64)
 }
 
 fn take_line(buf: &mut BytesMut) -> Result<Option<Bytes>> {
     let Some(end) = buf.iter().position(|b| *b == b'\n') else {
-        if buf.len() > MAX_CHUNK_LINE {
+        if buf.len() > MAX_LINE_BYTES {
             return Err(Error::Malformed { what: "chunk size" });
         }
         return Ok(None);
@@ -124,14 +127,14 @@
 }
 
 fn chunk_size(line: &Bytes) -> Result<u64> {
-    let bad = Error::Malformed { what: "chunk size" };
+    let invalid = Error::Malformed { what: "chunk size" };
     let mut size = line.clone();
-    if let Some(at) = line.iter().position(|b| *b == b';') {
-        size.truncate(at);
+    if let Some(semicolon) = line.iter().position(|b| *b == b';') {
+        size.truncate(semicolon);
     }
-    let Ok(text) = std::str::from_utf8(size.chunk()) else { return Err(bad) };
+    let Ok(text) = std::str::from_utf8(size.chunk()) else { return Err(invalid) };
     match u64::from_str_radix(text.trim(), 16) {
-        Ok(size) if size <= MAX_CHUNK && !text.starts_with('+') => Ok(size),
-        _ => Err(bad),
+        Ok(size) if size <= MAX_CHUNK_BYTES && !text.starts_with('+') => Ok(size),
+        _ => Err(invalid),
     }
 }
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -15,7 +15,7 @@
 use crate::{BodyDecoder, Error, Head, Request, Result, head};
 
 /// Buffer space for one read of the socket, in bytes.
-const READ: usize = 8 << 10;
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
 /// Most informational (1xx) responses accepted before the final one.
 const MAX_INFORMATIONAL: usize = 4;
@@ -40,21 +40,21 @@
     stream: TcpStream,
     buf: BytesMut,
     /// No further request may be sent: the last response is incomplete, or the peer closes the connection.
-    spent: bool,
+    must_close: bool,
     /// How long the peer keeps an idle connection open, from the `Keep-Alive` header of its last response.
-    kept_for: Option<Duration>,
+    keep_alive_timeout: Option<Duration>,
     /// When the last response was complete, or the connection was opened.
-    since: Instant,
-    answers: u32,
+    idle_since: Instant,
+    responses: u32,
     /// Whether a request has been sent whose response is not complete.
-    awaits: bool,
+    response_pending: bool,
 }
 
 /// Resets the connection if a request was cancelled: otherwise bytes still queued in the kernel would reach
 /// the peer after a network failure ends, and the peer would run a request that nobody waits for.
 impl Drop for Conn {
     fn drop(&mut self) {
-        if self.awaits {
+        if self.response_pending {
             // Fails only if the connection is already closed.
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
@@ -67,32 +67,41 @@
         let timed_out = || Err(io::Error::from(io::ErrorKind::TimedOut));
         let connected = connected.unwrap_or_else(|_| timed_out());
         let stream = connected.map_err(|source| Error::Connect { source })?;
-        keep_alive(&stream, timeouts.dead_peer).map_err(|source| Error::Connect { source })?;
-        let (buf, since) = (BytesMut::new(), Instant::now());
-        Ok(Conn { stream, buf, spent: false, kept_for: None, since, answers: 0, awaits: false })
+        set_socket_options(&stream, timeouts.dead_peer)
+            .map_err(|source| Error::Connect { source })?;
+        let (buf, idle_since) = (BytesMut::new(), Instant::now());
+        Ok(Conn {
+            stream,
+            buf,
+            must_close: false,
+            keep_alive_timeout: None,
+            idle_since,
+            responses: 0,
+            response_pending: false,
+        })
     }
 
     /// Whether a complete response has been read on this connection.
     pub fn was_used(&self) -> bool {
-        self.answers > 0
+        self.responses > 0
     }
 
     /// When the last response was complete, or the connection was opened.
     pub fn idle_since(&self) -> Instant {
-        self.since
+        self.idle_since
     }
 
     /// Whether another request may be sent: the connection is open, has no unexpected bytes, and the peer's
     /// keep-alive timeout does not expire within `margin`.
     pub fn is_reusable(&mut self, margin: Duration) -> bool {
-        let idle = self.since.elapsed();
-        let expires = self.kept_for.is_some_and(|kept| idle + margin >= kept);
-        if self.spent || expires || !self.buf.is_empty() {
+        let idle = self.idle_since.elapsed();
+        let expires_soon = self.keep_alive_timeout.is_some_and(|timeout| idle + margin >= timeout);
+        if self.must_close || expires_soon || !self.buf.is_empty() {
             return false;
         }
-        let mut one = [0; 1];
+        let mut byte = [0; 1];
         // Both unsolicited bytes and the end of the stream make the connection unusable.
-        matches!(self.stream.try_read(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        matches!(self.stream.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Sends a request and reads the head of the response. If the response starts before the request is
@@ -105,14 +114,14 @@
     /// Sends a request; stops early if the response starts before all bytes are sent.
     pub async fn send_request(&mut self, req: &Request) -> Result<()> {
         let bytes = req.encode();
-        (self.spent, self.awaits) = (true, true);
+        (self.must_close, self.response_pending) = (true, true);
         let (rd, mut wr) = self.stream.split();
         let mut write = std::pin::pin!(wr.write_all(&bytes));
         tokio::select! {
             biased;
             written = &mut write => {
                 written?;
-                self.spent = false;
+                self.must_close = false;
                 Ok(())
             }
             // The rest of the request is not sent, so the connection cannot be reused.
@@ -125,10 +134,10 @@
 
     /// Reads the head of the next response, skipping informational ones.
     pub async fn read_head(&mut self, method: &Method) -> Result<Head> {
-        let reusable = !std::mem::replace(&mut self.spent, true);
+        let reusable = !std::mem::replace(&mut self.must_close, true);
         for _ in 0..=MAX_INFORMATIONAL {
             let head = loop {
-                if let Some(head) = head::take(&mut self.buf, method)? {
+                if let Some(head) = head::take_head(&mut self.buf, method)? {
                     break head;
                 }
                 if self.read().await? == 0 {
@@ -138,8 +147,8 @@
             if (100..200).contains(&head.status) {
                 continue;
             }
-            self.spent = !reusable || head.closes_connection;
-            self.kept_for = kept_for(&head).or(self.kept_for);
+            self.must_close = !reusable || head.closes_connection;
+            self.keep_alive_timeout = parse_keep_alive_timeout(&head).or(self.keep_alive_timeout);
             return Ok(head);
         }
         Err(Error::Malformed { what: "too many informational responses" })
@@ -148,56 +157,59 @@
     /// Reads the next bytes of a body, or `None` at its end.
     pub async fn read_chunk(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>> {
         loop {
-            match body.step(&mut self.buf).inspect_err(|_| self.spent = true)? {
+            match body.decode(&mut self.buf).inspect_err(|_| self.must_close = true)? {
                 Step::Bytes(bytes) => return Ok(Some(bytes)),
-                Step::Whole => {
-                    self.since = Instant::now();
-                    self.answers += 1;
-                    self.awaits = false;
+                Step::Complete => {
+                    self.idle_since = Instant::now();
+                    self.responses += 1;
+                    self.response_pending = false;
                     return Ok(None);
                 }
-                Step::More => {
-                    if self.read().await.inspect_err(|_| self.spent = true)? == 0 {
-                        self.spent = true;
-                        body.end()?;
+                Step::NeedsInput => {
+                    if self.read().await.inspect_err(|_| self.must_close = true)? == 0 {
+                        self.must_close = true;
+                        body.finish()?;
                     }
                 }
             }
         }
     }
 
-    /// Reads a complete body of at most `most` bytes.
-    pub async fn read_body(&mut self, mut body: BodyDecoder, most: usize) -> Result<Bytes> {
-        let mut whole = BytesMut::new();
+    /// Reads a complete body of at most `max_bytes` bytes.
+    pub async fn read_body(&mut self, mut body: BodyDecoder, max_bytes: usize) -> Result<Bytes> {
+        let mut body_bytes = BytesMut::new();
         while let Some(bytes) = self.read_chunk(&mut body).await? {
-            if whole.len() + bytes.len() > most {
-                self.spent = true;
+            if body_bytes.len() + bytes.len() > max_bytes {
+                self.must_close = true;
                 return Err(Error::Malformed { what: "body too large" });
             }
-            whole.extend_from_slice(&bytes);
+            body_bytes.extend_from_slice(&bytes);
         }
-        Ok(whole.freeze())
+        Ok(body_bytes.freeze())
     }
 
     async fn read(&mut self) -> Result<usize> {
-        self.buf.reserve(READ);
+        self.buf.reserve(READ_BUFFER_BYTES);
         Ok(self.stream.read_buf(&mut self.buf).await?)
     }
 }
 
 /// Parses `Keep-Alive: timeout=SECONDS`.
-fn kept_for(head: &Head) -> Option<Duration> {
+fn parse_keep_alive_timeout(head: &Head) -> Option<Duration> {
     let value = head.headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn keep_alive(stream: &TcpStream, dead_peer: Duration) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream, dead_peer: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(dead_peer))?;
-    let probe = dead_peer.max(Duration::from_secs(1));
+    let probe_after = dead_peer.max(Duration::from_secs(1));
     socket.set_tcp_keepalive(
-        &TcpKeepalive::new().with_time(probe).with_interval(Duration::from_secs(1)).with_retries(2),
+        &TcpKeepalive::new()
+            .with_time(probe_after)
+            .with_interval(Duration::from_secs(1))
+            .with_retries(2),
     )
 }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -9,7 +9,7 @@
 /// Largest accepted response head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 32 << 10;
 
-const MAX_FIELDS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// How the end of a response body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,9 +31,9 @@
 }
 
 /// Removes a complete head from the buffer, or returns `None` if more bytes are needed.
-pub(crate) fn take(buf: &mut BytesMut, method: &Method) -> Result<Option<Head>> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
-    let mut parsed = httparse::Response::new(&mut fields);
+pub(crate) fn take_head(buf: &mut BytesMut, method: &Method) -> Result<Option<Head>> {
+    let mut parsed_headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut parsed_headers);
     let status = parsed.parse(buf).map_err(|_| Error::Malformed { what: "head" })?;
     let httparse::Status::Complete(len) = status else {
         if buf.len() > MAX_HEAD_BYTES {
@@ -44,17 +44,17 @@
     let code = parsed.code.ok_or(Error::Malformed { what: "status" })?;
     let http10 = parsed.version == Some(0);
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
-    for field in parsed.headers.iter() {
-        let name = HeaderName::from_bytes(field.name.as_bytes());
-        let value = HeaderValue::from_bytes(field.value);
+    for header in parsed.headers.iter() {
+        let name = HeaderName::from_bytes(header.name.as_bytes());
+        let value = HeaderValue::from_bytes(header.value);
         match (name, value) {
             (Ok(name), Ok(value)) => headers.append(name, value),
             _ => return Err(Error::Malformed { what: "header" }),
         };
     }
     let framing = framing(code, &headers, method)?;
-    let says_close = says(&headers, CONNECTION, "close");
-    let closes_connection = says_close || http10 || framing == Framing::UntilClose;
+    let requests_close = has_token(&headers, CONNECTION, "close");
+    let closes_connection = requests_close || http10 || framing == Framing::UntilClose;
     let _ = buf.split_to(len);
     Ok(Some(Head { status: code, headers, framing, closes_connection }))
 }
@@ -64,7 +64,7 @@
         return Ok(Framing::Length(0));
     }
     if headers.contains_key(TRANSFER_ENCODING) {
-        let chunked = says(headers, TRANSFER_ENCODING, "chunked");
+        let chunked = has_token(headers, TRANSFER_ENCODING, "chunked");
         // With both headers the end of the response is ambiguous, which allows response smuggling.
         if !chunked || headers.contains_key(CONTENT_LENGTH) {
             return Err(Error::Malformed { what: "transfer-encoding" });
@@ -82,8 +82,8 @@
     }
 }
 
-fn says(headers: &HeaderMap, name: HeaderName, word: &str) -> bool {
+fn has_token(headers: &HeaderMap, name: HeaderName, token: &str) -> bool {
     let values = headers.get_all(name);
-    let mut words = values.iter().filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(','));
-    words.any(|w| w.trim().eq_ignore_ascii_case(word))
+    let mut tokens = values.iter().filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(','));
+    tokens.any(|w| w.trim().eq_ignore_ascii_case(token))
 }
--- a/crates/http1/tests/conn.rs
+++ b/crates/http1/tests/conn.rs
@@ -9,16 +9,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Starts a peer that reads a request, writes `answer` and then closes the connection, or keeps it open.
-async fn peer(answer: &'static [u8], stays: bool) -> SocketAddr {
+/// Starts a peer that reads a request, writes `response` and then closes the connection, or keeps it open.
+async fn start_peer(response: &'static [u8], keep_open: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut buf = [0; 4096];
         let _ = stream.read(&mut buf).await;
-        stream.write_all(answer).await.unwrap();
-        if stays {
+        stream.write_all(response).await.unwrap();
+        if keep_open {
             let _ = stream.read(&mut buf).await;
             tokio::time::sleep(Duration::from_secs(60)).await;
         }
@@ -26,30 +26,30 @@
     addr
 }
 
-async fn asked(answer: &'static [u8], stays: bool) -> (Conn, Result<(u16, Bytes), Error>) {
-    let addr = peer(answer, stays).await;
+async fn exchange(response: &'static [u8], keep_open: bool) -> (Conn, Result<(u16, Bytes), Error>) {
+    let addr = start_peer(response, keep_open).await;
     let mut conn = Conn::connect(addr, ConnTimeouts::default()).await.unwrap();
     let req = Request::post("/x", "peer", Bytes::from_static(b"body"));
-    let answered = async {
+    let result = async {
         let head = conn.round_trip(&req).await?;
         let body = conn.read_body(BodyDecoder::new(head.framing), 1 << 20).await?;
         Ok((head.status, body))
     };
-    let answered = answered.await;
-    (conn, answered)
+    let result = result.await;
+    (conn, result)
 }
 
-macro_rules! answers {
-    ($($name:ident: $bytes:expr, $stays:literal => $pattern:pat $(if $guard:expr)?,)*) => {
+macro_rules! responses {
+    ($($name:ident: $bytes:expr, $keep_open:literal => $pattern:pat $(if $guard:expr)?,)*) => {
         $(#[tokio::test]
         async fn $name() {
-            let (_, answered) = asked($bytes, $stays).await;
-            assert_matches!(answered, $pattern $(if $guard)?);
+            let (_, result) = exchange($bytes, $keep_open).await;
+            assert_matches!(result, $pattern $(if $guard)?);
         })*
     };
 }
 
-answers! {
+responses! {
     length_is_read: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", true
         => Ok((200, body)) if body == "abc",
     chunks_are_read: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x\r\nc\r\n0\r\n\r\n", true
@@ -79,9 +79,9 @@
 
 #[tokio::test]
 async fn whole_answer_leaves_the_connection_usable() {
-    let (mut conn, answered) =
-        asked(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", true).await;
-    answered.unwrap();
+    let (mut conn, result) =
+        exchange(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", true).await;
+    result.unwrap();
     assert!(conn.is_reusable(Duration::ZERO));
     assert!(conn.was_used());
 }
@@ -90,9 +90,9 @@
 /// whether the request has run.
 #[tokio::test]
 async fn connection_that_is_about_to_end_is_not_used() {
-    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n";
-    let (mut conn, answered) = asked(answer, true).await;
-    answered.unwrap();
+    let response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n";
+    let (mut conn, result) = exchange(response, true).await;
+    result.unwrap();
     assert!(conn.is_reusable(Duration::ZERO));
     assert!(!conn.is_reusable(Duration::from_secs(1)));
 }
@@ -100,18 +100,18 @@
 /// Unsolicited bytes after a complete response must not be taken for the response to the next request.
 #[tokio::test]
 async fn connection_with_bytes_that_nobody_asked_for_is_not_used() {
-    let answer =
+    let response =
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    let (mut conn, answered) = asked(answer, true).await;
-    answered.unwrap();
+    let (mut conn, result) = exchange(response, true).await;
+    result.unwrap();
     assert!(!conn.is_reusable(Duration::ZERO));
 }
 
 #[tokio::test]
 async fn connection_that_the_peer_closes_is_not_used() {
-    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    let (mut conn, answered) = asked(answer, true).await;
-    answered.unwrap();
+    let response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+    let (mut conn, result) = exchange(response, true).await;
+    result.unwrap();
     assert!(!conn.is_reusable(Duration::ZERO));
 }
 
@@ -132,7 +132,7 @@
 }
 
 /// Returns what the peer reads after the client has dropped its connection.
-async fn read_after_drop(answer: &'static [u8]) -> std::io::Result<usize> {
+async fn read_after_drop(response: &'static [u8]) -> std::io::Result<usize> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut conn =
         Conn::connect(listener.local_addr().unwrap(), ConnTimeouts::default()).await.unwrap();
@@ -141,8 +141,8 @@
     conn.send_request(&req).await.unwrap();
     let mut buf = [0; 4096];
     assert!(stream.read(&mut buf).await.unwrap() > 0);
-    if !answer.is_empty() {
-        stream.write_all(answer).await.unwrap();
+    if !response.is_empty() {
+        stream.write_all(response).await.unwrap();
         let head = conn.read_head(&req.method).await.unwrap();
         conn.read_body(BodyDecoder::new(head.framing), 1 << 10).await.unwrap();
     }
