--- a/crates/events/src/catalogue.rs
+++ b/crates/events/src/catalogue.rs
@@ -4,7 +4,6 @@
 
 macro_rules! catalogue {
     ($($name:ident = $number:literal, $level:ident, $text:literal;)*) => {
-        /// A log event.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event {
             $(#[doc = $text] $name,)*
@@ -14,7 +13,7 @@
             /// All events, ordered by number.
             pub const ALL: &'static [Event] = &[$(Event::$name),*];
 
-            /// The number, which is never given to another event.
+            /// The number, which is never reused for another event.
             pub fn number(self) -> u32 {
                 match self {
                     $(Event::$name => $number,)*
@@ -33,7 +32,6 @@
                 }
             }
 
-            /// The name of the variant.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Event::$name => stringify!($name),)*
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -40,7 +40,7 @@
     assert!(unlogged.is_empty(), "never logged: {unlogged:?}");
 }
 
-/// Appends all sources below `folder`, except tests and the catalogue itself.
+/// Appends all sources below `dir`, except tests and the catalogue itself.
 fn append_sources(dir: &Path, code: &mut String) {
     for entry in std::fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -68,12 +68,10 @@
     DomainId = "failure domain id";
     /// A region: a group of failure domains.
     RegionId = "region id";
-    /// A configured service.
     ServiceId = "service id";
     ModelId = "model id";
-    /// An adapter of a model.
     AdapterId = "adapter id";
-    /// A version of a model or adapter.
+    /// A version of a model or of an adapter.
     VersionId = "version id";
     /// An upstream: a model engine, or a server of a plain service.
     UpstreamId = "upstream id";
