--- a/crates/events/src/catalogue.rs
+++ b/crates/events/src/catalogue.rs
@@ -4,7 +4,6 @@
 
 macro_rules! catalogue {
     ($($name:ident = $number:literal, $level:ident, $text:literal;)*) => {
-        /// A log event.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event {
             $(#[doc = $text] $name,)*
@@ -14,7 +13,7 @@
             /// All events, ordered by number.
             pub const ALL: &'static [Event] = &[$(Event::$name),*];
 
-            /// The number, which is never given to another event.
+            /// The number, which is never reused for another event.
             pub fn number(self) -> u32 {
                 match self {
                     $(Event::$name => $number,)*
@@ -33,7 +32,6 @@
                 }
             }
 
-            /// The name of the variant.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Event::$name => stringify!($name),)*
@@ -65,11 +63,11 @@
     ConfigFromPeer = 3002, Info, "a configuration was received from a peer";
     ConfigRejected = 3003, Warn, "a configuration change in the log was rejected";
     ConfigLost = 3004, Warn, "no configuration is stored anywhere; this node starts without one";
-    ProofLost = 3005, Warn, "the configuration cannot be confirmed as current; requests with keys are refused";
+    ProofLost = 3005, Warn, "the configuration is not confirmed as current; requests with keys are refused";
     ProofGained = 3006, Info, "the configuration is confirmed as current";
     LogDown = 3101, Warn, "the platform's log does not respond";
     LogUp = 3102, Info, "the platform's log responds again";
-    StoreCameBack = 3103, Warn, "the platform's store was restored from a backup; lost records are read and written again";
+    StoreCameBack = 3103, Warn, "the platform's store was restored from a backup; lost records are rewritten";
     KeeperGained = 4001, Info, "this node became the leader of its failure domain";
     KeeperLost = 4002, Info, "this node is no longer the leader of its failure domain";
     OrderSent = 4003, Info, "an order was sent to an engine";
@@ -94,5 +92,5 @@
     RequestServed = 5006, Info, "an engine has sent a complete response";
     TryFailed = 5007, Info, "an attempt at an engine has failed";
     CallerLeft = 5008, Info, "a caller disconnected before its response was complete";
-    CallerDenied = 5009, Info, "a request was refused because its key is missing, invalid or could not be verified";
+    CallerDenied = 5009, Info, "a request was refused: its key is missing, invalid or could not be verified";
 }
