--- a/crates/direct/src/placement/adapters.rs
+++ b/crates/direct/src/placement/adapters.rs
@@ -13,16 +13,16 @@
 }
 
 /// Cost of an engine outside the caller's failure domain, relative to a fully loaded engine.
-const OTHER_DOMAIN: f64 = 0.3;
+const OTHER_DOMAIN_COST: f64 = 0.3;
 
 /// Time after a request for an adapter for which it is probably in use.
-const IN_USE: Millis = 800;
+const IN_USE_TIME: Millis = 800;
 
 /// Cost of waiting for the requests of an adapter to end, in requests per second.
-const WAITS: f64 = 2.0;
+const IN_USE_COST: f64 = 2.0;
 
 /// Cost of evicting an adapter that another engine has too, relative to evicting the only copy.
-const ELSEWHERE_SHARE: f64 = 0.2;
+const OTHER_COPY_FACTOR: f64 = 0.2;
 
 /// Chooses an engine for a requested adapter: one that has its model, preferably with a free slot.
 /// Otherwise the adapter whose eviction costs least is evicted.
@@ -39,9 +39,11 @@
         if !engine.has_model(&wanted.model) || engine.health.is_ejected(now) {
             continue;
         }
-        let Some((instead_of, loss)) = place(engine, engines, pool, demand, now) else { continue };
+        let Some((instead_of, loss)) = slot_at(engine, engines, pool, demand, now) else {
+            continue;
+        };
         let load = engine.estimate(now) / f64::from(engine.info.slots.max(1));
-        let far = if engine.info.domain == domain { 0.0 } else { OTHER_DOMAIN };
+        let far = if engine.info.domain == domain { 0.0 } else { OTHER_DOMAIN_COST };
         let cost = loss + load + far + engine.health.failure_rate(now) * 3.0;
         if best.as_ref().is_none_or(|(c, _)| cost < *c) {
             let engine = engine.info.id.clone();
@@ -52,7 +54,7 @@
 }
 
 /// The adapter to evict at this engine, if no slot is free, and the cost.
-fn place(
+fn slot_at(
     engine: &Engine,
     engines: &[&Engine],
     pool: &ModelPool,
@@ -68,9 +70,10 @@
     let cost = |w: &ModelRef| {
         let elsewhere = engines.iter().filter(|e| e.has_loaded(w)).count() > 1;
         let rate = demand.rate(now, w);
-        let in_use = demand.last_requested(w).is_some_and(|at| now.saturating_sub(at) < IN_USE);
-        let waits = if in_use { WAITS } else { 0.0 };
-        waits + if elsewhere { rate * ELSEWHERE_SHARE } else { rate }
+        let in_use =
+            demand.last_requested(w).is_some_and(|at| now.saturating_sub(at) < IN_USE_TIME);
+        let waits = if in_use { IN_USE_COST } else { 0.0 };
+        waits + if elsewhere { rate * OTHER_COPY_FACTOR } else { rate }
     };
     let victim = all.map(|w| (cost(&w), w)).min_by(|a, b| a.0.total_cmp(&b.0))?;
     Some((Some(victim.1), 0.5 + victim.0))
--- a/crates/direct/src/placement/spread.rs
+++ b/crates/direct/src/placement/load_distribution.rs
@@ -16,19 +16,19 @@
 /// The number of copies alone does not show that copies of busy models share an engine while others
 /// are idle.
 #[derive(Debug)]
-pub(super) struct Spread<'a> {
+pub(super) struct LoadDistribution<'a> {
     /// Requests per second at each engine, in the order of the engines.
     loads: Vec<f64>,
     /// Indices of the engines that have, or are loading, each model.
-    holders: IndexMap<&'a str, Vec<usize>>,
+    copies: IndexMap<&'a str, Vec<usize>>,
 }
 
-impl<'a> Spread<'a> {
+impl<'a> LoadDistribution<'a> {
     pub(super) fn of(
         engines: &[&'a Engine],
         pending: &'a PendingLoads,
         rates: &Rates,
-    ) -> Spread<'a> {
+    ) -> LoadDistribution<'a> {
         let mut holders: IndexMap<&str, Vec<usize>> = IndexMap::new();
         for (at, engine) in engines.iter().enumerate() {
             for held in &engine.info.loaded {
@@ -39,17 +39,17 @@
                 holders.entry(model).or_default().push(at);
             }
         }
-        let mut spread = Spread { loads: vec![0.0; engines.len()], holders };
-        spread.deal(rates);
+        let mut spread = LoadDistribution { loads: vec![0.0; engines.len()], copies: holders };
+        spread.distribute(rates);
         spread
     }
 
-    fn deal(&mut self, rates: &Rates) {
+    fn distribute(&mut self, rates: &Rates) {
         // Models with the fewest copies have the least choice and go first.
-        self.holders.sort_by(|_, a, _, b| a.len().cmp(&b.len()));
-        let mut dealt: Vec<Vec<f64>> = self.holders.values().map(|h| vec![0.0; h.len()]).collect();
+        self.copies.sort_by(|_, a, _, b| a.len().cmp(&b.len()));
+        let mut dealt: Vec<Vec<f64>> = self.copies.values().map(|h| vec![0.0; h.len()]).collect();
         for _ in 0..ROUNDS {
-            for ((model, holders), dealt) in self.holders.iter().zip(&mut dealt) {
+            for ((model, holders), dealt) in self.copies.iter().zip(&mut dealt) {
                 let part = rates.of_model(model) / f64::from(PARTS);
                 if part == 0.0 {
                     continue;
@@ -75,13 +75,13 @@
     }
 
     /// Requests per second at the least loaded copy of a model.
-    pub(super) fn level(&self, model: &str) -> Option<f64> {
-        let holders = self.holders.get(model)?;
+    pub(super) fn min_copy_load(&self, model: &str) -> Option<f64> {
+        let holders = self.copies.get(model)?;
         holders.iter().map(|at| self.loads[*at]).min_by(f64::total_cmp)
     }
 
     /// Requests per second at the most loaded engine.
-    pub(super) fn most(&self) -> f64 {
+    pub(super) fn max(&self) -> f64 {
         self.loads.iter().copied().fold(0.0, f64::max)
     }
 
--- a/crates/direct/src/placement/load_rate.rs
+++ b/crates/direct/src/placement/load_rate.rs
@@ -16,7 +16,7 @@
 const BURST: f64 = 2.0;
 
 impl LoadRateLimits {
-    fn most(&self) -> f64 {
+    fn max_loads(&self) -> f64 {
         self.loads_per_s * self.window as f64 / 1000.0 + BURST
     }
 }
@@ -24,24 +24,24 @@
 /// Counts the loads from the weight store that started within the window.
 #[derive(Debug, Clone, Default)]
 pub struct LoadRateLimiter {
-    begun: VecDeque<Millis>,
+    started: VecDeque<Millis>,
 }
 
 impl LoadRateLimiter {
     pub fn allows(&mut self, now: Millis, limits: &LoadRateLimits) -> bool {
-        while self.begun.front().is_some_and(|t| *t + limits.window < now) {
-            self.begun.pop_front();
+        while self.started.front().is_some_and(|t| *t + limits.window < now) {
+            self.started.pop_front();
         }
-        (self.begun.len() + 1) as f64 <= limits.most()
+        (self.started.len() + 1) as f64 <= limits.max_loads()
     }
 
     pub fn record_load(&mut self, now: Millis) {
-        self.begun.push_back(now);
+        self.started.push_back(now);
     }
 
     /// Time since each load in the window started.
     pub fn load_ages(&self, now: Millis) -> Vec<Millis> {
-        self.begun.iter().map(|at| now.saturating_sub(*at)).collect()
+        self.started.iter().map(|at| now.saturating_sub(*at)).collect()
     }
 
     /// Takes over from a previous leader that reported these loads and may have started `unheard`
@@ -49,14 +49,14 @@
     ///
     /// Prevents a new leader from waiting for a whole window before it loads models.
     pub fn restore(&mut self, now: Millis, begun: &[Millis], unheard: usize) {
-        self.begun = begun.iter().copied().chain(std::iter::repeat_n(now, unheard)).collect();
-        self.begun.make_contiguous().sort_unstable();
+        self.started = begun.iter().copied().chain(std::iter::repeat_n(now, unheard)).collect();
+        self.started.make_contiguous().sort_unstable();
     }
 
     /// Takes over from a previous leader that may have used up the window; leaves room for `but`
     /// loads.
     pub fn assume_full(&mut self, now: Millis, limits: &LoadRateLimits, but: usize) {
-        let most = limits.most() as usize;
-        self.begun = std::iter::repeat_n(now, most.saturating_sub(but)).collect();
+        let most = limits.max_loads() as usize;
+        self.started = std::iter::repeat_n(now, most.saturating_sub(but)).collect();
     }
 }
--- a/crates/direct/src/placement/mod.rs
+++ b/crates/direct/src/placement/mod.rs
@@ -3,9 +3,9 @@
 mod adapters;
 mod balance;
 mod capacity;
+mod load_distribution;
 mod load_rate;
 mod models;
-mod spread;
 mod targets;
 
 pub use adapters::{AdapterAction, next_missing_adapter, place_adapter};
--- a/crates/direct/src/placement/models.rs
+++ b/crates/direct/src/placement/models.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 
 use super::capacity::{free_mb, reserved_mb};
-use super::spread::Spread;
-use super::targets::{IN_DEMAND, need, targets};
+use super::load_distribution::LoadDistribution;
+use super::targets::{IN_DEMAND_RATE, need, targets};
 use crate::{Engine, EngineId, Engines, Millis, Model, ModelPool, ModelRef, Rates};
 
 /// Models that engines are being ordered to load.
@@ -81,23 +81,23 @@
 
 /// Factor on demand by which a copy must be spare to be evicted; prevents an engine from loading
 /// and evicting the same two models in turn.
-const SPARE: f64 = 1.3;
+const SPARE_FACTOR: f64 = 1.3;
 
 /// Minimum need of any requested copy, in requests per second.
-pub(super) const LEAST_NEED: f64 = 2.0;
+pub(super) const MIN_NEED: f64 = 2.0;
 
 /// Recent requests per second from which a model is probably in use at each of its copies.
-const IN_USE: f64 = 0.5;
+const IN_USE_RATE: f64 = 0.5;
 
 /// Time until the requests of an evicted model have ended; the engine takes no other order before.
-const RUNS_OUT: Duration = Duration::from_millis(3_500);
+const DRAIN_TIME: Duration = Duration::from_millis(3_500);
 
 /// Models with at least this part of the highest need count as equally urgent; the fastest load
 /// among them goes first.
-const AS_URGENT: f64 = 0.5;
+const URGENT_RATIO: f64 = 0.5;
 
 /// Maximum number of equally urgent models to compare; bounds the time of a plan.
-const MOST_URGENT: usize = 6;
+const MAX_URGENT: usize = 6;
 
 /// Number of engines that evict models for a load that has not started. Counted by engine, as one
 /// that has disappeared may be in only one of the two lists.
@@ -114,9 +114,9 @@
     allowed: AllowedActions,
     now: Millis,
 ) -> Option<ModelLoad> {
-    let kept = targets(engines, pool, rates, SPARE);
+    let kept = targets(engines, pool, rates, SPARE_FACTOR);
     let targets = targets(engines, pool, rates, 1.0);
-    let held = held(engines);
+    let held = copy_counts(engines);
     let copies = |model: &str| {
         let held = held.get(model).copied().unwrap_or(0);
         held + pending.values().filter(|m| *m == model).count()
@@ -134,32 +134,32 @@
         .collect();
     lacking.sort_by(|a, b| b.1.total_cmp(&a.1));
     let reserved = reserved_mb(pool);
-    let spread = Spread::of(engines, pending, rates);
-    let wants = Candidates {
+    let spread = LoadDistribution::of(engines, pending, rates);
+    let wants = Planner {
         engines,
         pool,
         rates,
         pending,
-        spread: &spread,
+        distribution: &spread,
         kept: &kept,
-        held: &held,
-        reserved,
+        copy_counts: &held,
+        reserved_mb: reserved,
         allowed,
         now,
     };
     let most = lacking.first().map_or(0.0, |(_, need)| *need);
     let (urgent, rest): (Vec<_>, Vec<_>) =
-        lacking.into_iter().partition(|(_, need)| *need >= AS_URGENT * most);
-    let step = |(model, need): (&String, f64)| wants.step(model, need, &Bounds::NONE);
-    let quickest = urgent.into_iter().take(MOST_URGENT).filter_map(step);
+        lacking.into_iter().partition(|(_, need)| *need >= URGENT_RATIO * most);
+    let step = |(model, need): (&String, f64)| wants.plan_load(model, need, &Bounds::NONE);
+    let quickest = urgent.into_iter().take(MAX_URGENT).filter_map(step);
     quickest
-        .min_by_key(|step| wants.time(step))
+        .min_by_key(|step| wants.duration(step))
         .or_else(|| rest.into_iter().find_map(step))
-        .or_else(|| wants.evening_out())
+        .or_else(|| wants.balance())
 }
 
 /// Number of engines that have each model, counted once per plan to keep plans fast.
-fn held<'a>(engines: &[&'a Engine]) -> IndexMap<&'a str, usize> {
+fn copy_counts<'a>(engines: &[&'a Engine]) -> IndexMap<&'a str, usize> {
     let mut held = IndexMap::new();
     for model in engines.iter().flat_map(|e| &e.info.loaded) {
         *held.entry(model.model.as_str()).or_default() += 1;
@@ -170,42 +170,42 @@
 /// Bounds on the load of an engine that gets a copy, and on the loss by eviction, in requests per
 /// second.
 pub(super) struct Bounds {
-    pub(super) least: f64,
-    pub(super) most: f64,
-    pub(super) loss: f64,
+    pub(super) min_load: f64,
+    pub(super) max_load: f64,
+    pub(super) max_loss: f64,
 }
 
 impl Bounds {
-    const NONE: Bounds = Bounds { least: 0.0, most: f64::INFINITY, loss: f64::INFINITY };
+    const NONE: Bounds = Bounds { min_load: 0.0, max_load: f64::INFINITY, max_loss: f64::INFINITY };
 }
 
 /// Input of a plan.
-pub(super) struct Candidates<'a> {
+pub(super) struct Planner<'a> {
     pub(super) engines: &'a [&'a Engine],
     pub(super) pool: &'a ModelPool,
     pub(super) rates: &'a Rates,
     pub(super) pending: &'a PendingLoads,
-    pub(super) spread: &'a Spread<'a>,
+    pub(super) distribution: &'a LoadDistribution<'a>,
     /// Number of copies that each model keeps.
     pub(super) kept: &'a IndexMap<String, usize>,
     /// Number of engines that have each model.
-    pub(super) held: &'a IndexMap<&'a str, usize>,
+    pub(super) copy_counts: &'a IndexMap<&'a str, usize>,
     /// Memory per engine that is reserved for adapters, in megabytes.
-    pub(super) reserved: f64,
+    pub(super) reserved_mb: f64,
     pub(super) allowed: AllowedActions,
     pub(super) now: Millis,
 }
 
-impl Candidates<'_> {
+impl Planner<'_> {
     /// The best engine for one more copy of a model, with the models to evict there.
-    pub(super) fn step(&self, model: &str, need: f64, bounds: &Bounds) -> Option<ModelLoad> {
+    pub(super) fn plan_load(&self, model: &str, need: f64, bounds: &Bounds) -> Option<ModelLoad> {
         let configured = self.pool.models.get(model)?;
         let needs = configured.weights_mb;
         let mut best: Option<(f64, &Engine, Vec<String>, WeightSource)> = None;
         for (at, engine) in self.engines.iter().enumerate() {
             let id = &engine.info.id;
-            let load = self.spread.load(at);
-            if load < bounds.least || load > bounds.most {
+            let load = self.distribution.load(at);
+            if load < bounds.min_load || load > bounds.max_load {
                 continue;
             }
             if self.pending.contains_key(id) || engine.has_model(model) {
@@ -218,14 +218,14 @@
             if source == WeightSource::Store && !self.allowed.load_from_store {
                 continue;
             }
-            let Some((victims, loss)) = self.victims(engine, needs) else { continue };
-            if loss > bounds.loss || (!victims.is_empty() && !self.allowed.evict) {
+            let Some((victims, loss)) = self.evictions(engine, needs) else { continue };
+            if loss > bounds.max_loss || (!victims.is_empty() && !self.allowed.evict) {
                 continue;
             }
             // Requests that arrive until the load is complete are not served.
-            let time = self.runs_out(&victims) + source.load_time(configured);
-            let waits = need.max(LEAST_NEED) * time.as_secs_f64();
-            let cost = loss + self.burden(model, load) + waits;
+            let time = self.drain_time(&victims) + source.load_time(configured);
+            let waits = need.max(MIN_NEED) * time.as_secs_f64();
+            let cost = loss + self.load_cost(model, load) + waits;
             if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
                 best = Some((cost, engine, victims, source));
             }
@@ -236,20 +236,20 @@
     }
 
     /// Time until the load is complete.
-    fn time(&self, step: &ModelLoad) -> Duration {
+    fn duration(&self, step: &ModelLoad) -> Duration {
         let load = self.pool.models.get(&step.model).map(|model| step.source.load_time(model));
-        self.runs_out(&step.evict) + load.unwrap_or_default()
+        self.drain_time(&step.evict) + load.unwrap_or_default()
     }
 
     /// Cost of an engine with this load. A rarely requested model goes to a busy engine, to leave
     /// engines with little load to models in demand.
-    fn burden(&self, model: &str, load: f64) -> f64 {
-        if self.rate(model) < IN_DEMAND { self.spread.most() - load } else { load }
+    fn load_cost(&self, model: &str, load: f64) -> f64 {
+        if self.rate(model) < IN_DEMAND_RATE { self.distribution.max() - load } else { load }
     }
 
     /// The models to evict so that `needs` megabytes are free, and the resulting loss of demand.
-    fn victims(&self, engine: &Engine, needs: f64) -> Option<(Vec<String>, f64)> {
-        let mut free_mb = free_mb(engine, self.pool, self.reserved);
+    fn evictions(&self, engine: &Engine, needs: f64) -> Option<(Vec<String>, f64)> {
+        let mut free_mb = free_mb(engine, self.pool, self.reserved_mb);
         let mut droppable: Vec<(&str, f64)> = engine
             .info
             .loaded
@@ -274,9 +274,9 @@
     }
 
     /// Time until the models can be evicted.
-    fn runs_out(&self, victims: &[String]) -> Duration {
-        let in_use = victims.iter().any(|m| self.recent(m) >= IN_USE);
-        if in_use { RUNS_OUT } else { Duration::ZERO }
+    fn drain_time(&self, victims: &[String]) -> Duration {
+        let in_use = victims.iter().any(|m| self.recent(m) >= IN_USE_RATE);
+        if in_use { DRAIN_TIME } else { Duration::ZERO }
     }
 
     fn recent(&self, model: &str) -> f64 {
@@ -290,7 +290,7 @@
     }
 
     pub(super) fn copies(&self, model: &str) -> f64 {
-        self.held.get(model).copied().unwrap_or(0).max(1) as f64
+        self.copy_counts.get(model).copied().unwrap_or(0).max(1) as f64
     }
 
     pub(super) fn rate(&self, model: &str) -> f64 {
