--- a/crates/direct/src/quota/allowance.rs
+++ b/crates/direct/src/quota/allowance.rs
@@ -25,19 +25,19 @@
 /// Allowances of one customer that a node holds.
 #[derive(Debug, Clone, Default)]
 pub struct AllowancePool {
-    lots: VecDeque<Allowance>,
+    allowances: VecDeque<Allowance>,
 }
 
 impl AllowancePool {
     pub fn balance(&mut self, now: Millis) -> f64 {
-        self.lots.retain(|lot| lot.expires_at > now && lot.amount > 0.0);
-        self.lots.iter().map(|lot| lot.amount).sum()
+        self.allowances.retain(|lot| lot.expires_at > now && lot.amount > 0.0);
+        self.allowances.iter().map(|lot| lot.amount).sum()
     }
 
     /// Adds an allowance, or returns an unused one.
     pub fn add(&mut self, lot: Allowance) {
-        let at = self.lots.partition_point(|known| known.expires_at <= lot.expires_at);
-        self.lots.insert(at, lot);
+        let at = self.allowances.partition_point(|known| known.expires_at <= lot.expires_at);
+        self.allowances.insert(at, lot);
     }
 
     /// Takes up to this amount, the earliest to expire first.
@@ -45,13 +45,13 @@
         self.balance(now);
         let (mut left, mut taken) = (most, Vec::new());
         while left > 0.0
-            && let Some(first) = self.lots.front_mut()
+            && let Some(first) = self.allowances.front_mut()
         {
             let amount = first.amount.min(left);
             (first.amount, left) = (first.amount - amount, left - amount);
             taken.push(Allowance { amount, expires_at: first.expires_at });
             if first.amount <= 0.0 {
-                self.lots.pop_front();
+                self.allowances.pop_front();
             }
         }
         taken
--- a/crates/direct/src/quota/fallback.rs
+++ b/crates/direct/src/quota/fallback.rs
@@ -8,7 +8,7 @@
 
 use super::bucket::Bucket;
 use super::{
-    ALONE_SHARE, AllowanceRequest, IssuanceParams, IssuedAmount, LEAST_DEPTH_S, SILENT_AFTER,
+    AllowanceRequest, FALLBACK_SHARE, ISOLATED_AFTER, IssuanceParams, IssuedAmount, MIN_DEPTH_S,
 };
 
 /// Usage that was granted without the issuer.
@@ -24,15 +24,15 @@
 pub struct FallbackIssuer {
     buckets: IndexMap<CustomerId, Bucket>,
     /// Customers without a grant since the issuer responded.
-    ended: IndexSet<CustomerId>,
-    used: VecDeque<Usage>,
+    to_restart: IndexSet<CustomerId>,
+    usage: VecDeque<Usage>,
 }
 
 impl FallbackIssuer {
     /// The issuer has responded. The advance that was used stays used, so that an issuer that
     /// responds only now and then does not renew it each time.
     pub fn issuer_responded(&mut self) {
-        self.ended.extend(self.buckets.keys().cloned());
+        self.to_restart.extend(self.buckets.keys().cloned());
     }
 
     /// Grants from the quota's part for `share` of all nodes.
@@ -44,15 +44,15 @@
         share: f64,
         now: Millis,
     ) -> IssuedAmount {
-        let part = ALONE_SHARE * share;
+        let part = FALLBACK_SHARE * share;
         let bucket = self.buckets.entry(customer.clone()).or_insert(Bucket { level: 0.0, at: now });
-        let begins = self.ended.swap_remove(customer);
-        let depth = if begins { 0.0 } else { terms.rate * part * LEAST_DEPTH_S };
+        let begins = self.to_restart.swap_remove(customer);
+        let depth = if begins { 0.0 } else { terms.rate * part * MIN_DEPTH_S };
         bucket.fill(now, terms.rate * part, depth);
-        let given = want.grantable(bucket.level + terms.ahead * share);
+        let given = want.grantable(bucket.level + terms.advance * share);
         bucket.level -= given;
-        self.forget(now);
-        self.used.push_back(Usage { customer: customer.clone(), amount: given, at: now });
+        self.expire_usage(now);
+        self.usage.push_back(Usage { customer: customer.clone(), amount: given, at: now });
         let rate = (terms.rate * part).max(f64::MIN_POSITIVE);
         let lacks = want.needed - given;
         IssuedAmount {
@@ -63,18 +63,18 @@
 
     /// Recent usage, to report to the issuer, which has deducted earlier usage already.
     pub fn take_usage(&mut self, now: Millis) -> Vec<Usage> {
-        self.forget(now);
-        self.used.drain(..).collect()
+        self.expire_usage(now);
+        self.usage.drain(..).collect()
     }
 
     /// Restores usage that could not be reported.
     pub fn restore_usage(&mut self, used: Vec<Usage>) {
-        used.into_iter().rev().for_each(|used| self.used.push_front(used));
+        used.into_iter().rev().for_each(|used| self.usage.push_front(used));
     }
 
-    fn forget(&mut self, now: Millis) {
-        while self.used.front().is_some_and(|used| now.saturating_sub(used.at) >= SILENT_AFTER) {
-            self.used.pop_front();
+    fn expire_usage(&mut self, now: Millis) {
+        while self.usage.front().is_some_and(|used| now.saturating_sub(used.at) >= ISOLATED_AFTER) {
+            self.usage.pop_front();
         }
     }
 }
--- a/crates/direct/src/quota/mod.rs
+++ b/crates/direct/src/quota/mod.rs
@@ -28,11 +28,11 @@
 pub use request::AllowanceRequest;
 
 /// Part of their share that domains use while they do not reach the issuer.
-const ALONE_SHARE: f64 = 0.8;
+const FALLBACK_SHARE: f64 = 0.8;
 
 /// Time without contact after which a domain counts as isolated.
-const SILENT_AFTER: Millis = 1_000;
+const ISOLATED_AFTER: Millis = 1_000;
 
 /// Minimum depth of a bucket, in seconds at the quota's rate; a single request may need that much
 /// at once.
-const LEAST_DEPTH_S: f64 = 0.4;
+const MIN_DEPTH_S: f64 = 0.4;
