--- a/crates/direct/src/aggregation.rs
+++ b/crates/direct/src/aggregation.rs
@@ -15,11 +15,11 @@
 };
 
 /// Time without a report after which loads are unknown; longer than two lost complete reports.
-const FRESH_FOR: Millis = 2_200;
+const REPORT_TTL: Millis = 2_200;
 
 /// Minimum part of the other hubs that must be heard; with fewer, engines look less loaded than
 /// they are.
-const HEARD_SHARE: f64 = 0.66;
+const MIN_HUBS_RATIO: f64 = 0.66;
 
 /// What a reported load covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -89,14 +89,14 @@
 #[derive(Debug, Default)]
 pub struct Aggregator {
     /// Reports of nodes that ask this one.
-    near: PeerReports,
+    domain: PeerReports,
     /// Reports of the hub of this node's domain, or of other hubs.
-    far: PeerReports,
-    up: UpdateTracker,
-    down: UpdateTracker,
+    remote: PeerReports,
+    upward: UpdateTracker,
+    downward: UpdateTracker,
     fresh: bool,
     /// The hub that this node reported to last.
-    head: Option<SocketAddr>,
+    hub: Option<SocketAddr>,
 }
 
 impl Aggregator {
@@ -115,8 +115,8 @@
         now: Millis,
     ) -> Vec<EngineKey> {
         match subtotal_for(scope, relation) {
-            Some(Subtotal::Remote) => self.far.apply(from, now, told),
-            Some(Subtotal::Domain) => self.near.apply(from, now, told),
+            Some(Subtotal::Remote) => self.remote.apply(from, now, told),
+            Some(Subtotal::Domain) => self.domain.apply(from, now, told),
             None => Vec::new(),
         }
     }
@@ -128,10 +128,10 @@
         own: IndexMap<EngineKey, InFlightLoad>,
         circle: &Neighbors,
     ) -> Vec<OutgoingUpdate> {
-        self.near.expire(now, |addr| circle.children.contains(addr));
-        self.far.expire(now, |addr| Some(*addr) == circle.hub || circle.hubs.contains(addr));
-        self.fresh = self.is_heard(circle, now);
-        let mut sayings: Vec<OutgoingUpdate> = self.leave(circle.hub).into_iter().collect();
+        self.domain.expire(now, |addr| circle.children.contains(addr));
+        self.remote.expire(now, |addr| Some(*addr) == circle.hub || circle.hubs.contains(addr));
+        self.fresh = self.has_enough_reports(circle, now);
+        let mut sayings: Vec<OutgoingUpdate> = self.leave_hub(circle.hub).into_iter().collect();
         let mut say = |to: &[SocketAddr], scope, words: Vec<InFlightUpdate>| {
             let all = words.into_iter().map(|told| OutgoingUpdate {
                 to: to.to_vec(),
@@ -141,26 +141,26 @@
             sayings.extend(all.filter(|saying| !saying.to.is_empty()));
         };
         if let Some(head) = circle.hub {
-            say(&[head], ReportScope::Node, self.up.next_updates(now, &own));
+            say(&[head], ReportScope::Node, self.upward.next_updates(now, &own));
             return sayings;
         }
-        let domain = add(own, &self.near);
-        say(&circle.hubs, ReportScope::Domain, self.up.next_updates(now, &domain));
+        let domain = add_reports(own, &self.domain);
+        say(&circle.hubs, ReportScope::Domain, self.upward.next_updates(now, &domain));
         if !circle.children.is_empty() {
-            let all = add(domain, &self.far);
-            say(&circle.children, ReportScope::Global, self.down.next_updates(now, &all));
+            let all = add_reports(domain, &self.remote);
+            say(&circle.children, ReportScope::Global, self.downward.next_updates(now, &all));
         }
         sayings
     }
 
     /// On a change of hub: clears the load that the previous hub counts for this node.
-    fn leave(&mut self, head: Option<SocketAddr>) -> Option<OutgoingUpdate> {
-        let before = std::mem::replace(&mut self.head, head);
+    fn leave_hub(&mut self, head: Option<SocketAddr>) -> Option<OutgoingUpdate> {
+        let before = std::mem::replace(&mut self.hub, head);
         if before == head {
             return None;
         }
-        self.up = UpdateTracker::default();
-        self.down = UpdateTracker::default();
+        self.upward = UpdateTracker::default();
+        self.downward = UpdateTracker::default();
         let told = InFlightUpdate {
             full_partition: Some(KeyPartition { part: 0, parts: 1 }),
             rows: Vec::new(),
@@ -172,22 +172,22 @@
         })
     }
 
-    fn is_heard(&self, circle: &Neighbors, now: Millis) -> bool {
-        let heard = self.far.active_within(FRESH_FOR, now) as f64;
+    fn has_enough_reports(&self, circle: &Neighbors, now: Millis) -> bool {
+        let heard = self.remote.active_within(REPORT_TTL, now) as f64;
         let all = if circle.hub.is_some() { 1 } else { circle.hubs.len() };
-        all > 0 && heard >= HEARD_SHARE * all as f64
+        all > 0 && heard >= MIN_HUBS_RATIO * all as f64
     }
 
     /// Load that all other nodes have in flight at an engine.
     pub fn in_flight_elsewhere(&self, key: EngineKey) -> InFlightLoad {
-        let far = self.far.sum(key);
+        let far = self.remote.sum(key);
         // The hub's sum includes what this node reported to it.
-        let far = if self.head.is_some() { far.minus(self.up.last_sent(key)) } else { far };
-        far.plus(self.near.sum(key))
+        let far = if self.hub.is_some() { far.minus(self.upward.last_sent(key)) } else { far };
+        far.plus(self.domain.sum(key))
     }
 }
 
-fn add(
+fn add_reports(
     mut flights: IndexMap<EngineKey, InFlightLoad>,
     told: &PeerReports,
 ) -> IndexMap<EngineKey, InFlightLoad> {
--- a/crates/direct/src/choice.rs
+++ b/crates/direct/src/choice.rs
@@ -97,28 +97,28 @@
 }
 
 /// Retry time for a model that is not loaded anywhere, if nothing better is known.
-const PLACED_WITHIN: Duration = Duration::from_millis(1_000);
+const MODEL_LOAD_RETRY: Duration = Duration::from_millis(1_000);
 
 /// Up to this number of nodes, each request considers all engines.
-const FEW_NODES: u32 = 12;
+const MAX_NODES_FULL_SCAN: u32 = 12;
 
 /// With more nodes, each request considers this part of the engines, chosen at random, so that
 /// nodes with the same slightly outdated data do not all choose the same engine.
-const LOOKED_AT: f64 = 0.4;
+const CONSIDERED_SHARE: f64 = 0.4;
 
 /// Minimum number of engines that each request considers, so that an idle copy is rarely skipped.
-const LEAST_LOOKED_AT: usize = 3;
+const MIN_CONSIDERED: usize = 3;
 
 /// Requests that may queue at an engine before it counts as full, as a part of its slots.
 const QUEUE_SHARE: f64 = 1.0;
 
 /// The same for requests that engines admit before others. Prevents urgent requests from being
 /// refused because less urgent ones fill the queues.
-const QUEUE_SHARE_FIRST: f64 = 1.75;
+const QUEUE_SHARE_PRECEDENCE: f64 = 1.75;
 
 /// If the loads reported by nodes exceed those reported by engines by more than this factor, the
 /// engines are trusted. Smaller differences come from the age of the engines' reports.
-const MOST_OVERSTATED: f64 = 2.5;
+const MAX_OVERSTATEMENT: f64 = 2.5;
 
 /// Chooses the engine with the lowest expected time to the first byte.
 pub fn choose_engine(
@@ -128,14 +128,14 @@
 ) -> Result<Choice, NoEngine> {
     let mut found = NoEngine::NoneAvailable;
     let mut best: Option<((bool, bool), Choice)> = None;
-    let looked_at = looked_at(engines, ask, now);
+    let looked_at = random_threshold(engines, ask, now);
     let tokens = ask.prompt.map_or(0, |p| p.prompt_tokens);
-    let home = ask.prompt.map(home_key);
+    let home = ask.prompt.map(session_key);
     let mean = mean_load(engines, ask.service, now);
-    let overstated = LazyCell::new(|| overstated(engines, ask.service, now));
+    let overstated = LazyCell::new(|| overstatement(engines, ask.service, now));
     for engine in engines.of_service(ask.service).filter(|e| e.accepts_requests()) {
         if found == NoEngine::NoneAvailable {
-            found = NoEngine::NotLoaded(PLACED_WITHIN);
+            found = NoEngine::NotLoaded(MODEL_LOAD_RETRY);
         }
         // Another node probes an engine that is reported unreachable; it is not tried here.
         let wanted = ask.prompt.and_then(|p| p.model_ref.as_ref());
@@ -147,7 +147,7 @@
         // An engine without a known load is assumed to have the mean load, not to be idle.
         let estimate =
             engine.known_load(now).unwrap_or_else(|| mean.max(f64::from(engine.own_requests)));
-        let queue = if ask.has_precedence { QUEUE_SHARE_FIRST } else { QUEUE_SHARE };
+        let queue = if ask.has_precedence { QUEUE_SHARE_PRECEDENCE } else { QUEUE_SHARE };
         let room = f64::from(engine.info.slots) * (1.0 + queue);
         let is_full = estimate >= room && estimate / *overstated >= room;
         if is_full || engine.own_requests >= ask.max_conns || ask.tried.contains(&engine.info.id) {
@@ -159,7 +159,7 @@
         let choice = Choice { engine: engine.info.id.clone(), cost_ms: cost, estimate };
         // Each request considers some engines only, so that many nodes do not all choose the same
         // one.
-        let passed_over = draw_of(ask.random, &engine.info.id) > looked_at;
+        let passed_over = engine_random(ask.random, &engine.info.id) > looked_at;
         // Ejected engines are the last resort.
         let alone = engine.health.is_ejected(now) || passed_over;
         // Engines whose streams would pause for too long rank after the others.
@@ -184,8 +184,8 @@
 }
 
 /// The highest random number of the engines that this request considers.
-fn looked_at(engines: &Engines, ask: &ChoiceParams<'_>, now: Millis) -> f64 {
-    if ask.nodes <= FEW_NODES {
+fn random_threshold(engines: &Engines, ask: &ChoiceParams<'_>, now: Millis) -> f64 {
+    if ask.nodes <= MAX_NODES_FULL_SCAN {
         return 1.0;
     }
     let wanted = ask.prompt.and_then(|p| p.model_ref.as_ref());
@@ -193,8 +193,8 @@
         .of_service(ask.service)
         .filter(|e| e.accepts_requests() && !e.health.is_reported_unreachable(now));
     let copies = copies.filter(|e| wanted.is_none_or(|w| e.has_loaded(w)));
-    let mut draws: Vec<f64> = copies.map(|e| draw_of(ask.random, &e.info.id)).collect();
-    let most = ((draws.len() as f64 * LOOKED_AT).ceil() as usize).max(LEAST_LOOKED_AT);
+    let mut draws: Vec<f64> = copies.map(|e| engine_random(ask.random, &e.info.id)).collect();
+    let most = ((draws.len() as f64 * CONSIDERED_SHARE).ceil() as usize).max(MIN_CONSIDERED);
     if draws.len() <= most {
         return 1.0;
     }
@@ -214,10 +214,10 @@
     let queue = policy.queued_ms * ((estimate + 1.0 - slots).max(0.0) / slots);
     let reading = policy.prefill_weight * engine.prefill_ms(now);
     let domain = if engine.info.domain == ask.domain { 0.0 } else { policy.other_domain_ms };
-    let prefix = home.map_or(0.0, |key| policy.prefix_ms * rank(key, &engine.info.id));
+    let prefix = home.map_or(0.0, |key| policy.prefix_ms * rendezvous_rank(key, &engine.info.id));
     let failing = policy.failure_ms * engine.health.failure_rate(now);
     let cold = if engine.info.warmup_ms_left > 0 { policy.warmup_ms } else { 0.0 };
-    let chance = policy.random_ms * draw_of(ask.random, &engine.info.id);
+    let chance = policy.random_ms * engine_random(ask.random, &engine.info.id);
     batch + queue + reading + domain + prefix + failing + cold + chance
 }
 
@@ -230,29 +230,29 @@
 
 /// Factor by which the loads reported by nodes exceed those reported by the same engines; 1 if they
 /// roughly agree. Prevents refusals while nodes count the same requests more than once.
-fn overstated(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
+fn overstatement(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
     let both = engines
         .of_service(service)
         .filter(|e| e.in_flight_elsewhere.is_some() && e.accepts_requests());
     let both = both.filter_map(|e| Some((e.known_load(now)?, e.recent_reported_load(now)?)));
     let (known, told) = both.fold((0.0, 0.0), |(k, t), (known, told)| (k + known, t + told));
     let by = known / f64::max(told, 1.0);
-    if by > MOST_OVERSTATED { by } else { 1.0 }
+    if by > MAX_OVERSTATEMENT { by } else { 1.0 }
 }
 
 /// Random number in `0..1` for one engine, derived from that of the request.
-fn draw_of(draw: f64, engine: &EngineId) -> f64 {
-    rank(draw.to_bits(), engine)
+fn engine_random(draw: f64, engine: &EngineId) -> f64 {
+    rendezvous_rank(draw.to_bits(), engine)
 }
 
 /// Identifies the prompts of one session, which share a prefix.
-fn home_key(prompt: &Prompt) -> u64 {
+fn session_key(prompt: &Prompt) -> u64 {
     prompt.parts.last().map_or(0, |part| part.id)
 }
 
 /// Rendezvous hash: the engine with the lowest rank is preferred for the key, and stays so while
 /// other engines come and go.
-fn rank(key: u64, engine: &EngineId) -> f64 {
+fn rendezvous_rank(key: u64, engine: &EngineId) -> f64 {
     let mut bytes = key.to_le_bytes().to_vec();
     bytes.extend_from_slice(engine.0.as_bytes());
     xxh3_64(&bytes) as f64 / u64::MAX as f64
--- a/crates/direct/src/cursor.rs
+++ b/crates/direct/src/cursor.rs
@@ -11,7 +11,7 @@
 const OFFSET_BITS: u32 = 32;
 
 /// Keeps fencing tokens below 2^53, which any JSON parser reads exactly.
-const MOST_ERA: u32 = (1 << (53 - OFFSET_BITS)) - 1;
+const MAX_ERA: u32 = (1 << (53 - OFFSET_BITS)) - 1;
 
 /// Restore generation of the store. A restore from a backup begins a new era, in which offsets of
 /// the logs are assigned again.
@@ -33,7 +33,7 @@
 
 /// A text that is not a valid era.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("`{text}`: a whole number up to {MOST_ERA}")]
+#[display("`{text}`: a whole number up to {MAX_ERA}")]
 pub struct BadEra {
     #[error(not(source))]
     pub text: String,
@@ -55,7 +55,7 @@
     fn from_str(text: &str) -> Result<Era, BadEra> {
         let bad = || BadEra { text: text.chars().take(40).collect() };
         let era: u32 = text.trim().parse().map_err(|_: ParseIntError| bad())?;
-        if era > MOST_ERA { Err(bad()) } else { Ok(Era(era)) }
+        if era > MAX_ERA { Err(bad()) } else { Ok(Era(era)) }
     }
 }
 
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -6,30 +6,30 @@
 use crate::{Millis, ModelRef};
 
 /// Half-lives of the two moving averages.
-const FAST_MS: f64 = 1_000.0;
-const SLOW_MS: f64 = 2_500.0;
+const FAST_HALF_LIFE_MS: f64 = 1_000.0;
+const SLOW_HALF_LIFE_MS: f64 = 2_500.0;
 
 /// How far the difference of the two averages is extrapolated, so that a model is loaded for the
 /// demand expected once its load is complete.
-const TREND: f64 = 0.7;
+const TREND_WEIGHT: f64 = 0.7;
 
 /// Rate below which a model or an adapter counts as not requested, in requests per second.
-const SILENT: f64 = 0.05;
+const MIN_RATE: f64 = 0.05;
 
 /// Maximum number of models and adapters that are tracked; several times as many as any known
 /// deployment has.
-const MOST_NAMES: usize = 8_192;
+const MAX_NAMES: usize = 8_192;
 
 /// Maximum number of models in a snapshot; covers nearly all requests of a node.
-const MOST_PAST: usize = 64;
+const MAX_SNAPSHOT_MODELS: usize = 64;
 
 /// Time after which an unused name can be dropped in favor of new ones.
-const FORGOTTEN_AFTER: Millis = 30_000;
+const NAME_TTL: Millis = 30_000;
 
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     models: IndexMap<String, Rate>,
-    wanted: IndexMap<ModelRef, Rate>,
+    model_refs: IndexMap<ModelRef, Rate>,
     since: Option<Millis>,
 }
 
@@ -57,43 +57,43 @@
     fast: f64,
     slow: f64,
     /// Time up to which the averages have decayed.
-    at: Millis,
+    updated_at: Millis,
     /// Time of the last request.
-    asked: Millis,
+    last_requested: Millis,
 }
 
 impl Demand {
     /// Counts requests.
     pub fn record(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
         self.since.get_or_insert(now);
-        self.forget(now);
+        self.expire_names(now);
         if !self.models.contains_key(&wanted.model) {
             self.models.insert(wanted.model.clone(), Rate::default());
         }
-        if !self.wanted.contains_key(wanted) {
-            self.wanted.insert(wanted.clone(), Rate::default());
+        if !self.model_refs.contains_key(wanted) {
+            self.model_refs.insert(wanted.clone(), Rate::default());
         }
-        let rates = [self.models.get_mut(&wanted.model), self.wanted.get_mut(wanted)];
+        let rates = [self.models.get_mut(&wanted.model), self.model_refs.get_mut(wanted)];
         for rate in rates.into_iter().flatten() {
-            rate.saw(now, count);
+            rate.record(now, count);
         }
     }
 
     /// Prevents unbounded growth, as callers can send arbitrary names.
-    fn forget(&mut self, now: Millis) {
-        if self.wanted.len() >= MOST_NAMES {
-            self.wanted.retain(|_, rate| now.saturating_sub(rate.asked) < FORGOTTEN_AFTER);
-            self.models.retain(|_, rate| now.saturating_sub(rate.asked) < FORGOTTEN_AFTER);
+    fn expire_names(&mut self, now: Millis) {
+        if self.model_refs.len() >= MAX_NAMES {
+            self.model_refs.retain(|_, rate| now.saturating_sub(rate.last_requested) < NAME_TTL);
+            self.models.retain(|_, rate| now.saturating_sub(rate.last_requested) < NAME_TTL);
         }
-        if self.wanted.len() >= MOST_NAMES {
-            self.wanted.clear();
+        if self.model_refs.len() >= MAX_NAMES {
+            self.model_refs.clear();
             self.models.clear();
         }
     }
 
     /// Number of tracked models and adapters.
     pub fn tracked_names(&self) -> usize {
-        self.wanted.len()
+        self.model_refs.len()
     }
 
     /// When the first request was counted.
@@ -103,17 +103,19 @@
 
     /// The counts of the most requested models.
     pub fn snapshot(&self, now: Millis) -> Vec<DemandSnapshot> {
-        let models = self.models.iter().filter(|(_, rate)| rate.slow(now) >= SILENT);
+        let models = self.models.iter().filter(|(_, rate)| rate.slow(now) >= MIN_RATE);
         let mut past: Vec<DemandSnapshot> = models
             .map(|(model, rate)| {
-                let age = now.saturating_sub(rate.at);
-                let (fast, slow) =
-                    (rate.fast * decay(age, FAST_MS), rate.slow * decay(age, SLOW_MS));
+                let age = now.saturating_sub(rate.updated_at);
+                let (fast, slow) = (
+                    rate.fast * decay(age, FAST_HALF_LIFE_MS),
+                    rate.slow * decay(age, SLOW_HALF_LIFE_MS),
+                );
                 DemandSnapshot { model: model.clone(), fast, slow }
             })
             .collect();
         past.sort_by(|a, b| b.slow.total_cmp(&a.slow));
-        past.truncate(MOST_PAST);
+        past.truncate(MAX_SNAPSHOT_MODELS);
         past
     }
 
@@ -122,7 +124,7 @@
         self.since = self.since.into_iter().chain(since).min();
         for DemandSnapshot { model, fast, slow } in past {
             let rate = self.models.entry(model.clone()).or_default();
-            rate.saw(now, 0.0);
+            rate.record(now, 0.0);
             rate.fast += fast;
             rate.slow += slow;
         }
@@ -130,29 +132,29 @@
 
     /// Records that a request waits for it now; the request itself is counted by [`Demand::record`].
     pub fn mark_requested(&mut self, now: Millis, wanted: &ModelRef) {
-        self.wanted.entry(wanted.clone()).or_default().asked = now;
+        self.model_refs.entry(wanted.clone()).or_default().last_requested = now;
     }
 
     /// Recent requests per second for exactly this model or adapter.
     pub fn rate(&self, now: Millis, wanted: &ModelRef) -> f64 {
-        self.wanted.get(wanted).map_or(0.0, |rate| rate.slow(now))
+        self.model_refs.get(wanted).map_or(0.0, |rate| rate.slow(now))
     }
 
     /// When exactly this model or adapter was last requested.
     pub fn last_requested(&self, wanted: &ModelRef) -> Option<Millis> {
-        self.wanted.get(wanted).map(|rate| rate.asked)
+        self.model_refs.get(wanted).map(|rate| rate.last_requested)
     }
 
     /// The rates of everything that is being requested.
     pub fn rates(&self, now: Millis) -> Rates {
         let models = self.models.iter().map(|(model, rate)| (model.clone(), rate.expected(now)));
         let recent = self.models.iter().map(|(model, rate)| (model.clone(), rate.slow(now)));
-        let adapters = self.wanted.iter().filter(|(wanted, _)| wanted.adapter.is_some());
+        let adapters = self.model_refs.iter().filter(|(wanted, _)| wanted.adapter.is_some());
         let adapters = adapters.map(|(wanted, rate)| (wanted.clone(), rate.slow(now)));
         Rates {
-            models: models.filter(|(_, rate)| *rate >= SILENT).collect(),
-            recent: recent.filter(|(_, rate)| *rate >= SILENT).collect(),
-            adapters: adapters.filter(|(_, rate)| *rate >= SILENT).collect(),
+            models: models.filter(|(_, rate)| *rate >= MIN_RATE).collect(),
+            recent: recent.filter(|(_, rate)| *rate >= MIN_RATE).collect(),
+            adapters: adapters.filter(|(_, rate)| *rate >= MIN_RATE).collect(),
         }
     }
 }
@@ -165,25 +167,25 @@
 }
 
 impl Rate {
-    fn saw(&mut self, now: Millis, count: f64) {
-        let age = now.saturating_sub(self.at);
-        self.fast = self.fast * decay(age, FAST_MS) + count;
-        self.slow = self.slow * decay(age, SLOW_MS) + count;
-        self.at = now;
-        self.asked = now;
+    fn record(&mut self, now: Millis, count: f64) {
+        let age = now.saturating_sub(self.updated_at);
+        self.fast = self.fast * decay(age, FAST_HALF_LIFE_MS) + count;
+        self.slow = self.slow * decay(age, SLOW_HALF_LIFE_MS) + count;
+        self.updated_at = now;
+        self.last_requested = now;
     }
 
     fn fast(&self, now: Millis) -> f64 {
-        per_second(self.fast, now.saturating_sub(self.at), FAST_MS)
+        per_second(self.fast, now.saturating_sub(self.updated_at), FAST_HALF_LIFE_MS)
     }
 
     fn slow(&self, now: Millis) -> f64 {
-        per_second(self.slow, now.saturating_sub(self.at), SLOW_MS)
+        per_second(self.slow, now.saturating_sub(self.updated_at), SLOW_HALF_LIFE_MS)
     }
 
     fn expected(&self, now: Millis) -> f64 {
         let (fast, slow) = (self.fast(now), self.slow(now));
-        (fast + TREND * (fast - slow)).max(0.0)
+        (fast + TREND_WEIGHT * (fast - slow)).max(0.0)
     }
 }
 
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -93,7 +93,7 @@
 pub struct Engine {
     pub info: EngineInfo,
     /// Whether this incarnation has said that it is leaving.
-    leaves: bool,
+    is_leaving: bool,
     key: EngineKey,
     pub health: HealthTracker,
     /// Requests of this node in flight there.
@@ -118,10 +118,10 @@
 }
 
 /// Weight of the latest stream in the average time between events.
-const EVENTS_WEIGHT: f64 = 0.1;
+const EVENT_INTERVAL_WEIGHT: f64 = 0.1;
 
 /// Time after which a reported load is outdated.
-const TOLD_FOR: Millis = 2_000;
+const REPORT_TTL: Millis = 2_000;
 
 pub(crate) fn is_leaving(listed: &EngineInfo) -> bool {
     matches!(listed.state, EngineState::Leaving { .. })
@@ -131,7 +131,7 @@
     pub fn new(listed: EngineInfo) -> Engine {
         Engine {
             key: EngineKey::of(&listed.id, listed.started_at),
-            leaves: is_leaving(&listed),
+            is_leaving: is_leaving(&listed),
             info: listed,
             health: HealthTracker::default(),
             own_requests: 0,
@@ -148,28 +148,28 @@
     }
 
     /// Replaces its list entry.
-    pub(crate) fn relist(&mut self, listed: EngineInfo) {
+    pub(crate) fn set_info(&mut self, listed: EngineInfo) {
         if listed.started_at != self.info.started_at {
             self.key = EngineKey::of(&listed.id, listed.started_at);
         }
-        let leaves = self.leaves || is_leaving(&listed);
+        let leaves = self.is_leaving || is_leaving(&listed);
         self.info = listed;
         if leaves {
-            self.leave();
+            self.mark_leaving();
         }
     }
 
     /// Marks this incarnation as leaving. That is final: a heartbeat that is written late, or a
     /// store restored from a backup, does not undo it.
-    pub(crate) fn leave(&mut self) {
-        self.leaves = true;
+    pub(crate) fn mark_leaving(&mut self) {
+        self.is_leaving = true;
         if self.info.state == EngineState::Ready {
             self.info.state = EngineState::Leaving { terminates_at: None };
         }
     }
 
-    pub(crate) fn leaves(&self) -> bool {
-        self.leaves
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.is_leaving
     }
 
     pub fn own_in_flight(&self) -> InFlightLoad {
@@ -189,7 +189,7 @@
     /// Its recently reported load, adjusted by the change in this node's own requests since.
     pub fn recent_reported_load(&self, now: Millis) -> Option<f64> {
         let (load, at, own) =
-            self.reported_load.filter(|(_, at, _)| now.saturating_sub(*at) < TOLD_FOR)?;
+            self.reported_load.filter(|(_, at, _)| now.saturating_sub(*at) < REPORT_TTL)?;
         debug_assert!(at <= now);
         let told = f64::from(load.running + load.waiting);
         Some(
@@ -205,10 +205,10 @@
 
     /// Estimated time to complete all known prefill, in milliseconds.
     pub fn prefill_ms(&self, now: Millis) -> f64 {
-        self.prefill_rate.estimate_ms(self.unread_tokens(now))
+        self.prefill_rate.estimate_ms(self.prefill_tokens(now))
     }
 
-    fn unread_tokens(&self, now: Millis) -> u32 {
+    fn prefill_tokens(&self, now: Millis) -> u32 {
         let elsewhere = self.in_flight_elsewhere.map_or(0, |flight| flight.tokens);
         self.prefill_backlog.tokens(now).saturating_add(elsewhere)
     }
@@ -219,7 +219,7 @@
     pub fn expected_pause_ms(&self, tokens: u32, now: Millis) -> f64 {
         let elsewhere = self.in_flight_elsewhere.map_or(0, |flight| flight.prompts);
         let reads = self.prefill_backlog.count(now) + elsewhere as usize;
-        let unread = self.unread_tokens(now);
+        let unread = self.prefill_tokens(now);
         if unread == 0 || self.estimate(now) <= reads as f64 {
             return 0.0;
         }
@@ -229,7 +229,7 @@
     /// Records the mean time between the events of a complete stream.
     pub fn record_event_interval(&mut self, mean_ms: f64) {
         let before = if self.event_interval_ms == 0.0 { mean_ms } else { self.event_interval_ms };
-        self.event_interval_ms = before + EVENTS_WEIGHT * (mean_ms - before);
+        self.event_interval_ms = before + EVENT_INTERVAL_WEIGHT * (mean_ms - before);
     }
 
     /// Records a load that another node received, unless a newer one is known.
--- a/crates/direct/src/engines.rs
+++ b/crates/direct/src/engines.rs
@@ -9,7 +9,7 @@
 use crate::{Cursor, Engine, EngineId, EngineInfo, EngineState, Era, ServiceId, StartTime};
 
 /// Maximum number of removed engines that are remembered.
-const MOST_GONE: usize = 1_000;
+const MAX_REMOVED: usize = 1_000;
 
 /// All known engines.
 ///
@@ -20,21 +20,21 @@
     by_id: IndexMap<EngineId, Engine>,
     by_key: IndexMap<EngineKey, EngineId>,
     /// Removed engines.
-    gone: IndexMap<EngineId, Gone>,
+    removed: IndexMap<EngineId, Removed>,
     /// Position at which the backup ends that the store was restored from.
     backup_end: Cursor,
     /// Addresses of engines that have restarted.
-    anew: Vec<SocketAddr>,
+    restarted: Vec<SocketAddr>,
 }
 
 /// A removed engine.
 #[derive(Debug, Clone, Copy, Default)]
-struct Gone {
+struct Removed {
     /// Position of the removal, or of the snapshot that it was missing from.
-    at: Cursor,
-    start: StartTime,
+    position: Cursor,
+    started_at: StartTime,
     /// Whether that incarnation had said that it was leaving.
-    left: bool,
+    was_leaving: bool,
 }
 
 impl Engines {
@@ -69,7 +69,7 @@
     /// ignored; one of a later incarnation replaces everything known about the engine.
     pub fn upsert(&mut self, mut listed: EngineInfo) {
         let Some(engine) = self.by_id.get_mut(&listed.id) else {
-            self.list_unknown(listed);
+            self.insert_unknown(listed);
             return;
         };
         let known = engine.info.started_at;
@@ -77,7 +77,7 @@
             return;
         }
         if known.is_before(listed.started_at) {
-            self.begin_anew(listed);
+            self.replace_incarnation(listed);
         } else if listed.position >= engine.info.position {
             // An entry without a start time is taken to be of the known incarnation.
             listed.started_at = listed.started_at.max(known);
@@ -85,23 +85,25 @@
                 self.by_key.swap_remove(&engine.key());
                 self.by_key.insert(EngineKey::of(&listed.id, listed.started_at), listed.id.clone());
             }
-            engine.relist(listed);
+            engine.set_info(listed);
         } else if is_leaving(&listed) {
-            engine.leave();
+            engine.mark_leaving();
         }
     }
 
-    fn list_unknown(&mut self, listed: EngineInfo) {
-        if self.is_gone(&listed) {
-            if let Some(gone) = self.gone.get_mut(&listed.id) {
-                gone.left |= is_leaving(&listed);
+    fn insert_unknown(&mut self, listed: EngineInfo) {
+        if self.is_outdated(&listed) {
+            if let Some(gone) = self.removed.get_mut(&listed.id) {
+                gone.was_leaving |= is_leaving(&listed);
             }
             return;
         }
-        let gone = self.gone.shift_remove(&listed.id);
+        let gone = self.removed.shift_remove(&listed.id);
         let mut engine = Engine::new(listed);
-        if gone.is_some_and(|gone| gone.left && !gone.start.is_before(engine.info.started_at)) {
-            engine.leave();
+        if gone.is_some_and(|gone| {
+            gone.was_leaving && !gone.started_at.is_before(engine.info.started_at)
+        }) {
+            engine.mark_leaving();
         }
         self.insert(engine);
     }
@@ -109,13 +111,13 @@
     /// Whether the entry belongs to a removed engine and is not newer than the removal. In a later
     /// era only entries written in that era are newer: the backup may contain engines that have
     /// left since.
-    fn is_gone(&self, listed: &EngineInfo) -> bool {
-        let Some(gone) = self.gone.get(&listed.id) else { return false };
-        if gone.start.is_before(listed.started_at) {
+    fn is_outdated(&self, listed: &EngineInfo) -> bool {
+        let Some(gone) = self.removed.get(&listed.id) else { return false };
+        if gone.started_at.is_before(listed.started_at) {
             return false;
         }
-        listed.position <= gone.at
-            || (listed.position.era > gone.at.era && self.is_from_backup(listed.position))
+        listed.position <= gone.position
+            || (listed.position.era > gone.position.era && self.is_from_backup(listed.position))
     }
 
     /// Whether an entry at this position may come from the backup that the store was restored from.
@@ -140,7 +142,7 @@
 
     /// Position at which a removed engine was removed.
     pub fn removed_at(&self, id: &EngineId) -> Option<Cursor> {
-        self.gone.get(id).map(|gone| gone.at)
+        self.removed.get(id).map(|gone| gone.position)
     }
 
     fn insert(&mut self, engine: Engine) {
@@ -149,9 +151,9 @@
         self.by_id.insert(id, engine);
     }
 
-    fn begin_anew(&mut self, listed: EngineInfo) {
+    fn replace_incarnation(&mut self, listed: EngineInfo) {
         if let Some(before) = self.by_id.get(&listed.id) {
-            self.anew.push(before.info.addr);
+            self.restarted.push(before.info.addr);
             self.by_key.swap_remove(&before.key());
         }
         self.insert(Engine::new(listed));
@@ -168,14 +170,14 @@
         if known.is_before(start) {
             let listed =
                 EngineInfo { started_at: start, loaded: Vec::new(), ..engine.info.clone() };
-            self.begin_anew(listed);
+            self.replace_incarnation(listed);
         }
         self.by_id.get_mut(id)
     }
 
     /// Addresses of engines that have restarted since the last call.
     pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.anew)
+        std::mem::take(&mut self.restarted)
     }
 
     /// Marks an engine whose entry cannot be parsed.
@@ -191,15 +193,19 @@
         if self.by_id.get(id).is_some_and(|engine| engine.info.position > at) {
             return;
         }
-        let known = self.gone.get(id).copied().unwrap_or_default();
-        let mut gone = Gone { at: known.at.max(at), ..known };
+        let known = self.removed.get(id).copied().unwrap_or_default();
+        let mut gone = Removed { position: known.position.max(at), ..known };
         if let Some(engine) = self.by_id.shift_remove(id) {
             self.by_key.swap_remove(&engine.key());
-            gone = Gone { start: engine.info.started_at, left: engine.leaves(), ..gone };
+            gone = Removed {
+                started_at: engine.info.started_at,
+                was_leaving: engine.is_leaving(),
+                ..gone
+            };
         }
-        self.gone.insert(id.clone(), gone);
-        if self.gone.len() > MOST_GONE {
-            self.gone.drain(..MOST_GONE / 2);
+        self.removed.insert(id.clone(), gone);
+        if self.removed.len() > MAX_REMOVED {
+            self.removed.drain(..MAX_REMOVED / 2);
         }
     }
 
--- a/crates/direct/src/freshness.rs
+++ b/crates/direct/src/freshness.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of versions that are kept; a node may hear of versions that it has not fetched
 /// yet.
-const MOST_KEPT: usize = 4;
+const MAX_CHECKS: usize = 4;
 
 /// An observation that no newer version than this one existed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,24 +22,24 @@
 /// Latest observations, by this node or reported by others.
 #[derive(Debug, Clone, Default)]
 pub struct FreshnessProof {
-    seen: Vec<VersionCheck>,
+    checks: Vec<VersionCheck>,
 }
 
 impl FreshnessProof {
     pub fn record(&mut self, seen: VersionCheck) {
-        self.seen.retain(|known| known.newest != seen.newest || known.asked_at > seen.asked_at);
-        if !self.seen.iter().any(|known| known.newest == seen.newest) {
-            self.seen.push(seen);
+        self.checks.retain(|known| known.newest != seen.newest || known.asked_at > seen.asked_at);
+        if !self.checks.iter().any(|known| known.newest == seen.newest) {
+            self.checks.push(seen);
         }
-        if self.seen.len() > MOST_KEPT {
-            self.seen.sort_unstable_by_key(|seen| seen.newest);
-            self.seen.remove(0);
+        if self.checks.len() > MAX_CHECKS {
+            self.checks.sort_unstable_by_key(|seen| seen.newest);
+            self.checks.remove(0);
         }
     }
 
     /// The latest observation that `version` was the newest.
     pub fn latest_check(&self, version: u64) -> Option<VersionCheck> {
-        let known = self.seen.iter().filter(|seen| seen.newest <= version);
+        let known = self.checks.iter().filter(|seen| seen.newest <= version);
         known.max_by_key(|seen| seen.asked_at).copied()
     }
 
--- a/crates/direct/src/health.rs
+++ b/crates/direct/src/health.rs
@@ -31,34 +31,34 @@
 }
 
 /// Failure rate from which an engine is reported as failing.
-const FAILING: f64 = 0.25;
+const FAILING_RATE: f64 = 0.25;
 
 const HALF_LIFE_MS: f64 = 2_000.0;
 
 /// Initial ejection time, which doubles with each further failure to reach the engine.
-const FIRST_PAUSE: Millis = 250;
+const INITIAL_EJECTION: Millis = 250;
 
 /// Maximum ejection time; limits how long it takes to notice that an engine is back.
-const LONGEST_PAUSE: Millis = 2_000;
+const MAX_EJECTION: Millis = 2_000;
 
 /// Time after its ejection for which an engine without requests still counts as unreachable.
-const SILENT_FOR: Millis = 2_000;
+const UNREACHABLE_TTL: Millis = 2_000;
 
 /// Successes that are assumed in advance, so that a single failure does not make an engine failing.
-const PRIOR: f64 = 2.0;
+const PRIOR_SUCCESSES: f64 = 2.0;
 
 /// Health of an engine, from exponentially decaying counts of outcomes.
 ///
 /// Prevents an engine that fails quickly from attracting more requests because it looks idle.
 #[derive(Debug, Clone, Default)]
 pub struct HealthTracker {
-    good: f64,
-    bad: f64,
-    at: Millis,
-    silent_in_a_row: u32,
-    left_alone_until: Millis,
+    successes: f64,
+    failures: f64,
+    updated_at: Millis,
+    consecutive_unreachable: u32,
+    ejected_until: Millis,
     /// End of the ejection that another node has reported.
-    dark_until: Millis,
+    reported_unreachable_until: Millis,
     health: Health,
 }
 
@@ -68,18 +68,18 @@
         self.decay(now);
         match verdict {
             AttemptOutcome::Success => {
-                self.good += 1.0;
-                self.silent_in_a_row = 0;
-                self.left_alone_until = 0;
-                self.dark_until = 0;
+                self.successes += 1.0;
+                self.consecutive_unreachable = 0;
+                self.ejected_until = 0;
+                self.reported_unreachable_until = 0;
             }
-            AttemptOutcome::Rejected => self.silent_in_a_row = 0,
-            AttemptOutcome::Failed => self.bad += 1.0,
+            AttemptOutcome::Rejected => self.consecutive_unreachable = 0,
+            AttemptOutcome::Failed => self.failures += 1.0,
             AttemptOutcome::Unreachable => {
-                self.bad += 1.0;
-                let pause = FIRST_PAUSE << self.silent_in_a_row.min(3);
-                self.silent_in_a_row += 1;
-                self.left_alone_until = now + pause.min(LONGEST_PAUSE);
+                self.failures += 1.0;
+                let pause = INITIAL_EJECTION << self.consecutive_unreachable.min(3);
+                self.consecutive_unreachable += 1;
+                self.ejected_until = now + pause.min(MAX_EJECTION);
             }
         }
         let opinion = self.health(now);
@@ -90,7 +90,7 @@
     pub fn health(&self, now: Millis) -> Health {
         if self.is_ejected(now) {
             Health::Ejected
-        } else if self.failure_rate(now) >= FAILING {
+        } else if self.failure_rate(now) >= FAILING_RATE {
             Health::Failing
         } else {
             Health::Healthy
@@ -99,44 +99,44 @@
 
     /// Another node could not reach the engine and probes it.
     pub fn report_unreachable(&mut self, until: Millis) {
-        self.dark_until = until;
+        self.reported_unreachable_until = until;
     }
 
     /// Another node has reached the engine again.
     pub fn report_reachable(&mut self) {
-        self.silent_in_a_row = 0;
-        self.left_alone_until = 0;
-        self.dark_until = 0;
+        self.consecutive_unreachable = 0;
+        self.ejected_until = 0;
+        self.reported_unreachable_until = 0;
     }
 
     /// Whether another node reports the engine as unreachable and probes it, so that this node need
     /// not.
     pub fn is_reported_unreachable(&self, now: Millis) -> bool {
-        now < self.dark_until
+        now < self.reported_unreachable_until
     }
 
     /// Expected failure rate.
     pub fn failure_rate(&self, now: Millis) -> f64 {
-        let keep = decay(now.saturating_sub(self.at));
-        self.bad * keep / (PRIOR + (self.good + self.bad) * keep)
+        let keep = decay(now.saturating_sub(self.updated_at));
+        self.failures * keep / (PRIOR_SUCCESSES + (self.successes + self.failures) * keep)
     }
 
     /// Whether the engine gets no requests now, as it could not be reached.
     pub fn is_ejected(&self, now: Millis) -> bool {
-        now < self.left_alone_until || self.is_reported_unreachable(now)
+        now < self.ejected_until || self.is_reported_unreachable(now)
     }
 
     /// Whether the latest attempt to reach the engine failed.
     pub fn is_unreachable(&self, now: Millis) -> bool {
-        let silent = self.silent_in_a_row > 0 && now < self.left_alone_until + SILENT_FOR;
+        let silent = self.consecutive_unreachable > 0 && now < self.ejected_until + UNREACHABLE_TTL;
         silent || self.is_reported_unreachable(now)
     }
 
     fn decay(&mut self, now: Millis) {
-        let keep = decay(now.saturating_sub(self.at));
-        self.good *= keep;
-        self.bad *= keep;
-        self.at = now;
+        let keep = decay(now.saturating_sub(self.updated_at));
+        self.successes *= keep;
+        self.failures *= keep;
+        self.updated_at = now;
     }
 }
 
--- a/crates/direct/src/hubs.rs
+++ b/crates/direct/src/hubs.rs
@@ -13,30 +13,30 @@
 
 /// Minimum number of nodes in a domain that uses a hub; for fewer the additional hop costs more
 /// than it saves.
-const FEWEST: usize = 5;
+const MIN_NODES: usize = 5;
 
 /// Maximum number of hub candidates per domain. If none of them answers, each node asks the leader.
-const CANDIDATES: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 
 /// Minimum CPU share of a candidate, as a part of the largest in its domain. Small VMs would
 /// saturate their links and delay requests.
-const AS_LARGE: f64 = 0.5;
+const MIN_CPU_RATIO: f64 = 0.5;
 
 /// Number of nodes that may poll the same node at the full rate.
-const FEW_CHILDREN: u32 = 10;
+const CHILDREN_PER_STEP: u32 = 10;
 
 /// Maximum poll interval factor; with longer intervals updates would be outdated on arrival.
-const MOST_CROWD: u32 = 12;
+const MAX_INTERVAL_FACTOR: u32 = 12;
 
 /// Maximum poll interval factor due to the total number of nodes. With many nodes engines change
 /// often, and each change is sent to each hub.
-const CROWD_OF_MANY: u32 = 4;
+const MAX_FACTOR_BY_NODES: u32 = 4;
 
 /// Time for which an unresponsive node is skipped.
-const SILENT_FOR: Millis = 3_000;
+const UNRESPONSIVE_SKIP: Millis = 3_000;
 
 /// Time for which a node that answers with outdated data is skipped.
-const STALE_FOR: Millis = 2_000;
+const STALE_SKIP: Millis = 2_000;
 
 /// A node as known to the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -56,14 +56,14 @@
 /// The order depends on the list of members only, so that all nodes agree without communication.
 pub fn candidates(members: &[Member], domain: &str) -> Vec<Member> {
     let mut own: Vec<&Member> = members.iter().filter(|m| m.domain == domain).collect();
-    if own.len() < FEWEST {
+    if own.len() < MIN_NODES {
         return Vec::new();
     }
     let largest = own.iter().map(|m| m.cpu_share).fold(0.0, f64::max);
-    own.retain(|m| m.cpu_share >= AS_LARGE * largest);
+    own.retain(|m| m.cpu_share >= MIN_CPU_RATIO * largest);
     let key = |m: &Member| xxh3_64(m.node.as_bytes());
     own.sort_by(|a, b| b.cpu_share.total_cmp(&a.cpu_share).then(key(a).cmp(&key(b))));
-    own.into_iter().take(CANDIDATES).cloned().collect()
+    own.into_iter().take(MAX_CANDIDATES).cloned().collect()
 }
 
 /// The node that is asked for updates.
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Hubs {
     candidates: Vec<Member>,
-    passed_over: IndexMap<SocketAddr, (SkipReason, Millis)>,
+    skipped: IndexMap<SocketAddr, (SkipReason, Millis)>,
 }
 
 impl Hubs {
@@ -99,12 +99,12 @@
 
     /// Skips a candidate or the leader for a while.
     pub fn skip(&mut self, addr: SocketAddr, why: SkipReason, now: Millis) {
-        self.passed_over.retain(|_, (_, until)| now < *until);
+        self.skipped.retain(|_, (_, until)| now < *until);
         let time = match why {
-            SkipReason::Unresponsive => SILENT_FOR,
-            SkipReason::Stale => STALE_FOR,
+            SkipReason::Unresponsive => UNRESPONSIVE_SKIP,
+            SkipReason::Stale => STALE_SKIP,
         };
-        self.passed_over.insert(addr, (why, now + time));
+        self.skipped.insert(addr, (why, now + time));
     }
 
     /// The node that the node at `me` asks, with the leader at `holder`.
@@ -115,7 +115,7 @@
     pub fn parent(&self, me: SocketAddr, holder: Option<SocketAddr>, now: Millis) -> Parent {
         let others = || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != holder);
         let state = |addr: &SocketAddr| {
-            let (why, until) = self.passed_over.get(addr)?;
+            let (why, until) = self.skipped.get(addr)?;
             (now < *until).then_some(*why)
         };
         let first = others().find(|addr| *addr == me || state(addr).is_none());
@@ -132,8 +132,8 @@
 /// Factor by which a node extends its poll interval if its parent has this many children, with this
 /// many nodes in total.
 pub fn poll_interval_factor(children: u32, nodes: u32) -> u32 {
-    let of_all = nodes.div_ceil(FEW_CHILDREN).min(CROWD_OF_MANY);
-    children.div_ceil(FEW_CHILDREN).max(of_all).clamp(1, MOST_CROWD)
+    let of_all = nodes.div_ceil(CHILDREN_PER_STEP).min(MAX_FACTOR_BY_NODES);
+    children.div_ceil(CHILDREN_PER_STEP).max(of_all).clamp(1, MAX_INTERVAL_FACTOR)
 }
 
 /// Hash by which two nodes detect that they know the same candidates.
--- a/crates/direct/src/in_flight.rs
+++ b/crates/direct/src/in_flight.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    fn is_nothing(self) -> bool {
+    fn is_empty(self) -> bool {
         self == InFlightLoad::default()
     }
 }
@@ -68,7 +68,7 @@
         InFlightRow(key, flight.requests, flight.prompts, flight.tokens)
     }
 
-    fn flight(self) -> InFlightLoad {
+    fn load(self) -> InFlightLoad {
         InFlightLoad { requests: self.1, prompts: self.2, tokens: self.3 }
     }
 }
@@ -83,7 +83,7 @@
 }
 
 impl KeyPartition {
-    fn has(self, key: EngineKey) -> bool {
+    fn contains(self, key: EngineKey) -> bool {
         key.0 % self.parts.max(1) == self.part
     }
 }
@@ -98,22 +98,22 @@
 }
 
 /// Time after which the reports of a silent node are dropped; its requests have ended with it.
-const HOLDS_FOR: Millis = 2_500;
+const REPORT_TTL: Millis = 2_500;
 
 /// Maximum number of engines that are kept per node; several times as many as any known deployment
 /// has.
-const MOST_ROWS: usize = 16_384;
+const MAX_ROWS: usize = 16_384;
 
 /// Latest reports of several nodes, and their sums.
 #[derive(Debug, Clone, Default)]
 pub struct PeerReports {
-    by: IndexMap<SocketAddr, Teller>,
+    by_peer: IndexMap<SocketAddr, PeerReport>,
     sums: IndexMap<EngineKey, InFlightLoad>,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Teller {
-    at: Millis,
+struct PeerReport {
+    received_at: Millis,
     rows: IndexMap<EngineKey, InFlightLoad>,
 }
 
@@ -125,40 +125,40 @@
         now: Millis,
         told: &InFlightUpdate,
     ) -> Vec<EngineKey> {
-        let teller = self.by.entry(from).or_default();
-        teller.at = now;
+        let teller = self.by_peer.entry(from).or_default();
+        teller.received_at = now;
         let mut concerned: Vec<EngineKey> = told.rows.iter().map(|row| row.0).collect();
         let mut new: Vec<(EngineKey, InFlightLoad)> =
-            told.rows.iter().map(|r| (r.0, r.flight())).collect();
+            told.rows.iter().map(|r| (r.0, r.load())).collect();
         if let Some(share) = told.full_partition {
-            let meant = teller.rows.keys().filter(|key| share.has(**key));
+            let meant = teller.rows.keys().filter(|key| share.contains(**key));
             let missing = meant.filter(|key| !concerned.contains(key)).copied();
             let missing: Vec<EngineKey> = missing.collect();
             concerned.extend(&missing);
             new.extend(missing.into_iter().map(|key| (key, InFlightLoad::default())));
         }
         for (key, flight) in new {
-            put(&mut teller.rows, &mut self.sums, key, flight);
+            set_load(&mut teller.rows, &mut self.sums, key, flight);
         }
         concerned
     }
 
     /// Drops the reports of nodes that are silent or that `is_wanted` rejects.
     pub fn expire(&mut self, now: Millis, is_wanted: impl Fn(&SocketAddr) -> bool) {
-        let ended = |addr: &SocketAddr, teller: &Teller| {
-            now.saturating_sub(teller.at) >= HOLDS_FOR || !is_wanted(addr)
+        let ended = |addr: &SocketAddr, teller: &PeerReport| {
+            now.saturating_sub(teller.received_at) >= REPORT_TTL || !is_wanted(addr)
         };
-        for (_, teller) in self.by.iter_mut().filter(|(addr, teller)| ended(addr, teller)) {
+        for (_, teller) in self.by_peer.iter_mut().filter(|(addr, teller)| ended(addr, teller)) {
             for key in teller.rows.keys().copied().collect::<Vec<_>>() {
-                put(&mut teller.rows, &mut self.sums, key, InFlightLoad::default());
+                set_load(&mut teller.rows, &mut self.sums, key, InFlightLoad::default());
             }
         }
-        self.by.retain(|addr, teller| !ended(addr, teller));
+        self.by_peer.retain(|addr, teller| !ended(addr, teller));
     }
 
     /// Number of nodes that sent a report within `age`.
     pub fn active_within(&self, age: Millis, now: Millis) -> usize {
-        self.by.values().filter(|teller| now.saturating_sub(teller.at) < age).count()
+        self.by_peer.values().filter(|teller| now.saturating_sub(teller.received_at) < age).count()
     }
 
     /// Total load that all these nodes have in flight at an engine.
@@ -171,23 +171,23 @@
     }
 }
 
-fn put(
+fn set_load(
     rows: &mut IndexMap<EngineKey, InFlightLoad>,
     sums: &mut IndexMap<EngineKey, InFlightLoad>,
     key: EngineKey,
     flight: InFlightLoad,
 ) {
-    if !rows.contains_key(&key) && (flight.is_nothing() || rows.len() >= MOST_ROWS) {
+    if !rows.contains_key(&key) && (flight.is_empty() || rows.len() >= MAX_ROWS) {
         return;
     }
     let before = rows.get(&key).copied().unwrap_or_default();
-    if flight.is_nothing() {
+    if flight.is_empty() {
         rows.swap_remove(&key);
     } else {
         rows.insert(key, flight);
     }
     let sum = sums.get(&key).copied().unwrap_or_default().minus(before).plus(flight);
-    if sum.is_nothing() {
+    if sum.is_empty() {
         sums.swap_remove(&key);
     } else {
         sums.insert(key, sum);
@@ -195,18 +195,21 @@
 }
 
 /// Maximum number of rows per datagram; keeps datagrams below the usual MTU.
-const MOST_TOLD: usize = 100;
+const MAX_ROWS_PER_UPDATE: usize = 100;
 
 /// Interval of complete reports, which make up for lost datagrams.
-const WHOLE_EVERY: Millis = 1_000;
+const FULL_REPORT_INTERVAL: Millis = 1_000;
 
-fn all(flights: &IndexMap<EngineKey, InFlightLoad>) -> Vec<InFlightUpdate> {
-    let parts = u32::try_from(flights.len().div_ceil(MOST_TOLD / 2)).unwrap_or(u32::MAX).max(1);
+fn full_updates(flights: &IndexMap<EngineKey, InFlightLoad>) -> Vec<InFlightUpdate> {
+    let parts =
+        u32::try_from(flights.len().div_ceil(MAX_ROWS_PER_UPDATE / 2)).unwrap_or(u32::MAX).max(1);
     let part = |part| {
         let share = KeyPartition { part, parts };
-        let rows = flights.iter().filter(|(key, _)| share.has(**key));
-        let rows =
-            rows.take(MOST_TOLD).map(|(key, flight)| InFlightRow::of(*key, *flight)).collect();
+        let rows = flights.iter().filter(|(key, _)| share.contains(**key));
+        let rows = rows
+            .take(MAX_ROWS_PER_UPDATE)
+            .map(|(key, flight)| InFlightRow::of(*key, *flight))
+            .collect();
         InFlightUpdate { full_partition: Some(share), rows }
     };
     (0..parts).map(part).collect()
@@ -216,7 +219,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct UpdateTracker {
     last_sent: IndexMap<EngineKey, InFlightLoad>,
-    whole_at: Option<Millis>,
+    full_sent_at: Option<Millis>,
 }
 
 impl UpdateTracker {
@@ -226,10 +229,11 @@
         now: Millis,
         flights: &IndexMap<EngineKey, InFlightLoad>,
     ) -> Vec<InFlightUpdate> {
-        let whole = self.whole_at.is_none_or(|at| now.saturating_sub(at) >= WHOLE_EVERY);
+        let whole =
+            self.full_sent_at.is_none_or(|at| now.saturating_sub(at) >= FULL_REPORT_INTERVAL);
         let told = if whole {
-            self.whole_at = Some(now);
-            all(flights)
+            self.full_sent_at = Some(now);
+            full_updates(flights)
         } else {
             self.changes(flights)
         };
@@ -244,7 +248,7 @@
         let ended = ended.map(|key| InFlightRow::of(*key, InFlightLoad::default()));
         let rows = changed.map(|(key, flight)| InFlightRow::of(*key, *flight)).chain(ended);
         let rows: Vec<InFlightRow> = rows.collect();
-        rows.chunks(MOST_TOLD)
+        rows.chunks(MAX_ROWS_PER_UPDATE)
             .map(|rows| InFlightUpdate { full_partition: None, rows: rows.to_vec() })
             .collect()
     }
--- a/crates/direct/src/isolation.rs
+++ b/crates/direct/src/isolation.rs
@@ -3,13 +3,13 @@
 use crate::{Engines, Millis};
 
 /// Part of the engines of other failure domains that an isolated node cannot reach.
-const OUT_OF_REACH: f64 = 0.8;
+const UNREACHABLE_RATIO: f64 = 0.8;
 
 /// Minimum number of engines to decide by.
-const FEWEST: usize = 3;
+const MIN_ENGINES: usize = 3;
 
 /// Time without an answer from the store; reads of the store's logs end twice per second.
-const STORE_SILENT: Millis = 1_200;
+const STORE_TIMEOUT: Millis = 1_200;
 
 /// Whether the node reaches neither the store nor the engines of other failure domains. It then
 /// reports that it is not ready, so that callers go to other nodes.
@@ -22,5 +22,7 @@
         all += 1;
         silent += usize::from(engine.health.is_unreachable(now));
     }
-    store_silent_for > STORE_SILENT && all >= FEWEST && silent as f64 >= OUT_OF_REACH * all as f64
+    store_silent_for > STORE_TIMEOUT
+        && all >= MIN_ENGINES
+        && silent as f64 >= UNREACHABLE_RATIO * all as f64
 }
--- a/crates/direct/src/leader_liveness.rs
+++ b/crates/direct/src/leader_liveness.rs
@@ -11,13 +11,13 @@
     /// End of the log after the leader's last renewal, and when that was sent.
     renewed: Option<(Cursor, Millis)>,
     /// Whether the leader does not respond.
-    silent: bool,
+    unresponsive: bool,
 }
 
 impl LeaderLiveness {
     /// The leader responds and reports its last renewal.
     pub fn record_response(&mut self, renewed: Option<(Cursor, Millis)>) {
-        *self = LeaderLiveness { renewed, silent: false };
+        *self = LeaderLiveness { renewed, unresponsive: false };
     }
 
     /// End of the log after the last renewal, and how many milliseconds ago that was sent.
@@ -27,7 +27,7 @@
 
     /// The leader does not respond.
     pub fn mark_unresponsive(&mut self) {
-        self.silent = true;
+        self.unresponsive = true;
     }
 
     /// Time since which the lease was not renewed, if the log was read now and ends at `end`.
@@ -35,7 +35,7 @@
     /// Only a leader that does not respond counts as silent: during a store outage it responds but
     /// cannot renew, and must keep its lease.
     pub fn unrenewed_since(&self, end: Cursor, now: Millis) -> Millis {
-        let told = self.renewed.filter(|(at, _)| self.silent && *at == end);
+        let told = self.renewed.filter(|(at, _)| self.unresponsive && *at == end);
         told.map_or(now, |(_, sent)| sent.min(now))
     }
 }
--- a/crates/direct/src/list_changes.rs
+++ b/crates/direct/src/list_changes.rs
@@ -27,18 +27,18 @@
     }
 
     /// The next version, for a change that was learned without reading on.
-    fn found(self) -> ListVersion {
+    fn next(self) -> ListVersion {
         ListVersion(self.0, self.1.saturating_add(1))
     }
 }
 
 /// Maximum number of removed engines that are remembered; a node that is further behind gets the
 /// complete list.
-const MOST_GONE: usize = 1_000;
+const MAX_REMOVED: usize = 1_000;
 
 /// Maximum length of a list that is sent in full to a node that is behind. Longer lists take too
 /// much bandwidth, so that node reads it from the store.
-const MOST_WHOLE: usize = 400;
+const MAX_FULL_LIST: usize = 400;
 
 /// Whether a node polls the store while there is no leader. `draw` is a random number of the node,
 /// `crowd` the poll interval factor.
@@ -51,7 +51,7 @@
 
 /// Whether the list is too long to be sent to each node in full.
 pub fn is_large_list(engines: &Engines) -> bool {
-    engines.iter().count() > MOST_WHOLE
+    engines.iter().count() > MAX_FULL_LIST
 }
 
 /// Wire form of an engine's list entry.
@@ -115,45 +115,45 @@
 #[derive(Debug, Default)]
 pub struct ListChanges {
     /// Version from which on all changes are known.
-    begun: Option<ListVersion>,
+    first_version: Option<ListVersion>,
     /// Version of the list.
-    at: ListVersion,
+    version: ListVersion,
     /// Version of the latest change.
     changed_at: ListVersion,
     /// Version of the latest change by engine.
-    known: IndexMap<EngineId, (ListVersion, Signature)>,
-    gone: Vec<(ListVersion, EngineId)>,
+    entries: IndexMap<EngineId, (ListVersion, Fingerprint)>,
+    removed: Vec<(ListVersion, EngineId)>,
 }
 
 /// The parts of an entry whose changes are distributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Signature {
-    start: StartTime,
-    leaves: bool,
+struct Fingerprint {
+    started_at: StartTime,
+    is_leaving: bool,
     unreadable: bool,
-    cold: bool,
+    warming_up: bool,
     slots: u32,
     addr: SocketAddr,
     /// Whether the entry may come from a backup that the store was restored from.
-    copied: bool,
+    from_backup: bool,
 }
 
-impl Signature {
-    fn stands_as(&self, other: &Signature) -> bool {
-        (self.leaves, self.unreadable) == (other.leaves, other.unreadable)
+impl Fingerprint {
+    fn has_same_state(&self, other: &Fingerprint) -> bool {
+        (self.is_leaving, self.unreadable) == (other.is_leaving, other.unreadable)
     }
 }
 
-fn signature(engines: &Engines, engine: &Engine) -> Signature {
+fn fingerprint(engines: &Engines, engine: &Engine) -> Fingerprint {
     let listed = &engine.info;
-    Signature {
-        start: listed.started_at,
-        leaves: matches!(listed.state, EngineState::Leaving { .. }),
+    Fingerprint {
+        started_at: listed.started_at,
+        is_leaving: matches!(listed.state, EngineState::Leaving { .. }),
         unreadable: listed.state == EngineState::Unreadable,
-        cold: listed.warmup_ms_left > 0,
+        warming_up: listed.warmup_ms_left > 0,
         slots: listed.slots,
         addr: listed.addr,
-        copied: engines.is_from_backup(listed.position),
+        from_backup: engines.is_from_backup(listed.position),
     }
 }
 
@@ -170,46 +170,46 @@
     /// Compares the list, read up to `cursor`, with the known one. Returns the changes of state;
     /// none for the first list.
     pub fn update(&mut self, engines: &Engines, cursor: Cursor) -> Vec<EngineStateChange> {
-        let is_first = self.begun.is_none();
+        let is_first = self.first_version.is_none();
         let mut changed = Vec::new();
         let mut changes = Vec::new();
         for engine in engines.iter() {
-            let (id, now) = (&engine.info.id, signature(engines, engine));
-            let then = self.known.get(id).map(|(_, then)| *then);
+            let (id, now) = (&engine.info.id, fingerprint(engines, engine));
+            let then = self.entries.get(id).map(|(_, then)| *then);
             if then != Some(now) {
                 changed.push((id.clone(), now));
             }
-            if !is_first && then.is_none_or(|then| !then.stands_as(&now)) {
+            if !is_first && then.is_none_or(|then| !then.has_same_state(&now)) {
                 let standing = Some(engine.info.state);
                 changes.push(EngineStateChange { engine: id.clone(), state: standing });
             }
         }
         let lost: Vec<EngineId> =
-            self.known.keys().filter(|id| engines.get(id).is_none()).cloned().collect();
+            self.entries.keys().filter(|id| engines.get(id).is_none()).cloned().collect();
         let news = !changed.is_empty() || !lost.is_empty();
         let read = ListVersion::at_position(cursor);
-        if read > self.at || self.begun.is_none() {
-            self.at = read;
+        if read > self.version || self.first_version.is_none() {
+            self.version = read;
         } else if news {
             // A change that was learned without reading on gets a later version.
-            self.at = self.at.found();
+            self.version = self.version.next();
         }
-        self.begun.get_or_insert(self.at);
+        self.first_version.get_or_insert(self.version);
         if news {
-            self.changed_at = self.at;
+            self.changed_at = self.version;
         }
         for (id, signature) in changed {
-            self.gone.retain(|(_, gone)| *gone != id);
-            self.known.insert(id, (self.at, signature));
+            self.removed.retain(|(_, gone)| *gone != id);
+            self.entries.insert(id, (self.version, signature));
         }
         for id in lost {
             changes.push(EngineStateChange { engine: id.clone(), state: None });
-            self.known.shift_remove(&id);
-            self.gone.push((self.at, id));
+            self.entries.shift_remove(&id);
+            self.removed.push((self.version, id));
         }
-        if self.gone.len() > MOST_GONE {
-            let dropped = self.gone.drain(..MOST_GONE / 2).next_back();
-            self.begun = dropped.map(|(at, _)| at).or(self.begun);
+        if self.removed.len() > MAX_REMOVED {
+            let dropped = self.removed.drain(..MAX_REMOVED / 2).next_back();
+            self.first_version = dropped.map(|(at, _)| at).or(self.first_version);
         }
         changes
     }
@@ -220,36 +220,36 @@
 
     /// Whether a node with this version needs no update.
     pub fn is_up_to_date(&self, since: Option<ListVersion>) -> bool {
-        let is_known = |since| self.begun.is_some_and(|begun| since >= begun);
-        self.begun.is_none()
+        let is_known = |since| self.first_version.is_some_and(|begun| since >= begun);
+        self.first_version.is_none()
             || since.is_none_or(|since| is_known(since) && self.changed_at <= since)
     }
 
     /// The update for a node with this version; empty for a node without a list.
     pub fn changes_since(&self, engines: &Engines, since: Option<ListVersion>) -> ListUpdate {
-        if self.begun.is_none() {
+        if self.first_version.is_none() {
             return ListUpdate { kind: ListUpdateKind::Unknown, ..ListUpdate::default() };
         }
         let Some(since) = since else {
-            return ListUpdate { version: self.at, ..ListUpdate::default() };
+            return ListUpdate { version: self.version, ..ListUpdate::default() };
         };
-        let is_known = self.begun.is_some_and(|begun| since >= begun);
+        let is_known = self.first_version.is_some_and(|begun| since >= begun);
         let part = match is_known {
             true => ListUpdateKind::Changes,
-            false if self.known.len() <= MOST_WHOLE => ListUpdateKind::Full,
+            false if self.entries.len() <= MAX_FULL_LIST => ListUpdateKind::Full,
             false => {
                 return ListUpdate { kind: ListUpdateKind::RereadStore, ..ListUpdate::default() };
             }
         };
         let newer =
-            self.known.iter().filter(|(_, (at, _))| part == ListUpdateKind::Full || *at > since);
-        let told = newer.filter_map(|(id, _)| engines.get(id).map(passed)).collect();
-        let gone = self.gone.iter().filter(|(at, _)| *at > since);
+            self.entries.iter().filter(|(_, (at, _))| part == ListUpdateKind::Full || *at > since);
+        let told = newer.filter_map(|(id, _)| engines.get(id).map(engine_record)).collect();
+        let gone = self.removed.iter().filter(|(at, _)| *at > since);
         let gone =
             gone.map(|(at, id)| (id.clone(), engines.removed_at(id).unwrap_or(at.position())));
         let (gone, copy_end) = (gone.collect(), engines.backup_end());
         ListUpdate {
-            version: self.at,
+            version: self.version,
             backup_end: copy_end,
             kind: part,
             engines: told,
@@ -258,7 +258,7 @@
     }
 }
 
-fn passed(engine: &Engine) -> EngineRecord {
+fn engine_record(engine: &Engine) -> EngineRecord {
     let listed = &engine.info;
     EngineRecord {
         engine: listed.id.clone(),
--- a/crates/direct/src/retry_budget.rs
+++ b/crates/direct/src/retry_budget.rs
@@ -24,13 +24,13 @@
 /// remaining engines when one fails.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
-    firsts: VecDeque<Millis>,
-    again: VecDeque<Millis>,
+    requests: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
 impl RetryBudget {
     pub fn record_request(&mut self, now: Millis, limits: &RetryBudgetLimits) {
-        self.firsts.push_back(now);
+        self.requests.push_back(now);
         self.expire(now, limits);
     }
 
@@ -38,8 +38,8 @@
     pub fn remaining(&mut self, now: Millis, limits: &RetryBudgetLimits) -> f64 {
         self.expire(now, limits);
         let slack = limits.slack / f64::from(limits.nodes.max(1));
-        let allowed = USED_SHARE * (limits.ratio * self.firsts.len() as f64 + slack);
-        allowed - self.again.len() as f64
+        let allowed = USED_SHARE * (limits.ratio * self.requests.len() as f64 + slack);
+        allowed - self.retries.len() as f64
     }
 
     /// Consumes one retry; returns false if none is left. A quarter of the slack is reserved for
@@ -50,13 +50,13 @@
         if self.remaining(now, limits) - kept < 1.0 {
             return false;
         }
-        self.again.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
     fn expire(&mut self, now: Millis, limits: &RetryBudgetLimits) {
         let from = now.saturating_sub(limits.window);
-        for times in [&mut self.firsts, &mut self.again] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|t| *t < from) {
                 times.pop_front();
             }
