--- a/crates/direct/src/placement/adapters.rs
+++ b/crates/direct/src/placement/adapters.rs
@@ -30,27 +30,27 @@
     engines: &[&Engine],
     pool: &ModelPool,
     demand: &Demand,
-    wanted: &ModelRef,
+    model_ref: &ModelRef,
     domain: &str,
     now: Millis,
 ) -> AdapterAction {
     let mut best: Option<(f64, AdapterAction)> = None;
     for engine in engines {
-        if !engine.has_model(&wanted.model) || engine.health.is_ejected(now) {
+        if !engine.has_model(&model_ref.model) || engine.health.is_ejected(now) {
             continue;
         }
-        let Some((instead_of, loss)) = slot_at(engine, engines, pool, demand, now) else {
+        let Some((evict, loss)) = slot_at(engine, engines, pool, demand, now) else {
             continue;
         };
         let load = engine.estimate(now) / f64::from(engine.info.slots.max(1));
-        let far = if engine.info.domain == domain { 0.0 } else { OTHER_DOMAIN_COST };
-        let cost = loss + load + far + engine.health.failure_rate(now) * 3.0;
+        let other_domain = if engine.info.domain == domain { 0.0 } else { OTHER_DOMAIN_COST };
+        let cost = loss + load + other_domain + engine.health.failure_rate(now) * 3.0;
         if best.as_ref().is_none_or(|(c, _)| cost < *c) {
             let engine = engine.info.id.clone();
-            best = Some((cost, AdapterAction::Load { engine, evict: instead_of }));
+            best = Some((cost, AdapterAction::Load { engine, evict }));
         }
     }
-    best.map_or(AdapterAction::NotPossible, |(_, step)| step)
+    best.map_or(AdapterAction::NotPossible, |(_, action)| action)
 }
 
 /// The adapter to evict at this engine, if no slot is free, and the cost.
@@ -64,27 +64,27 @@
     if free_adapter_slots(engine, pool) > 0 {
         return Some((None, 0.0));
     }
-    let all = engine.info.loaded.iter().flat_map(|h| {
+    let loaded = engine.info.loaded.iter().flat_map(|h| {
         h.adapters.iter().map(|a| ModelRef { model: h.model.clone(), adapter: Some(a.clone()) })
     });
-    let cost = |w: &ModelRef| {
-        let elsewhere = engines.iter().filter(|e| e.has_loaded(w)).count() > 1;
-        let rate = demand.rate(now, w);
+    let cost = |adapter: &ModelRef| {
+        let has_other_copy = engines.iter().filter(|e| e.has_loaded(adapter)).count() > 1;
+        let rate = demand.rate(now, adapter);
         let in_use =
-            demand.last_requested(w).is_some_and(|at| now.saturating_sub(at) < IN_USE_TIME);
-        let waits = if in_use { IN_USE_COST } else { 0.0 };
-        waits + if elsewhere { rate * OTHER_COPY_FACTOR } else { rate }
+            demand.last_requested(adapter).is_some_and(|at| now.saturating_sub(at) < IN_USE_TIME);
+        let in_use_cost = if in_use { IN_USE_COST } else { 0.0 };
+        in_use_cost + if has_other_copy { rate * OTHER_COPY_FACTOR } else { rate }
     };
-    let victim = all.map(|w| (cost(&w), w)).min_by(|a, b| a.0.total_cmp(&b.0))?;
-    Some((Some(victim.1), 0.5 + victim.0))
+    let cheapest = loaded.map(|m| (cost(&m), m)).min_by(|a, b| a.0.total_cmp(&b.0))?;
+    Some((Some(cheapest.1), 0.5 + cheapest.0))
 }
 
 /// The most requested adapter that no engine has loaded and whose model is loaded.
 pub fn next_missing_adapter(engines: &[&Engine], demand: &Demand, now: Millis) -> Option<ModelRef> {
     let rates = demand.rates(now);
-    let missing = rates.adapters.iter().filter(|(w, _)| {
-        let model_held = engines.iter().any(|e| e.has_model(&w.model));
-        model_held && !engines.iter().any(|e| e.has_loaded(w))
+    let missing = rates.adapters.iter().filter(|(model_ref, _)| {
+        let has_model = engines.iter().any(|e| e.has_model(&model_ref.model));
+        has_model && !engines.iter().any(|e| e.has_loaded(model_ref))
     });
-    missing.max_by(|a, b| a.1.total_cmp(b.1)).map(|(w, _)| w.clone())
+    missing.max_by(|a, b| a.1.total_cmp(b.1)).map(|(model_ref, _)| model_ref.clone())
 }
--- a/crates/direct/src/placement/capacity.rs
+++ b/crates/direct/src/placement/capacity.rs
@@ -10,14 +10,14 @@
 
 /// Memory reserved for adapters: each slot may hold the largest one.
 pub(super) fn reserved_mb(pool: &ModelPool) -> f64 {
-    let largest = pool.models.values().map(|m| m.adapter_mb).fold(0.0, f64::max);
-    f64::from(pool.adapter_slots) * largest
+    let largest_mb = pool.models.values().map(|m| m.adapter_mb).fold(0.0, f64::max);
+    f64::from(pool.adapter_slots) * largest_mb
 }
 
 /// Memory free for models.
-pub(super) fn free_mb(engine: &Engine, pool: &ModelPool, reserved: f64) -> f64 {
-    let models = engine.info.loaded.iter().map(|h| weights_mb(pool, &h.model)).sum::<f64>();
-    pool.weights_mb - models - reserved
+pub(super) fn free_mb(engine: &Engine, pool: &ModelPool, reserved_mb: f64) -> f64 {
+    let models_mb = engine.info.loaded.iter().map(|h| weights_mb(pool, &h.model)).sum::<f64>();
+    pool.weights_mb - models_mb - reserved_mb
 }
 
 pub fn free_adapter_slots(engine: &Engine, pool: &ModelPool) -> i64 {
--- a/crates/direct/src/placement/load_distribution.rs
+++ b/crates/direct/src/placement/load_distribution.rs
@@ -29,55 +29,56 @@
         pending: &'a PendingLoads,
         rates: &Rates,
     ) -> LoadDistribution<'a> {
-        let mut holders: IndexMap<&str, Vec<usize>> = IndexMap::new();
-        for (at, engine) in engines.iter().enumerate() {
-            for held in &engine.info.loaded {
-                holders.entry(&held.model).or_default().push(at);
+        let mut copies: IndexMap<&str, Vec<usize>> = IndexMap::new();
+        for (index, engine) in engines.iter().enumerate() {
+            for loaded in &engine.info.loaded {
+                copies.entry(&loaded.model).or_default().push(index);
             }
-            let coming = pending.get(&engine.info.id).filter(|m| !engine.has_model(m));
-            if let Some(model) = coming {
-                holders.entry(model).or_default().push(at);
+            let loading = pending.get(&engine.info.id).filter(|m| !engine.has_model(m));
+            if let Some(model) = loading {
+                copies.entry(model).or_default().push(index);
             }
         }
-        let mut spread = LoadDistribution { loads: vec![0.0; engines.len()], copies: holders };
-        spread.distribute(rates);
-        spread
+        let mut distribution = LoadDistribution { loads: vec![0.0; engines.len()], copies };
+        distribution.distribute(rates);
+        distribution
     }
 
     fn distribute(&mut self, rates: &Rates) {
         // Models with the fewest copies have the least choice and go first.
         self.copies.sort_by(|_, a, _, b| a.len().cmp(&b.len()));
-        let mut dealt: Vec<Vec<f64>> = self.copies.values().map(|h| vec![0.0; h.len()]).collect();
+        let mut assigned: Vec<Vec<f64>> =
+            self.copies.values().map(|h| vec![0.0; h.len()]).collect();
         for _ in 0..ROUNDS {
-            for ((model, holders), dealt) in self.copies.iter().zip(&mut dealt) {
+            for ((model, copies), assigned) in self.copies.iter().zip(&mut assigned) {
                 let part = rates.of_model(model) / f64::from(PARTS);
                 if part == 0.0 {
                     continue;
                 }
-                for (at, share) in holders.iter().zip(dealt.iter_mut()) {
-                    self.loads[*at] -= std::mem::take(share);
+                for (index, share) in copies.iter().zip(assigned.iter_mut()) {
+                    self.loads[*index] -= std::mem::take(share);
                 }
                 for _ in 0..PARTS {
                     let loads = &self.loads;
-                    let least = (0..holders.len())
-                        .min_by(|a, b| loads[holders[*a]].total_cmp(&loads[holders[*b]]));
-                    let Some(least) = least else { break };
-                    self.loads[holders[least]] += part;
-                    dealt[least] += part;
+                    let min = (0..copies.len())
+                        .min_by(|a, b| loads[copies[*a]].total_cmp(&loads[copies[*b]]));
+                    let Some(min) = min else { break };
+                    self.loads[copies[min]] += part;
+                    assigned[min] += part;
                 }
             }
         }
     }
 
     /// Requests per second at the engine with this index.
-    pub(super) fn load(&self, at: usize) -> f64 {
-        self.loads[at]
+    pub(super) fn load(&self, index: usize) -> f64 {
+        self.loads[index]
     }
 
     /// Requests per second at the least loaded copy of a model.
     pub(super) fn min_copy_load(&self, model: &str) -> Option<f64> {
-        let holders = self.copies.get(model)?;
-        holders.iter().map(|at| self.loads[*at]).min_by(f64::total_cmp)
+        let copies = self.copies.get(model)?;
+        copies.iter().map(|index| self.loads[*index]).min_by(f64::total_cmp)
     }
 
     /// Requests per second at the most loaded engine.
--- a/crates/direct/src/placement/load_rate.rs
+++ b/crates/direct/src/placement/load_rate.rs
@@ -44,19 +44,20 @@
         self.started.iter().map(|at| now.saturating_sub(*at)).collect()
     }
 
-    /// Takes over from a previous leader that reported these loads and may have started `unheard`
-    /// more.
+    /// Takes over from a previous leader that reported these loads and may have started
+    /// `unreported` more.
     ///
     /// Prevents a new leader from waiting for a whole window before it loads models.
-    pub fn restore(&mut self, now: Millis, begun: &[Millis], unheard: usize) {
-        self.started = begun.iter().copied().chain(std::iter::repeat_n(now, unheard)).collect();
+    pub fn restore(&mut self, now: Millis, started: &[Millis], unreported: usize) {
+        self.started =
+            started.iter().copied().chain(std::iter::repeat_n(now, unreported)).collect();
         self.started.make_contiguous().sort_unstable();
     }
 
-    /// Takes over from a previous leader that may have used up the window; leaves room for `but`
-    /// loads.
-    pub fn assume_full(&mut self, now: Millis, limits: &LoadRateLimits, but: usize) {
-        let most = limits.max_loads() as usize;
-        self.started = std::iter::repeat_n(now, most.saturating_sub(but)).collect();
+    /// Takes over from a previous leader that may have used up the window; leaves room for
+    /// `allowed` loads.
+    pub fn assume_full(&mut self, now: Millis, limits: &LoadRateLimits, allowed: usize) {
+        let max = limits.max_loads() as usize;
+        self.started = std::iter::repeat_n(now, max.saturating_sub(allowed)).collect();
     }
 }
--- a/crates/direct/src/placement/models.rs
+++ b/crates/direct/src/placement/models.rs
@@ -51,10 +51,10 @@
 impl WeightSource {
     /// Fastest source for an engine to load a model from.
     pub fn fastest(engine: &Engine, model: &str) -> WeightSource {
-        let has = |all: &[String]| all.iter().any(|m| m == model);
-        if has(&engine.info.cached.in_memory) {
+        let contains = |all: &[String]| all.iter().any(|m| m == model);
+        if contains(&engine.info.cached.in_memory) {
             WeightSource::Memory
-        } else if has(&engine.info.cached.on_disk) {
+        } else if contains(&engine.info.cached.on_disk) {
             WeightSource::Disk
         } else {
             WeightSource::Store
@@ -114,12 +114,12 @@
     allowed: AllowedActions,
     now: Millis,
 ) -> Option<ModelLoad> {
-    let kept = targets(engines, pool, rates, SPARE_FACTOR);
+    let kept_copies = targets(engines, pool, rates, SPARE_FACTOR);
     let targets = targets(engines, pool, rates, 1.0);
-    let held = copy_counts(engines);
+    let copy_counts = copy_counts(engines);
     let copies = |model: &str| {
-        let held = held.get(model).copied().unwrap_or(0);
-        held + pending.values().filter(|m| *m == model).count()
+        let loaded = copy_counts.get(model).copied().unwrap_or(0);
+        loaded + pending.values().filter(|m| *m == model).count()
     };
     let rate = |model: &str| rates.of_model(model);
     let mut lacking: Vec<(&String, f64)> = targets
@@ -133,38 +133,38 @@
         })
         .collect();
     lacking.sort_by(|a, b| b.1.total_cmp(&a.1));
-    let reserved = reserved_mb(pool);
-    let spread = LoadDistribution::of(engines, pending, rates);
-    let wants = Planner {
+    let reserved_mb = reserved_mb(pool);
+    let distribution = LoadDistribution::of(engines, pending, rates);
+    let planner = Planner {
         engines,
         pool,
         rates,
         pending,
-        distribution: &spread,
-        kept: &kept,
-        copy_counts: &held,
-        reserved_mb: reserved,
+        distribution: &distribution,
+        kept: &kept_copies,
+        copy_counts: &copy_counts,
+        reserved_mb,
         allowed,
         now,
     };
-    let most = lacking.first().map_or(0.0, |(_, need)| *need);
+    let max_need = lacking.first().map_or(0.0, |(_, need)| *need);
     let (urgent, rest): (Vec<_>, Vec<_>) =
-        lacking.into_iter().partition(|(_, need)| *need >= URGENT_RATIO * most);
-    let step = |(model, need): (&String, f64)| wants.plan_load(model, need, &Bounds::NONE);
-    let quickest = urgent.into_iter().take(MAX_URGENT).filter_map(step);
-    quickest
-        .min_by_key(|step| wants.duration(step))
-        .or_else(|| rest.into_iter().find_map(step))
-        .or_else(|| wants.balance())
+        lacking.into_iter().partition(|(_, need)| *need >= URGENT_RATIO * max_need);
+    let plan = |(model, need): (&String, f64)| planner.plan_load(model, need, &Bounds::NONE);
+    let fastest = urgent.into_iter().take(MAX_URGENT).filter_map(plan);
+    fastest
+        .min_by_key(|plan| planner.duration(plan))
+        .or_else(|| rest.into_iter().find_map(plan))
+        .or_else(|| planner.balance())
 }
 
 /// Number of engines that have each model, counted once per plan to keep plans fast.
 fn copy_counts<'a>(engines: &[&'a Engine]) -> IndexMap<&'a str, usize> {
-    let mut held = IndexMap::new();
+    let mut counts = IndexMap::new();
     for model in engines.iter().flat_map(|e| &e.info.loaded) {
-        *held.entry(model.model.as_str()).or_default() += 1;
+        *counts.entry(model.model.as_str()).or_default() += 1;
     }
-    held
+    counts
 }
 
 /// Bounds on the load of an engine that gets a copy, and on the loss by eviction, in requests per
@@ -200,11 +200,11 @@
     /// The best engine for one more copy of a model, with the models to evict there.
     pub(super) fn plan_load(&self, model: &str, need: f64, bounds: &Bounds) -> Option<ModelLoad> {
         let configured = self.pool.models.get(model)?;
-        let needs = configured.weights_mb;
+        let needed_mb = configured.weights_mb;
         let mut best: Option<(f64, &Engine, Vec<String>, WeightSource)> = None;
-        for (at, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             let id = &engine.info.id;
-            let load = self.distribution.load(at);
+            let load = self.distribution.load(index);
             if load < bounds.min_load || load > bounds.max_load {
                 continue;
             }
@@ -218,27 +218,27 @@
             if source == WeightSource::Store && !self.allowed.load_from_store {
                 continue;
             }
-            let Some((victims, loss)) = self.evictions(engine, needs) else { continue };
-            if loss > bounds.max_loss || (!victims.is_empty() && !self.allowed.evict) {
+            let Some((evict, loss)) = self.evictions(engine, needed_mb) else { continue };
+            if loss > bounds.max_loss || (!evict.is_empty() && !self.allowed.evict) {
                 continue;
             }
             // Requests that arrive until the load is complete are not served.
-            let time = self.drain_time(&victims) + source.load_time(configured);
-            let waits = need.max(MIN_NEED) * time.as_secs_f64();
-            let cost = loss + self.load_cost(model, load) + waits;
+            let time = self.drain_time(&evict) + source.load_time(configured);
+            let waiting = need.max(MIN_NEED) * time.as_secs_f64();
+            let cost = loss + self.load_cost(model, load) + waiting;
             if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
-                best = Some((cost, engine, victims, source));
+                best = Some((cost, engine, evict, source));
             }
         }
-        let (_, engine, victims, source) = best?;
-        let (engine, load) = (engine.info.id.clone(), model.to_owned());
-        Some(ModelLoad { engine, evict: victims, model: load, source })
+        let (_, engine, evict, source) = best?;
+        let (engine, model) = (engine.info.id.clone(), model.to_owned());
+        Some(ModelLoad { engine, evict, model, source })
     }
 
     /// Time until the load is complete.
-    fn duration(&self, step: &ModelLoad) -> Duration {
-        let load = self.pool.models.get(&step.model).map(|model| step.source.load_time(model));
-        self.drain_time(&step.evict) + load.unwrap_or_default()
+    fn duration(&self, plan: &ModelLoad) -> Duration {
+        let load = self.pool.models.get(&plan.model).map(|model| plan.source.load_time(model));
+        self.drain_time(&plan.evict) + load.unwrap_or_default()
     }
 
     /// Cost of an engine with this load. A rarely requested model goes to a busy engine, to leave
@@ -247,35 +247,35 @@
         if self.rate(model) < IN_DEMAND_RATE { self.distribution.max() - load } else { load }
     }
 
-    /// The models to evict so that `needs` megabytes are free, and the resulting loss of demand.
-    fn evictions(&self, engine: &Engine, needs: f64) -> Option<(Vec<String>, f64)> {
+    /// The models to evict so that `needed_mb` megabytes are free, and the resulting loss of demand.
+    fn evictions(&self, engine: &Engine, needed_mb: f64) -> Option<(Vec<String>, f64)> {
         let mut free_mb = free_mb(engine, self.pool, self.reserved_mb);
-        let mut droppable: Vec<(&str, f64)> = engine
+        let mut evictable: Vec<(&str, f64)> = engine
             .info
             .loaded
             .iter()
             .filter(|h| self.is_spare(&h.model))
             .map(|h| (h.model.as_str(), self.rate(&h.model)))
             .collect();
-        droppable.sort_by(|a, b| {
+        evictable.sort_by(|a, b| {
             let recent = |m: &str| self.recent(m);
             a.1.total_cmp(&b.1).then(recent(a.0).total_cmp(&recent(b.0)))
         });
-        let (mut victims, mut loss) = (Vec::new(), 0.0);
-        for (model, rate) in droppable {
-            if free_mb >= needs {
+        let (mut evict, mut loss) = (Vec::new(), 0.0);
+        for (model, rate) in evictable {
+            if free_mb >= needed_mb {
                 break;
             }
             free_mb += self.pool.models.get(model).map_or(0.0, |m| m.weights_mb);
             loss += 1.0 + rate;
-            victims.push(model.to_owned());
+            evict.push(model.to_owned());
         }
-        (free_mb >= needs).then_some((victims, loss))
+        (free_mb >= needed_mb).then_some((evict, loss))
     }
 
     /// Time until the models can be evicted.
-    fn drain_time(&self, victims: &[String]) -> Duration {
-        let in_use = victims.iter().any(|m| self.recent(m) >= IN_USE_RATE);
+    fn drain_time(&self, evict: &[String]) -> Duration {
+        let in_use = evict.iter().any(|m| self.recent(m) >= IN_USE_RATE);
         if in_use { DRAIN_TIME } else { Duration::ZERO }
     }
 
@@ -285,8 +285,8 @@
 
     /// Whether one copy of a model may be evicted.
     pub(super) fn is_spare(&self, model: &str) -> bool {
-        let kept = self.kept.get(model).copied().unwrap_or(0);
-        self.copies(model) > kept as f64
+        let kept_copies = self.kept.get(model).copied().unwrap_or(0);
+        self.copies(model) > kept_copies as f64
     }
 
     pub(super) fn copies(&self, model: &str) -> f64 {
--- a/crates/direct/src/placement/targets.rs
+++ b/crates/direct/src/placement/targets.rs
@@ -39,8 +39,8 @@
     let count = engines.len();
     let copy_rate = copy_rate(pool);
     let mut adapters: IndexMap<&str, usize> = IndexMap::new();
-    for (wanted, _) in rates.adapters.iter().filter(|(_, rate)| **rate >= ADAPTER_MIN_RATE) {
-        *adapters.entry(wanted.model.as_str()).or_default() += 1;
+    for (model_ref, _) in rates.adapters.iter().filter(|(_, rate)| **rate >= ADAPTER_MIN_RATE) {
+        *adapters.entry(model_ref.model.as_str()).or_default() += 1;
     }
     let target = |model: &str| {
         // One slot per requested adapter: replacing an adapter has to wait for its requests.
@@ -53,8 +53,8 @@
         if rate < IN_DEMAND_RATE {
             return 1;
         }
-        let least = MIN_COPIES_IN_DEMAND.max(by_rate);
-        least.max(by_adapters).min(count.max(1))
+        let min_copies = MIN_COPIES_IN_DEMAND.max(by_rate);
+        min_copies.max(by_adapters).min(count.max(1))
     };
     pool.models.keys().map(|m| (m.clone(), target(m))).collect()
 }
@@ -70,9 +70,9 @@
 /// Unserved requests are limited to what one copy serves; otherwise the most requested model would
 /// get all copies first.
 pub(super) fn need(rate: f64, copies: usize, pool: &ModelPool) -> f64 {
-    let one_serves = f64::from(pool.slots) * MAX_RATE_PER_SLOT;
-    let served = copies as f64 * one_serves;
-    let unserved = (rate - served).clamp(0.0, one_serves);
-    let nowhere = if copies == 0 { NO_COPY_NEED } else { 0.0 };
-    unserved + nowhere + LOAD_WEIGHT * rate / copies.max(1) as f64
+    let copy_capacity = f64::from(pool.slots) * MAX_RATE_PER_SLOT;
+    let served = copies as f64 * copy_capacity;
+    let unserved = (rate - served).clamp(0.0, copy_capacity);
+    let no_copy = if copies == 0 { NO_COPY_NEED } else { 0.0 };
+    unserved + no_copy + LOAD_WEIGHT * rate / copies.max(1) as f64
 }
