--- a/crates/direct/src/quota/account.rs
+++ b/crates/direct/src/quota/account.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Account {
     pub allowances: AllowancePool,
-    /// Demand per second, as of `asked_at`.
+    /// Demand per second, as of `demand_updated_at`.
     demand_rate: f64,
     demand_updated_at: Millis,
     /// Average cost of a request.
@@ -45,18 +45,18 @@
 
 impl Account {
     pub fn record_request(&mut self, now: Millis, cost: f64) {
-        let before = if self.average_cost == 0.0 { cost } else { self.average_cost };
-        self.average_cost = before + COST_WEIGHT * (cost - before);
+        let previous = if self.average_cost == 0.0 { cost } else { self.average_cost };
+        self.average_cost = previous + COST_WEIGHT * (cost - previous);
         self.add_demand(now, cost);
     }
 
     /// Records the demand of a node that asks this one. Only new demand counts, so that repeated
     /// requests count once.
-    pub fn record_peer_request(&mut self, now: Millis, want: &AllowanceRequest) {
+    pub fn record_peer_request(&mut self, now: Millis, request: &AllowanceRequest) {
         if self.average_cost == 0.0 {
-            self.average_cost = want.unit_cost;
+            self.average_cost = request.unit_cost;
         }
-        self.add_demand(now, want.new_demand);
+        self.add_demand(now, request.new_demand);
     }
 
     fn add_demand(&mut self, now: Millis, amount: f64) {
@@ -66,47 +66,41 @@
     }
 
     fn decay(&mut self, now: Millis) {
-        let passed = now.saturating_sub(self.demand_updated_at) as f64;
-        self.demand_rate *= (-passed / DEMAND_TIME_CONSTANT_MS).exp();
+        let elapsed = now.saturating_sub(self.demand_updated_at) as f64;
+        self.demand_rate *= (-elapsed / DEMAND_TIME_CONSTANT_MS).exp();
         self.demand_updated_at = now;
     }
 
-    pub fn add_waiter(&mut self, waiting: Waiter) {
-        self.waiters.push(waiting);
+    pub fn add_waiter(&mut self, waiter: Waiter) {
+        self.waiters.push(waiter);
     }
 
     pub fn has_waiters(&self) -> bool {
         !self.waiters.is_empty()
     }
 
-    pub fn remove_waiter(&mut self, waiting: Waiter) {
-        if let Some(at) = self.waiters.iter().position(|known| *known == waiting) {
-            self.waiters.swap_remove(at);
+    pub fn remove_waiter(&mut self, waiter: Waiter) {
+        if let Some(index) = self.waiters.iter().position(|other| *other == waiter) {
+            self.waiters.swap_remove(index);
         }
     }
 
     fn total_waiting(&self) -> f64 {
-        self.waiters.iter().map(|waiting| waiting.max).sum()
+        self.waiters.iter().map(|waiter| waiter.max).sum()
     }
 
     /// What to request now. Nothing is requested in advance if requests are rare or the quota is
     /// used up, as it would expire unused.
     pub fn next_request(&mut self, now: Millis) -> AllowanceRequest {
         let balance = self.allowances.balance(now);
-        let ahead = if self.was_exhausted(now) { 0.0 } else { self.advance(now) };
-        let waiting = self.total_waiting();
-        let most = (ahead.max(waiting) - balance).max(0.0);
-        let step = if self.average_cost > 0.0 { self.average_cost } else { most };
-        let smallest = self.waiters.iter().map(|waiting| waiting.min).reduce(f64::min);
-        let least = (smallest.unwrap_or(step) - balance).max(0.0);
-        let needed = (waiting - balance).max(0.0);
-        AllowanceRequest {
-            max: most,
-            needed,
-            min: least.min(most),
-            unit_cost: step,
-            new_demand: self.new_demand,
-        }
+        let advance = if self.was_exhausted(now) { 0.0 } else { self.advance(now) };
+        let total_waiting = self.total_waiting();
+        let max = (advance.max(total_waiting) - balance).max(0.0);
+        let unit_cost = if self.average_cost > 0.0 { self.average_cost } else { max };
+        let smallest_cost = self.waiters.iter().map(|waiter| waiter.min).reduce(f64::min);
+        let min = (smallest_cost.unwrap_or(unit_cost) - balance).max(0.0);
+        let needed = (total_waiting - balance).max(0.0);
+        AllowanceRequest { max, needed, min: min.min(max), unit_cost, new_demand: self.new_demand }
     }
 
     /// Whether the quota was recently used up.
@@ -123,26 +117,26 @@
 
     fn advance(&mut self, now: Millis) -> f64 {
         self.decay(now);
-        let ahead = self.demand_rate * ADVANCE_S;
-        if ahead >= self.average_cost { ahead } else { 0.0 }
+        let advance = self.demand_rate * ADVANCE_S;
+        if advance >= self.average_cost { advance } else { 0.0 }
     }
 
-    /// Records a response; `room_in` is set if the quota is used up.
+    /// Records a response; `available_in` is set if the quota is used up.
     pub fn record_response(
         &mut self,
         now: Millis,
-        want: &AllowanceRequest,
-        room_in: Option<Millis>,
+        request: &AllowanceRequest,
+        available_in: Option<Millis>,
     ) {
-        if let Some(room_in) = room_in {
-            self.exhausted = Some((now, now + room_in));
+        if let Some(available_in) = available_in {
+            self.exhausted = Some((now, now + available_in));
         }
-        self.new_demand = (self.new_demand - want.new_demand).max(0.0);
+        self.new_demand = (self.new_demand - request.new_demand).max(0.0);
     }
 
     /// Time until the quota is available again, if it is known to be used up.
     pub fn available_in(&self, now: Millis) -> Option<Millis> {
-        let (at, room) = self.exhausted?;
-        (now.saturating_sub(at) < EXHAUSTED_TTL).then_some(room.saturating_sub(now))
+        let (at, available_at) = self.exhausted?;
+        (now.saturating_sub(at) < EXHAUSTED_TTL).then_some(available_at.saturating_sub(now))
     }
 }
--- a/crates/direct/src/quota/allowance.rs
+++ b/crates/direct/src/quota/allowance.rs
@@ -30,25 +30,26 @@
 
 impl AllowancePool {
     pub fn balance(&mut self, now: Millis) -> f64 {
-        self.allowances.retain(|lot| lot.expires_at > now && lot.amount > 0.0);
-        self.allowances.iter().map(|lot| lot.amount).sum()
+        self.allowances.retain(|allowance| allowance.expires_at > now && allowance.amount > 0.0);
+        self.allowances.iter().map(|allowance| allowance.amount).sum()
     }
 
     /// Adds an allowance, or returns an unused one.
-    pub fn add(&mut self, lot: Allowance) {
-        let at = self.allowances.partition_point(|known| known.expires_at <= lot.expires_at);
-        self.allowances.insert(at, lot);
+    pub fn add(&mut self, allowance: Allowance) {
+        let index =
+            self.allowances.partition_point(|other| other.expires_at <= allowance.expires_at);
+        self.allowances.insert(index, allowance);
     }
 
     /// Takes up to this amount, the earliest to expire first.
-    pub fn take(&mut self, now: Millis, most: f64) -> Vec<Allowance> {
+    pub fn take(&mut self, now: Millis, max: f64) -> Vec<Allowance> {
         self.balance(now);
-        let (mut left, mut taken) = (most, Vec::new());
-        while left > 0.0
+        let (mut remaining, mut taken) = (max, Vec::new());
+        while remaining > 0.0
             && let Some(first) = self.allowances.front_mut()
         {
-            let amount = first.amount.min(left);
-            (first.amount, left) = (first.amount - amount, left - amount);
+            let amount = first.amount.min(remaining);
+            (first.amount, remaining) = (first.amount - amount, remaining - amount);
             taken.push(Allowance { amount, expires_at: first.expires_at });
             if first.amount <= 0.0 {
                 self.allowances.pop_front();
--- a/crates/direct/src/quota/bucket.rs
+++ b/crates/direct/src/quota/bucket.rs
@@ -11,8 +11,8 @@
 impl Bucket {
     /// Adds the tokens since the last call.
     pub(super) fn fill(&mut self, now: Millis, rate: f64, depth: f64) {
-        let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
-        self.level = (self.level + rate * passed).min(depth);
+        let elapsed_s = now.saturating_sub(self.at) as f64 / 1_000.0;
+        self.level = (self.level + rate * elapsed_s).min(depth);
         self.at = self.at.max(now);
     }
 }
--- a/crates/direct/src/quota/fallback.rs
+++ b/crates/direct/src/quota/fallback.rs
@@ -39,25 +39,25 @@
     pub fn grant(
         &mut self,
         customer: &CustomerId,
-        terms: &IssuanceParams,
-        want: &AllowanceRequest,
+        params: &IssuanceParams,
+        request: &AllowanceRequest,
         share: f64,
         now: Millis,
     ) -> IssuedAmount {
-        let part = FALLBACK_SHARE * share;
+        let rate_share = FALLBACK_SHARE * share;
         let bucket = self.buckets.entry(customer.clone()).or_insert(Bucket { level: 0.0, at: now });
-        let begins = self.to_restart.swap_remove(customer);
-        let depth = if begins { 0.0 } else { terms.rate * part * MIN_DEPTH_S };
-        bucket.fill(now, terms.rate * part, depth);
-        let given = want.grantable(bucket.level + terms.advance * share);
-        bucket.level -= given;
+        let restarts = self.to_restart.swap_remove(customer);
+        let depth = if restarts { 0.0 } else { params.rate * rate_share * MIN_DEPTH_S };
+        bucket.fill(now, params.rate * rate_share, depth);
+        let amount = request.grantable(bucket.level + params.advance * share);
+        bucket.level -= amount;
         self.expire_usage(now);
-        self.usage.push_back(Usage { customer: customer.clone(), amount: given, at: now });
-        let rate = (terms.rate * part).max(f64::MIN_POSITIVE);
-        let lacks = want.needed - given;
+        self.usage.push_back(Usage { customer: customer.clone(), amount, at: now });
+        let rate = (params.rate * rate_share).max(f64::MIN_POSITIVE);
+        let missing = request.needed - amount;
         IssuedAmount {
-            amount: given,
-            available_in: (lacks > 0.0).then_some((1_000.0 * lacks / rate) as Millis),
+            amount,
+            available_in: (missing > 0.0).then_some((1_000.0 * missing / rate) as Millis),
         }
     }
 
@@ -68,12 +68,13 @@
     }
 
     /// Restores usage that could not be reported.
-    pub fn restore_usage(&mut self, used: Vec<Usage>) {
-        used.into_iter().rev().for_each(|used| self.usage.push_front(used));
+    pub fn restore_usage(&mut self, usage: Vec<Usage>) {
+        usage.into_iter().rev().for_each(|usage| self.usage.push_front(usage));
     }
 
     fn expire_usage(&mut self, now: Millis) {
-        while self.usage.front().is_some_and(|used| now.saturating_sub(used.at) >= ISOLATED_AFTER) {
+        while self.usage.front().is_some_and(|usage| now.saturating_sub(usage.at) >= ISOLATED_AFTER)
+        {
             self.usage.pop_front();
         }
     }
--- a/crates/direct/src/quota/issuance.rs
+++ b/crates/direct/src/quota/issuance.rs
@@ -39,20 +39,21 @@
 impl IssuanceParams {
     pub fn new(quota: Quota, bounds: &QuotaBounds) -> IssuanceParams {
         let window = bounds.window.as_secs_f64().max(0.1);
-        let room = bounds.overshoot_ratio * (quota.rate * window + quota.burst) + bounds.slack;
-        let life_s = TTL_SHARE * room / quota.rate.max(f64::MIN_POSITIVE);
-        let life = ((life_s * 1_000.0) as Millis).clamp(MIN_TTL, MAX_TTL);
-        let alive = quota.rate * life as f64 / 1_000.0;
-        let unnoticed =
+        let tolerance = bounds.overshoot_ratio * (quota.rate * window + quota.burst) + bounds.slack;
+        let ttl_s = TTL_SHARE * tolerance / quota.rate.max(f64::MIN_POSITIVE);
+        let ttl = ((ttl_s * 1_000.0) as Millis).clamp(MIN_TTL, MAX_TTL);
+        let unexpired = quota.rate * ttl as f64 / 1_000.0;
+        let unnoticed_usage =
             quota.rate * FALLBACK_SHARE * ISOLATED_SHARE * ISOLATED_AFTER as f64 / 1_000.0;
-        let ahead = ADVANCE_SHARE * room;
+        let advance = ADVANCE_SHARE * tolerance;
         let start = START_SHARE * bounds.slack;
-        let free = quota.burst + room - alive - unnoticed - ahead - STARTS * start;
-        let least = quota.rate * MIN_DEPTH_S;
+        let available =
+            quota.burst + tolerance - unexpired - unnoticed_usage - advance - STARTS * start;
+        let min_depth = quota.rate * MIN_DEPTH_S;
         // The slack lets larger requests of a small customer fit.
-        let depth = free.clamp(least, (quota.burst + bounds.slack).max(least));
-        let rate = (quota.rate - (depth - free).max(0.0) / window).max(0.0);
-        IssuanceParams { rate, start: start.min(depth), depth, allowance_ttl: life, advance: ahead }
+        let depth = available.clamp(min_depth, (quota.burst + bounds.slack).max(min_depth));
+        let rate = (quota.rate - (depth - available).max(0.0) / window).max(0.0);
+        IssuanceParams { rate, start: start.min(depth), depth, allowance_ttl: ttl, advance }
     }
 
     /// Lifetime of an allowance.
--- a/crates/direct/src/quota/issuer.rs
+++ b/crates/direct/src/quota/issuer.rs
@@ -48,51 +48,51 @@
         if now.saturating_sub(self.started_at) < ISOLATED_AFTER {
             return 0.0;
         }
-        let lately =
+        let recent =
             self.contacts.values().filter(|(at, _)| now.saturating_sub(*at) < ISOLATED_AFTER);
-        let heard: u32 = 1 + lately.map(|(_, nodes)| *nodes).sum::<u32>();
-        f64::from(nodes.saturating_sub(heard)) / f64::from(nodes.max(1))
+        let in_contact: u32 = 1 + recent.map(|(_, nodes)| *nodes).sum::<u32>();
+        f64::from(nodes.saturating_sub(in_contact)) / f64::from(nodes.max(1))
     }
 
     /// Maximum part of the available amount for a request for this many of all nodes.
-    pub fn max_share(asks_for: u32, nodes: u32) -> f64 {
-        let part = f64::from(asks_for.max(1)) / f64::from(nodes.max(1));
-        (MAX_SHARE_FACTOR * part).clamp(MIN_SHARE, 1.0)
+    pub fn max_share(requested_for: u32, nodes: u32) -> f64 {
+        let share = f64::from(requested_for.max(1)) / f64::from(nodes.max(1));
+        (MAX_SHARE_FACTOR * share).clamp(MIN_SHARE, 1.0)
     }
 
-    /// Grants from a customer's quota. `alone` is usage without the issuer, `silent` the part of
-    /// the nodes that may use their share without it, and `part` the maximum part to grant, unless
-    /// a single request needs more.
+    /// Grants from a customer's quota. `fallback_usage` is usage without the issuer, `silent_share`
+    /// the part of the nodes that may use their share without it, and `max_share` the maximum part
+    /// to grant, unless a single request needs more.
     pub fn grant(
         &mut self,
         from: SocketAddr,
         customer: &CustomerId,
-        terms: &IssuanceParams,
-        want: &AllowanceRequest,
-        (alone, silent, part): (f64, f64, f64),
+        params: &IssuanceParams,
+        request: &AllowanceRequest,
+        (fallback_usage, silent_share, max_share): (f64, f64, f64),
         now: Millis,
     ) -> IssuedAmount {
-        let empty = Bucket { level: terms.start, at: self.started_at };
+        let empty = Bucket { level: params.start, at: self.started_at };
         let bucket = self.buckets.entry(customer.clone()).or_insert(empty);
-        bucket.fill(now, terms.rate * (1.0 - FALLBACK_SHARE * silent), terms.depth);
+        bucket.fill(now, params.rate * (1.0 - FALLBACK_SHARE * silent_share), params.depth);
         // Usage from before the start is not part of this bucket.
         if now.saturating_sub(self.started_at) >= ISOLATED_AFTER {
-            bucket.level -= alone;
+            bucket.level -= fallback_usage;
         }
-        let there = (bucket.level * part).max(want.min.min(bucket.level));
-        let amount = want.grantable(there);
+        let available = (bucket.level * max_share).max(request.min.min(bucket.level));
+        let amount = request.grantable(available);
         bucket.level -= amount;
         let unmet = self.unmet.entry(customer.clone()).or_default();
         unmet.retain(|_, (_, at)| now.saturating_sub(*at) < UNMET_TTL);
-        let is_short = amount < want.needed && bucket.level < want.min;
-        if !is_short {
+        let is_exhausted = amount < request.needed && bucket.level < request.min;
+        if !is_exhausted {
             unmet.swap_remove(&from);
             return IssuedAmount { amount, available_in: None };
         }
-        unmet.insert(from, (want.needed - amount, now));
-        let lacks: f64 = unmet.values().map(|(amount, _)| amount).sum::<f64>() - bucket.level;
-        let rate = terms.rate.max(f64::MIN_POSITIVE);
-        IssuedAmount { amount, available_in: Some((1_000.0 * lacks / rate) as Millis) }
+        unmet.insert(from, (request.needed - amount, now));
+        let missing: f64 = unmet.values().map(|(amount, _)| amount).sum::<f64>() - bucket.level;
+        let rate = params.rate.max(f64::MIN_POSITIVE);
+        IssuedAmount { amount, available_in: Some((1_000.0 * missing / rate) as Millis) }
     }
 }
 
--- a/crates/direct/src/quota/mod.rs
+++ b/crates/direct/src/quota/mod.rs
@@ -7,8 +7,8 @@
 //! empty buckets, as grants of the previous one count in the same window.
 //!
 //! The usage in a window is at most what the bucket granted within it and one allowance lifetime
-//! before, plus what isolated domains used before the issuer noticed. [`IssuanceParams`] sizes the bucket so
-//! that both stay within [`QuotaBounds`](crate::QuotaBounds).
+//! before, plus what isolated domains used before the issuer noticed. [`IssuanceParams`] sizes the
+//! bucket so that both stay within [`QuotaBounds`](crate::QuotaBounds).
 
 mod account;
 mod allowance;
--- a/crates/direct/src/quota/request.rs
+++ b/crates/direct/src/quota/request.rs
@@ -24,13 +24,13 @@
 impl AllowanceRequest {
     /// The amount to grant if this much is available, in multiples of whole requests, as smaller
     /// amounts would expire unused.
-    pub fn grantable(&self, there: f64) -> f64 {
-        if there >= self.max {
+    pub fn grantable(&self, available: f64) -> f64 {
+        if available >= self.max {
             return self.max;
         }
-        if there < self.min || self.unit_cost <= 0.0 {
+        if available < self.min || self.unit_cost <= 0.0 {
             return 0.0;
         }
-        self.min + ((there - self.min) / self.unit_cost).floor() * self.unit_cost
+        self.min + ((available - self.min) / self.unit_cost).floor() * self.unit_cost
     }
 }
