--- a/crates/direct/src/aggregation.rs
+++ b/crates/direct/src/aggregation.rs
@@ -111,12 +111,12 @@
         from: SocketAddr,
         relation: Relation,
         scope: ReportScope,
-        told: &InFlightUpdate,
+        update: &InFlightUpdate,
         now: Millis,
     ) -> Vec<EngineKey> {
         match subtotal_for(scope, relation) {
-            Some(Subtotal::Remote) => self.remote.apply(from, now, told),
-            Some(Subtotal::Domain) => self.domain.apply(from, now, told),
+            Some(Subtotal::Remote) => self.remote.apply(from, now, update),
+            Some(Subtotal::Domain) => self.domain.apply(from, now, update),
             None => Vec::new(),
         }
     }
@@ -126,74 +126,80 @@
         &mut self,
         now: Millis,
         own: IndexMap<EngineKey, InFlightLoad>,
-        circle: &Neighbors,
+        neighbors: &Neighbors,
     ) -> Vec<OutgoingUpdate> {
-        self.domain.expire(now, |addr| circle.children.contains(addr));
-        self.remote.expire(now, |addr| Some(*addr) == circle.hub || circle.hubs.contains(addr));
-        self.fresh = self.has_enough_reports(circle, now);
-        let mut sayings: Vec<OutgoingUpdate> = self.leave_hub(circle.hub).into_iter().collect();
-        let mut say = |to: &[SocketAddr], scope, words: Vec<InFlightUpdate>| {
-            let all = words.into_iter().map(|told| OutgoingUpdate {
+        self.domain.expire(now, |addr| neighbors.children.contains(addr));
+        self.remote
+            .expire(now, |addr| Some(*addr) == neighbors.hub || neighbors.hubs.contains(addr));
+        self.fresh = self.has_enough_reports(neighbors, now);
+        let mut updates: Vec<OutgoingUpdate> = self.leave_hub(neighbors.hub).into_iter().collect();
+        let mut send = |to: &[SocketAddr], scope, messages: Vec<InFlightUpdate>| {
+            let outgoing = messages.into_iter().map(|update| OutgoingUpdate {
                 to: to.to_vec(),
                 scope,
-                update: told,
+                update,
             });
-            sayings.extend(all.filter(|saying| !saying.to.is_empty()));
+            updates.extend(outgoing.filter(|update| !update.to.is_empty()));
         };
-        if let Some(head) = circle.hub {
-            say(&[head], ReportScope::Node, self.upward.next_updates(now, &own));
-            return sayings;
+        if let Some(hub) = neighbors.hub {
+            send(&[hub], ReportScope::Node, self.upward.next_updates(now, &own));
+            return updates;
         }
         let domain = add_reports(own, &self.domain);
-        say(&circle.hubs, ReportScope::Domain, self.upward.next_updates(now, &domain));
-        if !circle.children.is_empty() {
-            let all = add_reports(domain, &self.remote);
-            say(&circle.children, ReportScope::Global, self.downward.next_updates(now, &all));
+        send(&neighbors.hubs, ReportScope::Domain, self.upward.next_updates(now, &domain));
+        if !neighbors.children.is_empty() {
+            let global = add_reports(domain, &self.remote);
+            send(
+                &neighbors.children,
+                ReportScope::Global,
+                self.downward.next_updates(now, &global),
+            );
         }
-        sayings
+        updates
     }
 
     /// On a change of hub: clears the load that the previous hub counts for this node.
-    fn leave_hub(&mut self, head: Option<SocketAddr>) -> Option<OutgoingUpdate> {
-        let before = std::mem::replace(&mut self.hub, head);
-        if before == head {
+    fn leave_hub(&mut self, hub: Option<SocketAddr>) -> Option<OutgoingUpdate> {
+        let previous = std::mem::replace(&mut self.hub, hub);
+        if previous == hub {
             return None;
         }
         self.upward = UpdateTracker::default();
         self.downward = UpdateTracker::default();
-        let told = InFlightUpdate {
+        let update = InFlightUpdate {
             full_partition: Some(KeyPartition { part: 0, parts: 1 }),
             rows: Vec::new(),
         };
-        before.map(|before| OutgoingUpdate {
-            to: vec![before],
+        previous.map(|previous| OutgoingUpdate {
+            to: vec![previous],
             scope: ReportScope::Node,
-            update: told,
+            update,
         })
     }
 
-    fn has_enough_reports(&self, circle: &Neighbors, now: Millis) -> bool {
+    fn has_enough_reports(&self, neighbors: &Neighbors, now: Millis) -> bool {
         let heard = self.remote.active_within(REPORT_TTL, now) as f64;
-        let all = if circle.hub.is_some() { 1 } else { circle.hubs.len() };
+        let all = if neighbors.hub.is_some() { 1 } else { neighbors.hubs.len() };
         all > 0 && heard >= MIN_HUBS_RATIO * all as f64
     }
 
     /// Load that all other nodes have in flight at an engine.
     pub fn in_flight_elsewhere(&self, key: EngineKey) -> InFlightLoad {
-        let far = self.remote.sum(key);
+        let remote = self.remote.sum(key);
         // The hub's sum includes what this node reported to it.
-        let far = if self.hub.is_some() { far.minus(self.upward.last_sent(key)) } else { far };
-        far.plus(self.domain.sum(key))
+        let remote =
+            if self.hub.is_some() { remote.minus(self.upward.last_sent(key)) } else { remote };
+        remote.plus(self.domain.sum(key))
     }
 }
 
 fn add_reports(
-    mut flights: IndexMap<EngineKey, InFlightLoad>,
-    told: &PeerReports,
+    mut loads: IndexMap<EngineKey, InFlightLoad>,
+    reports: &PeerReports,
 ) -> IndexMap<EngineKey, InFlightLoad> {
-    for (key, flight) in told.sums() {
-        let sum = flights.entry(key).or_default();
-        *sum = sum.plus(flight);
+    for (key, load) in reports.sums() {
+        let sum = loads.entry(key).or_default();
+        *sum = sum.plus(load);
     }
-    flights
+    loads
 }
--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -150,15 +150,15 @@
 }
 
 impl Catalog {
-    /// Finds the route with the longest matching prefix for a host. `draw`, in `0..1`, selects the
+    /// Finds the route with the longest matching prefix for a host. `random`, in `0..1`, selects the
     /// service by weight.
-    pub fn find(&self, host: &str, path: &str, draw: f64) -> Option<RouteMatch<'_>> {
+    pub fn find(&self, host: &str, path: &str, random: f64) -> Option<RouteMatch<'_>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let of_host = self.routes.iter().filter(|r| r.host.eq_ignore_ascii_case(host));
-        let route = of_host
+        let host_routes = self.routes.iter().filter(|r| r.host.eq_ignore_ascii_case(host));
+        let route = host_routes
             .filter(|r| path.starts_with(r.prefix.as_str()))
             .max_by_key(|r| r.prefix.len())?;
-        Some(RouteMatch { route, service: route.target(draw)? })
+        Some(RouteMatch { route, service: route.target(random)? })
     }
 }
 
@@ -166,25 +166,25 @@
     /// Whether less urgent requests than these may go to the service. A customer's priority
     /// overrides the priority of a route.
     pub fn has_less_urgent(&self, service: &ServiceId, priority: u8) -> bool {
-        let leads_there =
+        let targets_service =
             |r: &&Route| r.targets.iter().any(|t| t.service == *service && t.weight > 0);
-        let mut routes = self.routes.iter().filter(leads_there);
+        let mut routes = self.routes.iter().filter(targets_service);
         let Some(customers) = &self.customers else {
             return routes.any(|r| r.priority > priority);
         };
-        let of =
+        let has_less_urgent_customer =
             |r: &Route| customers.all().any(|(_, c)| c.priority.unwrap_or(r.priority) > priority);
-        routes.any(|r| of(r) || r.is_public && r.priority > priority)
+        routes.any(|r| has_less_urgent_customer(r) || r.is_public && r.priority > priority)
     }
 }
 
 impl Route {
-    fn target(&self, draw: f64) -> Option<&ServiceId> {
+    fn target(&self, random: f64) -> Option<&ServiceId> {
         let sum: u32 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * f64::from(sum);
+        let mut remaining = random * f64::from(sum);
         for target in self.targets.iter().filter(|t| t.weight > 0) {
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 return Some(&target.service);
             }
         }
--- a/crates/direct/src/choice.rs
+++ b/crates/direct/src/choice.rs
@@ -123,108 +123,113 @@
 /// Chooses the engine with the lowest expected time to the first byte.
 pub fn choose_engine(
     engines: &Engines,
-    ask: &ChoiceParams<'_>,
+    params: &ChoiceParams<'_>,
     now: Millis,
 ) -> Result<Choice, NoEngine> {
-    let mut found = NoEngine::NoneAvailable;
+    let mut reason = NoEngine::NoneAvailable;
     let mut best: Option<((bool, bool), Choice)> = None;
-    let looked_at = random_threshold(engines, ask, now);
-    let tokens = ask.prompt.map_or(0, |p| p.prompt_tokens);
-    let home = ask.prompt.map(session_key);
-    let mean = mean_load(engines, ask.service, now);
-    let overstated = LazyCell::new(|| overstatement(engines, ask.service, now));
-    for engine in engines.of_service(ask.service).filter(|e| e.accepts_requests()) {
-        if found == NoEngine::NoneAvailable {
-            found = NoEngine::NotLoaded(MODEL_LOAD_RETRY);
+    let threshold = random_threshold(engines, params, now);
+    let prompt_tokens = params.prompt.map_or(0, |p| p.prompt_tokens);
+    let session = params.prompt.map(session_key);
+    let mean_load = mean_load(engines, params.service, now);
+    let overstatement = LazyCell::new(|| overstatement(engines, params.service, now));
+    for engine in engines.of_service(params.service).filter(|e| e.accepts_requests()) {
+        if reason == NoEngine::NoneAvailable {
+            reason = NoEngine::NotLoaded(MODEL_LOAD_RETRY);
         }
         // Another node probes an engine that is reported unreachable; it is not tried here.
-        let wanted = ask.prompt.and_then(|p| p.model_ref.as_ref());
-        if wanted.is_some_and(|w| !engine.has_loaded(w))
+        let model_ref = params.prompt.and_then(|p| p.model_ref.as_ref());
+        if model_ref.is_some_and(|m| !engine.has_loaded(m))
             || engine.health.is_reported_unreachable(now)
         {
             continue;
         }
         // An engine without a known load is assumed to have the mean load, not to be idle.
         let estimate =
-            engine.known_load(now).unwrap_or_else(|| mean.max(f64::from(engine.own_requests)));
-        let queue = if ask.has_precedence { QUEUE_SHARE_PRECEDENCE } else { QUEUE_SHARE };
-        let room = f64::from(engine.info.slots) * (1.0 + queue);
-        let is_full = estimate >= room && estimate / *overstated >= room;
-        if is_full || engine.own_requests >= ask.max_conns || ask.tried.contains(&engine.info.id) {
+            engine.known_load(now).unwrap_or_else(|| mean_load.max(f64::from(engine.own_requests)));
+        let queue_share = if params.has_precedence { QUEUE_SHARE_PRECEDENCE } else { QUEUE_SHARE };
+        let capacity = f64::from(engine.info.slots) * (1.0 + queue_share);
+        let is_full = estimate >= capacity && estimate / *overstatement >= capacity;
+        if is_full
+            || engine.own_requests >= params.max_conns
+            || params.tried.contains(&engine.info.id)
+        {
             let wait = Duration::from_millis(250);
-            found = NoEngine::Full(wait);
+            reason = NoEngine::Full(wait);
             continue;
         }
-        let cost = cost(engine, estimate, ask, home, now);
+        let cost = cost(engine, estimate, params, session, now);
         let choice = Choice { engine: engine.info.id.clone(), cost_ms: cost, estimate };
         // Each request considers some engines only, so that many nodes do not all choose the same
         // one.
-        let passed_over = engine_random(ask.random, &engine.info.id) > looked_at;
+        let not_considered = engine_random(params.random, &engine.info.id) > threshold;
         // Ejected engines are the last resort.
-        let alone = engine.health.is_ejected(now) || passed_over;
+        let last_resort = engine.health.is_ejected(now) || not_considered;
         // Engines whose streams would pause for too long rank after the others.
-        let pauses = ask.max_event_gap.is_some_and(|gap| {
-            tokens > 0
-                && engine.expected_pause_ms(tokens, now)
-                    > gap.as_secs_f64() * 1_000.0 * ask.weights.gap_share
+        let delays_streams = params.max_event_gap.is_some_and(|gap| {
+            prompt_tokens > 0
+                && engine.expected_pause_ms(prompt_tokens, now)
+                    > gap.as_secs_f64() * 1_000.0 * params.weights.gap_share
         });
-        let rank = (alone, pauses);
-        let better = best
+        let rank = (last_resort, delays_streams);
+        let is_better = best
             .as_ref()
             .is_none_or(|(best_rank, b)| (rank, choice.cost_ms) < (*best_rank, b.cost_ms));
-        if better {
+        if is_better {
             best = Some((rank, choice));
         }
     }
     match best {
-        Some(((false, true), _)) if ask.can_wait => Err(NoEngine::PrefillBusy),
+        Some(((false, true), _)) if params.can_wait => Err(NoEngine::PrefillBusy),
         Some((_, choice)) => Ok(choice),
-        None => Err(found),
+        None => Err(reason),
     }
 }
 
 /// The highest random number of the engines that this request considers.
-fn random_threshold(engines: &Engines, ask: &ChoiceParams<'_>, now: Millis) -> f64 {
-    if ask.nodes <= MAX_NODES_FULL_SCAN {
+fn random_threshold(engines: &Engines, params: &ChoiceParams<'_>, now: Millis) -> f64 {
+    if params.nodes <= MAX_NODES_FULL_SCAN {
         return 1.0;
     }
-    let wanted = ask.prompt.and_then(|p| p.model_ref.as_ref());
-    let copies = engines
-        .of_service(ask.service)
+    let model_ref = params.prompt.and_then(|p| p.model_ref.as_ref());
+    let candidates = engines
+        .of_service(params.service)
         .filter(|e| e.accepts_requests() && !e.health.is_reported_unreachable(now));
-    let copies = copies.filter(|e| wanted.is_none_or(|w| e.has_loaded(w)));
-    let mut draws: Vec<f64> = copies.map(|e| engine_random(ask.random, &e.info.id)).collect();
-    let most = ((draws.len() as f64 * CONSIDERED_SHARE).ceil() as usize).max(MIN_CONSIDERED);
-    if draws.len() <= most {
+    let candidates = candidates.filter(|e| model_ref.is_none_or(|m| e.has_loaded(m)));
+    let mut randoms: Vec<f64> =
+        candidates.map(|e| engine_random(params.random, &e.info.id)).collect();
+    let count = ((randoms.len() as f64 * CONSIDERED_SHARE).ceil() as usize).max(MIN_CONSIDERED);
+    if randoms.len() <= count {
         return 1.0;
     }
-    *draws.select_nth_unstable_by(most - 1, f64::total_cmp).1
+    *randoms.select_nth_unstable_by(count - 1, f64::total_cmp).1
 }
 
 fn cost(
     engine: &Engine,
     estimate: f64,
-    ask: &ChoiceParams<'_>,
-    home: Option<u64>,
+    params: &ChoiceParams<'_>,
+    session: Option<u64>,
     now: Millis,
 ) -> f64 {
     let slots = f64::from(engine.info.slots.max(1));
-    let policy = &ask.weights;
-    let batch = policy.full_batch_ms * (estimate / slots).min(1.0);
-    let queue = policy.queued_ms * ((estimate + 1.0 - slots).max(0.0) / slots);
-    let reading = policy.prefill_weight * engine.prefill_ms(now);
-    let domain = if engine.info.domain == ask.domain { 0.0 } else { policy.other_domain_ms };
-    let prefix = home.map_or(0.0, |key| policy.prefix_ms * rendezvous_rank(key, &engine.info.id));
-    let failing = policy.failure_ms * engine.health.failure_rate(now);
-    let cold = if engine.info.warmup_ms_left > 0 { policy.warmup_ms } else { 0.0 };
-    let chance = policy.random_ms * engine_random(ask.random, &engine.info.id);
-    batch + queue + reading + domain + prefix + failing + cold + chance
+    let weights = &params.weights;
+    let batch = weights.full_batch_ms * (estimate / slots).min(1.0);
+    let queue = weights.queued_ms * ((estimate + 1.0 - slots).max(0.0) / slots);
+    let prefill = weights.prefill_weight * engine.prefill_ms(now);
+    let domain = if engine.info.domain == params.domain { 0.0 } else { weights.other_domain_ms };
+    let prefix =
+        session.map_or(0.0, |key| weights.prefix_ms * rendezvous_rank(key, &engine.info.id));
+    let failure = weights.failure_ms * engine.health.failure_rate(now);
+    let warmup = if engine.info.warmup_ms_left > 0 { weights.warmup_ms } else { 0.0 };
+    let random = weights.random_ms * engine_random(params.random, &engine.info.id);
+    batch + queue + prefill + domain + prefix + failure + warmup + random
 }
 
 /// Mean of the loads that are known.
 fn mean_load(engines: &Engines, service: &ServiceId, now: Millis) -> f64 {
-    let known = engines.of_service(service).filter_map(|e| e.known_load(now));
-    let (count, sum) = known.fold((0_u32, 0.0), |(count, sum), load| (count + 1, sum + load));
+    let loads = engines.of_service(service).filter_map(|e| e.known_load(now));
+    let (count, sum) = loads.fold((0_u32, 0.0), |(count, sum), load| (count + 1, sum + load));
     if count == 0 { 0.0 } else { sum / f64::from(count) }
 }
 
@@ -235,14 +240,15 @@
         .of_service(service)
         .filter(|e| e.in_flight_elsewhere.is_some() && e.accepts_requests());
     let both = both.filter_map(|e| Some((e.known_load(now)?, e.recent_reported_load(now)?)));
-    let (known, told) = both.fold((0.0, 0.0), |(k, t), (known, told)| (k + known, t + told));
-    let by = known / f64::max(told, 1.0);
-    if by > MAX_OVERSTATEMENT { by } else { 1.0 }
+    let (known, reported) =
+        both.fold((0.0, 0.0), |(k, r), (known, reported)| (k + known, r + reported));
+    let factor = known / f64::max(reported, 1.0);
+    if factor > MAX_OVERSTATEMENT { factor } else { 1.0 }
 }
 
 /// Random number in `0..1` for one engine, derived from that of the request.
-fn engine_random(draw: f64, engine: &EngineId) -> f64 {
-    rendezvous_rank(draw.to_bits(), engine)
+fn engine_random(random: f64, engine: &EngineId) -> f64 {
+    rendezvous_rank(random.to_bits(), engine)
 }
 
 /// Identifies the prompts of one session, which share a prefix.
--- a/crates/direct/src/cursor.rs
+++ b/crates/direct/src/cursor.rs
@@ -131,8 +131,8 @@
     }
 
     /// Records that an era has lasted at least this long; returns whether it is new.
-    pub fn observe(&mut self, era: Era, lasted: Duration, now: Duration) -> bool {
-        let since = now.saturating_sub(lasted);
+    pub fn observe(&mut self, era: Era, min_age: Duration, now: Duration) -> bool {
+        let since = now.saturating_sub(min_age);
         let is_new = era > self.era;
         if is_new {
             *self = KnownEra { era, since };
--- a/crates/direct/src/customer.rs
+++ b/crates/direct/src/customer.rs
@@ -103,16 +103,16 @@
 
     /// Identifies the sender of a request. An unknown key is rejected on open routes too, as it may
     /// have been revoked.
-    pub fn identify(&self, shown: &Credentials, is_open: bool) -> CallerIdentity<'_> {
-        match shown {
+    pub fn identify(&self, credentials: &Credentials, is_public: bool) -> CallerIdentity<'_> {
+        match credentials {
             Credentials::Key(key) => {
                 let name = self.keys.get(key);
-                let known = name.and_then(|name| self.all.get_key_value(name));
-                known.map_or(CallerIdentity::Unauthorized, |(name, customer)| {
+                let customer = name.and_then(|name| self.all.get_key_value(name));
+                customer.map_or(CallerIdentity::Unauthorized, |(name, customer)| {
                     CallerIdentity::Customer(name, customer)
                 })
             }
-            Credentials::None if is_open => CallerIdentity::Anonymous,
+            Credentials::None if is_public => CallerIdentity::Anonymous,
             Credentials::None | Credentials::Invalid => CallerIdentity::Unauthorized,
         }
     }
--- a/crates/direct/src/deadline.rs
+++ b/crates/direct/src/deadline.rs
@@ -17,7 +17,7 @@
     /// Time left, given the time elapsed on the monotonic clock and on the clock that includes
     /// suspension. Prevents requests from being sent after the VM was suspended beyond their
     /// deadline.
-    pub fn remaining(self, steady: Duration, with_suspension: Duration) -> Duration {
-        self.timeout.saturating_sub(steady.max(with_suspension))
+    pub fn remaining(self, monotonic: Duration, with_suspension: Duration) -> Duration {
+        self.timeout.saturating_sub(monotonic.max(with_suspension))
     }
 }
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -64,16 +64,16 @@
 
 impl Demand {
     /// Counts requests.
-    pub fn record(&mut self, now: Millis, wanted: &ModelRef, count: f64) {
+    pub fn record(&mut self, now: Millis, model_ref: &ModelRef, count: f64) {
         self.since.get_or_insert(now);
         self.expire_names(now);
-        if !self.models.contains_key(&wanted.model) {
-            self.models.insert(wanted.model.clone(), Rate::default());
+        if !self.models.contains_key(&model_ref.model) {
+            self.models.insert(model_ref.model.clone(), Rate::default());
         }
-        if !self.model_refs.contains_key(wanted) {
-            self.model_refs.insert(wanted.clone(), Rate::default());
+        if !self.model_refs.contains_key(model_ref) {
+            self.model_refs.insert(model_ref.clone(), Rate::default());
         }
-        let rates = [self.models.get_mut(&wanted.model), self.model_refs.get_mut(wanted)];
+        let rates = [self.models.get_mut(&model_ref.model), self.model_refs.get_mut(model_ref)];
         for rate in rates.into_iter().flatten() {
             rate.record(now, count);
         }
@@ -104,7 +104,7 @@
     /// The counts of the most requested models.
     pub fn snapshot(&self, now: Millis) -> Vec<DemandSnapshot> {
         let models = self.models.iter().filter(|(_, rate)| rate.slow(now) >= MIN_RATE);
-        let mut past: Vec<DemandSnapshot> = models
+        let mut snapshots: Vec<DemandSnapshot> = models
             .map(|(model, rate)| {
                 let age = now.saturating_sub(rate.updated_at);
                 let (fast, slow) = (
@@ -114,15 +114,15 @@
                 DemandSnapshot { model: model.clone(), fast, slow }
             })
             .collect();
-        past.sort_by(|a, b| b.slow.total_cmp(&a.slow));
-        past.truncate(MAX_SNAPSHOT_MODELS);
-        past
+        snapshots.sort_by(|a, b| b.slow.total_cmp(&a.slow));
+        snapshots.truncate(MAX_SNAPSHOT_MODELS);
+        snapshots
     }
 
     /// Adds the counts of another node, which has counted since `since`.
-    pub fn merge(&mut self, now: Millis, since: Option<Millis>, past: &[DemandSnapshot]) {
+    pub fn merge(&mut self, now: Millis, since: Option<Millis>, snapshots: &[DemandSnapshot]) {
         self.since = self.since.into_iter().chain(since).min();
-        for DemandSnapshot { model, fast, slow } in past {
+        for DemandSnapshot { model, fast, slow } in snapshots {
             let rate = self.models.entry(model.clone()).or_default();
             rate.record(now, 0.0);
             rate.fast += fast;
@@ -131,26 +131,26 @@
     }
 
     /// Records that a request waits for it now; the request itself is counted by [`Demand::record`].
-    pub fn mark_requested(&mut self, now: Millis, wanted: &ModelRef) {
-        self.model_refs.entry(wanted.clone()).or_default().last_requested = now;
+    pub fn mark_requested(&mut self, now: Millis, model_ref: &ModelRef) {
+        self.model_refs.entry(model_ref.clone()).or_default().last_requested = now;
     }
 
     /// Recent requests per second for exactly this model or adapter.
-    pub fn rate(&self, now: Millis, wanted: &ModelRef) -> f64 {
-        self.model_refs.get(wanted).map_or(0.0, |rate| rate.slow(now))
+    pub fn rate(&self, now: Millis, model_ref: &ModelRef) -> f64 {
+        self.model_refs.get(model_ref).map_or(0.0, |rate| rate.slow(now))
     }
 
     /// When exactly this model or adapter was last requested.
-    pub fn last_requested(&self, wanted: &ModelRef) -> Option<Millis> {
-        self.model_refs.get(wanted).map(|rate| rate.last_requested)
+    pub fn last_requested(&self, model_ref: &ModelRef) -> Option<Millis> {
+        self.model_refs.get(model_ref).map(|rate| rate.last_requested)
     }
 
     /// The rates of everything that is being requested.
     pub fn rates(&self, now: Millis) -> Rates {
         let models = self.models.iter().map(|(model, rate)| (model.clone(), rate.expected(now)));
         let recent = self.models.iter().map(|(model, rate)| (model.clone(), rate.slow(now)));
-        let adapters = self.model_refs.iter().filter(|(wanted, _)| wanted.adapter.is_some());
-        let adapters = adapters.map(|(wanted, rate)| (wanted.clone(), rate.slow(now)));
+        let adapters = self.model_refs.iter().filter(|(model_ref, _)| model_ref.adapter.is_some());
+        let adapters = adapters.map(|(model_ref, rate)| (model_ref.clone(), rate.slow(now)));
         Rates {
             models: models.filter(|(_, rate)| *rate >= MIN_RATE).collect(),
             recent: recent.filter(|(_, rate)| *rate >= MIN_RATE).collect(),
@@ -189,8 +189,8 @@
     }
 }
 
-fn per_second(weight: f64, age: Millis, half_life: f64) -> f64 {
-    weight * decay(age, half_life) * std::f64::consts::LN_2 * 1000.0 / half_life
+fn per_second(average: f64, age: Millis, half_life: f64) -> f64 {
+    average * decay(age, half_life) * std::f64::consts::LN_2 * 1000.0 / half_life
 }
 
 fn decay(age: Millis, half_life: f64) -> f64 {
--- a/crates/direct/src/engine.rs
+++ b/crates/direct/src/engine.rs
@@ -123,16 +123,16 @@
 /// Time after which a reported load is outdated.
 const REPORT_TTL: Millis = 2_000;
 
-pub(crate) fn is_leaving(listed: &EngineInfo) -> bool {
-    matches!(listed.state, EngineState::Leaving { .. })
+pub(crate) fn is_leaving(info: &EngineInfo) -> bool {
+    matches!(info.state, EngineState::Leaving { .. })
 }
 
 impl Engine {
-    pub fn new(listed: EngineInfo) -> Engine {
+    pub fn new(info: EngineInfo) -> Engine {
         Engine {
-            key: EngineKey::of(&listed.id, listed.started_at),
-            is_leaving: is_leaving(&listed),
-            info: listed,
+            key: EngineKey::of(&info.id, info.started_at),
+            is_leaving: is_leaving(&info),
+            info,
             health: HealthTracker::default(),
             own_requests: 0,
             in_flight_elsewhere: None,
@@ -148,13 +148,13 @@
     }
 
     /// Replaces its list entry.
-    pub(crate) fn set_info(&mut self, listed: EngineInfo) {
-        if listed.started_at != self.info.started_at {
-            self.key = EngineKey::of(&listed.id, listed.started_at);
+    pub(crate) fn set_info(&mut self, info: EngineInfo) {
+        if info.started_at != self.info.started_at {
+            self.key = EngineKey::of(&info.id, info.started_at);
         }
-        let leaves = self.is_leaving || is_leaving(&listed);
-        self.info = listed;
-        if leaves {
+        let is_leaving = self.is_leaving || is_leaving(&info);
+        self.info = info;
+        if is_leaving {
             self.mark_leaving();
         }
     }
@@ -180,20 +180,21 @@
     /// Estimated number of requests there, if known: from the reports of all nodes, else from its
     /// own report.
     pub fn known_load(&self, now: Millis) -> Option<f64> {
-        if let Some(elsewhere) = self.in_flight_elsewhere {
-            return Some(f64::from(elsewhere.requests) + f64::from(self.own_requests));
+        if let Some(others) = self.in_flight_elsewhere {
+            return Some(f64::from(others.requests) + f64::from(self.own_requests));
         }
         self.recent_reported_load(now)
     }
 
     /// Its recently reported load, adjusted by the change in this node's own requests since.
     pub fn recent_reported_load(&self, now: Millis) -> Option<f64> {
-        let (load, at, own) =
-            self.reported_load.filter(|(_, at, _)| now.saturating_sub(*at) < REPORT_TTL)?;
-        debug_assert!(at <= now);
-        let told = f64::from(load.running + load.waiting);
+        let (load, reported_at, own_then) = self
+            .reported_load
+            .filter(|(_, reported_at, _)| now.saturating_sub(*reported_at) < REPORT_TTL)?;
+        debug_assert!(reported_at <= now);
+        let reported = f64::from(load.running + load.waiting);
         Some(
-            (told + f64::from(self.own_requests) - f64::from(own))
+            (reported + f64::from(self.own_requests) - f64::from(own_then))
                 .max(f64::from(self.own_requests)),
         )
     }
@@ -209,85 +210,86 @@
     }
 
     fn prefill_tokens(&self, now: Millis) -> u32 {
-        let elsewhere = self.in_flight_elsewhere.map_or(0, |flight| flight.tokens);
-        self.prefill_backlog.tokens(now).saturating_add(elsewhere)
+        let others = self.in_flight_elsewhere.map_or(0, |load| load.tokens);
+        self.prefill_backlog.tokens(now).saturating_add(others)
     }
 
     /// Longest expected pause of the streams that run there, in milliseconds, if it is sent a
     /// prompt of this many tokens now. 0 if no stream runs there, or if it has no other prefill, as
     /// waiting would not help then.
     pub fn expected_pause_ms(&self, tokens: u32, now: Millis) -> f64 {
-        let elsewhere = self.in_flight_elsewhere.map_or(0, |flight| flight.prompts);
-        let reads = self.prefill_backlog.count(now) + elsewhere as usize;
-        let unread = self.prefill_tokens(now);
-        if unread == 0 || self.estimate(now) <= reads as f64 {
+        let others = self.in_flight_elsewhere.map_or(0, |load| load.prompts);
+        let prompts = self.prefill_backlog.count(now) + others as usize;
+        let pending_tokens = self.prefill_tokens(now);
+        if pending_tokens == 0 || self.estimate(now) <= prompts as f64 {
             return 0.0;
         }
-        self.prefill_rate.estimate_ms(unread.saturating_add(tokens)) + self.event_interval_ms
+        self.prefill_rate.estimate_ms(pending_tokens.saturating_add(tokens))
+            + self.event_interval_ms
     }
 
     /// Records the mean time between the events of a complete stream.
     pub fn record_event_interval(&mut self, mean_ms: f64) {
-        let before = if self.event_interval_ms == 0.0 { mean_ms } else { self.event_interval_ms };
-        self.event_interval_ms = before + EVENT_INTERVAL_WEIGHT * (mean_ms - before);
+        let previous = if self.event_interval_ms == 0.0 { mean_ms } else { self.event_interval_ms };
+        self.event_interval_ms = previous + EVENT_INTERVAL_WEIGHT * (mean_ms - previous);
     }
 
     /// Records a load that another node received, unless a newer one is known.
-    pub fn record_peer_load(&mut self, load: Load, at: Millis) {
-        if self.reported_load.is_none_or(|(_, known, _)| known < at) {
-            self.reported_load = Some((load, at, self.own_requests));
+    pub fn record_peer_load(&mut self, load: Load, reported_at: Millis) {
+        if self.reported_load.is_none_or(|(_, known_at, _)| known_at < reported_at) {
+            self.reported_load = Some((load, reported_at, self.own_requests));
         }
     }
 
     /// Whether it has loaded the model, and the adapter if one is given.
-    pub fn has_loaded(&self, wanted: &ModelRef) -> bool {
-        let held = self.info.loaded.iter().find(|h| h.model == wanted.model);
-        held.is_some_and(|h| match &wanted.adapter {
-            Some(adapter) => h.adapters.contains(adapter),
+    pub fn has_loaded(&self, model_ref: &ModelRef) -> bool {
+        let loaded = self.info.loaded.iter().find(|l| l.model == model_ref.model);
+        loaded.is_some_and(|l| match &model_ref.adapter {
+            Some(adapter) => l.adapters.contains(adapter),
             None => true,
         })
     }
 
     pub fn has_model(&self, model: &str) -> bool {
-        self.info.loaded.iter().any(|h| h.model == model)
+        self.info.loaded.iter().any(|l| l.model == model)
     }
 
     /// Removes a model or adapter that the engine reported as not loaded.
-    pub fn remove_loaded(&mut self, wanted: &ModelRef) {
-        match &wanted.adapter {
-            None => self.info.loaded.retain(|h| h.model != wanted.model),
+    pub fn remove_loaded(&mut self, model_ref: &ModelRef) {
+        match &model_ref.adapter {
+            None => self.info.loaded.retain(|l| l.model != model_ref.model),
             Some(adapter) => {
-                for held in self.info.loaded.iter_mut().filter(|h| h.model == wanted.model) {
-                    held.adapters.retain(|a| a != adapter);
+                for loaded in self.info.loaded.iter_mut().filter(|l| l.model == model_ref.model) {
+                    loaded.adapters.retain(|a| a != adapter);
                 }
             }
         }
     }
 
     /// Records that it was, or may have been, ordered to load an adapter.
-    pub fn expect_adapter(&mut self, wanted: &ModelRef) {
-        if !self.loading_adapters.contains(wanted) {
-            self.loading_adapters.push(wanted.clone());
+    pub fn expect_adapter(&mut self, model_ref: &ModelRef) {
+        if !self.loading_adapters.contains(model_ref) {
+            self.loading_adapters.push(model_ref.clone());
         }
     }
 
     /// Adapter slots that are, or may be, in use.
     pub fn adapter_slots_used(&self) -> usize {
-        let held: usize = self.info.loaded.iter().map(|h| h.adapters.len()).sum();
-        held + self.loading_adapters.iter().filter(|w| !self.has_loaded(w)).count()
+        let loaded: usize = self.info.loaded.iter().map(|l| l.adapters.len()).sum();
+        loaded + self.loading_adapters.iter().filter(|m| !self.has_loaded(m)).count()
     }
 
-    pub fn add_loaded(&mut self, wanted: &ModelRef) {
-        self.loading_adapters.retain(|w| w != wanted);
-        let at = self.info.loaded.iter().position(|h| h.model == wanted.model);
-        let at = at.unwrap_or_else(|| {
+    pub fn add_loaded(&mut self, model_ref: &ModelRef) {
+        self.loading_adapters.retain(|m| m != model_ref);
+        let index = self.info.loaded.iter().position(|l| l.model == model_ref.model);
+        let index = index.unwrap_or_else(|| {
             self.info
                 .loaded
-                .push(LoadedModel { model: wanted.model.clone(), adapters: Vec::new() });
+                .push(LoadedModel { model: model_ref.model.clone(), adapters: Vec::new() });
             self.info.loaded.len() - 1
         });
-        if let Some(adapter) = &wanted.adapter {
-            let adapters = &mut self.info.loaded[at].adapters;
+        if let Some(adapter) = &model_ref.adapter {
+            let adapters = &mut self.info.loaded[index].adapters;
             if !adapters.contains(adapter) {
                 adapters.push(adapter.clone());
             }
--- a/crates/direct/src/engines.rs
+++ b/crates/direct/src/engines.rs
@@ -67,41 +67,41 @@
 
     /// Applies an engine's list entry. An entry of an earlier incarnation or an earlier position is
     /// ignored; one of a later incarnation replaces everything known about the engine.
-    pub fn upsert(&mut self, mut listed: EngineInfo) {
-        let Some(engine) = self.by_id.get_mut(&listed.id) else {
-            self.insert_unknown(listed);
+    pub fn upsert(&mut self, mut info: EngineInfo) {
+        let Some(engine) = self.by_id.get_mut(&info.id) else {
+            self.insert_unknown(info);
             return;
         };
-        let known = engine.info.started_at;
-        if listed.started_at.is_before(known) {
+        let known_start = engine.info.started_at;
+        if info.started_at.is_before(known_start) {
             return;
         }
-        if known.is_before(listed.started_at) {
-            self.replace_incarnation(listed);
-        } else if listed.position >= engine.info.position {
+        if known_start.is_before(info.started_at) {
+            self.replace_incarnation(info);
+        } else if info.position >= engine.info.position {
             // An entry without a start time is taken to be of the known incarnation.
-            listed.started_at = listed.started_at.max(known);
-            if listed.started_at != known {
+            info.started_at = info.started_at.max(known_start);
+            if info.started_at != known_start {
                 self.by_key.swap_remove(&engine.key());
-                self.by_key.insert(EngineKey::of(&listed.id, listed.started_at), listed.id.clone());
+                self.by_key.insert(EngineKey::of(&info.id, info.started_at), info.id.clone());
             }
-            engine.set_info(listed);
-        } else if is_leaving(&listed) {
+            engine.set_info(info);
+        } else if is_leaving(&info) {
             engine.mark_leaving();
         }
     }
 
-    fn insert_unknown(&mut self, listed: EngineInfo) {
-        if self.is_outdated(&listed) {
-            if let Some(gone) = self.removed.get_mut(&listed.id) {
-                gone.was_leaving |= is_leaving(&listed);
+    fn insert_unknown(&mut self, info: EngineInfo) {
+        if self.is_outdated(&info) {
+            if let Some(removed) = self.removed.get_mut(&info.id) {
+                removed.was_leaving |= is_leaving(&info);
             }
             return;
         }
-        let gone = self.removed.shift_remove(&listed.id);
-        let mut engine = Engine::new(listed);
-        if gone.is_some_and(|gone| {
-            gone.was_leaving && !gone.started_at.is_before(engine.info.started_at)
+        let removed = self.removed.shift_remove(&info.id);
+        let mut engine = Engine::new(info);
+        if removed.is_some_and(|removed| {
+            removed.was_leaving && !removed.started_at.is_before(engine.info.started_at)
         }) {
             engine.mark_leaving();
         }
@@ -111,18 +111,20 @@
     /// Whether the entry belongs to a removed engine and is not newer than the removal. In a later
     /// era only entries written in that era are newer: the backup may contain engines that have
     /// left since.
-    fn is_outdated(&self, listed: &EngineInfo) -> bool {
-        let Some(gone) = self.removed.get(&listed.id) else { return false };
-        if gone.started_at.is_before(listed.started_at) {
+    fn is_outdated(&self, info: &EngineInfo) -> bool {
+        let Some(removed) = self.removed.get(&info.id) else { return false };
+        if removed.started_at.is_before(info.started_at) {
             return false;
         }
-        listed.position <= gone.position
-            || (listed.position.era > gone.position.era && self.is_from_backup(listed.position))
+        info.position <= removed.position
+            || (info.position.era > removed.position.era && self.is_from_backup(info.position))
     }
 
     /// Whether an entry at this position may come from the backup that the store was restored from.
-    pub fn is_from_backup(&self, at: Cursor) -> bool {
-        at.era > Era::FIRST && at.era == self.backup_end.era && at < self.backup_end
+    pub fn is_from_backup(&self, position: Cursor) -> bool {
+        position.era > Era::FIRST
+            && position.era == self.backup_end.era
+            && position < self.backup_end
     }
 
     /// Position at which that backup ends, as far as known.
@@ -142,7 +144,7 @@
 
     /// Position at which a removed engine was removed.
     pub fn removed_at(&self, id: &EngineId) -> Option<Cursor> {
-        self.removed.get(id).map(|gone| gone.position)
+        self.removed.get(id).map(|removed| removed.position)
     }
 
     fn insert(&mut self, engine: Engine) {
@@ -151,26 +153,25 @@
         self.by_id.insert(id, engine);
     }
 
-    fn replace_incarnation(&mut self, listed: EngineInfo) {
-        if let Some(before) = self.by_id.get(&listed.id) {
-            self.restarted.push(before.info.addr);
-            self.by_key.swap_remove(&before.key());
+    fn replace_incarnation(&mut self, info: EngineInfo) {
+        if let Some(previous) = self.by_id.get(&info.id) {
+            self.restarted.push(previous.info.addr);
+            self.by_key.swap_remove(&previous.key());
         }
-        self.insert(Engine::new(listed));
+        self.insert(Engine::new(info));
     }
 
     /// Returns the engine if a report about this start time applies to its current incarnation. A
     /// later start time discards everything known about the earlier incarnation.
     pub fn observe_start(&mut self, id: &EngineId, start: StartTime) -> Option<&mut Engine> {
         let engine = self.by_id.get(id)?;
-        let known = engine.info.started_at;
-        if start.is_before(known) {
+        let known_start = engine.info.started_at;
+        if start.is_before(known_start) {
             return None;
         }
-        if known.is_before(start) {
-            let listed =
-                EngineInfo { started_at: start, loaded: Vec::new(), ..engine.info.clone() };
-            self.replace_incarnation(listed);
+        if known_start.is_before(start) {
+            let info = EngineInfo { started_at: start, loaded: Vec::new(), ..engine.info.clone() };
+            self.replace_incarnation(info);
         }
         self.by_id.get_mut(id)
     }
@@ -181,48 +182,50 @@
     }
 
     /// Marks an engine whose entry cannot be parsed.
-    pub fn mark_unreadable(&mut self, id: &EngineId, at: Cursor) {
-        if let Some(engine) = self.by_id.get_mut(id).filter(|engine| at >= engine.info.position) {
+    pub fn mark_unreadable(&mut self, id: &EngineId, position: Cursor) {
+        if let Some(engine) =
+            self.by_id.get_mut(id).filter(|engine| position >= engine.info.position)
+        {
             engine.info.state = EngineState::Unreadable;
-            engine.info.position = at;
+            engine.info.position = position;
         }
     }
 
     /// Removes an engine whose entry was removed at this position.
-    pub fn remove(&mut self, id: &EngineId, at: Cursor) {
-        if self.by_id.get(id).is_some_and(|engine| engine.info.position > at) {
+    pub fn remove(&mut self, id: &EngineId, position: Cursor) {
+        if self.by_id.get(id).is_some_and(|engine| engine.info.position > position) {
             return;
         }
-        let known = self.removed.get(id).copied().unwrap_or_default();
-        let mut gone = Removed { position: known.position.max(at), ..known };
+        let previous = self.removed.get(id).copied().unwrap_or_default();
+        let mut removed = Removed { position: previous.position.max(position), ..previous };
         if let Some(engine) = self.by_id.shift_remove(id) {
             self.by_key.swap_remove(&engine.key());
-            gone = Removed {
+            removed = Removed {
                 started_at: engine.info.started_at,
                 was_leaving: engine.is_leaving(),
-                ..gone
+                ..removed
             };
         }
-        self.removed.insert(id.clone(), gone);
+        self.removed.insert(id.clone(), removed);
         if self.removed.len() > MAX_REMOVED {
             self.removed.drain(..MAX_REMOVED / 2);
         }
     }
 
     /// Applies a complete list that extends to `end`. Engines that it does not contain are removed,
-    /// unless `keep` is set: entries that expired during a store outage return with the next
+    /// unless `keep_missing` is set: entries that expired during a store outage return with the next
     /// heartbeat.
-    pub fn apply_snapshot(&mut self, listed: Vec<EngineInfo>, end: Cursor, keep: bool) {
-        if !keep {
-            let named: IndexSet<&EngineId> = listed.iter().map(|l| &l.id).collect();
-            let missing = self.by_id.keys().filter(|id| !named.contains(id));
+    pub fn apply_snapshot(&mut self, infos: Vec<EngineInfo>, end: Cursor, keep_missing: bool) {
+        if !keep_missing {
+            let listed_ids: IndexSet<&EngineId> = infos.iter().map(|info| &info.id).collect();
+            let missing = self.by_id.keys().filter(|id| !listed_ids.contains(id));
             let missing: Vec<EngineId> = missing.cloned().collect();
             for id in missing {
                 self.remove(&id, end);
             }
         }
-        for listed in listed {
-            self.upsert(listed);
+        for info in infos {
+            self.upsert(info);
         }
     }
 }
--- a/crates/direct/src/freshness.rs
+++ b/crates/direct/src/freshness.rs
@@ -26,25 +26,25 @@
 }
 
 impl FreshnessProof {
-    pub fn record(&mut self, seen: VersionCheck) {
-        self.checks.retain(|known| known.newest != seen.newest || known.asked_at > seen.asked_at);
-        if !self.checks.iter().any(|known| known.newest == seen.newest) {
-            self.checks.push(seen);
+    pub fn record(&mut self, check: VersionCheck) {
+        self.checks.retain(|other| other.newest != check.newest || other.asked_at > check.asked_at);
+        if !self.checks.iter().any(|other| other.newest == check.newest) {
+            self.checks.push(check);
         }
         if self.checks.len() > MAX_CHECKS {
-            self.checks.sort_unstable_by_key(|seen| seen.newest);
+            self.checks.sort_unstable_by_key(|check| check.newest);
             self.checks.remove(0);
         }
     }
 
     /// The latest observation that `version` was the newest.
     pub fn latest_check(&self, version: u64) -> Option<VersionCheck> {
-        let known = self.checks.iter().filter(|seen| seen.newest <= version);
-        known.max_by_key(|seen| seen.asked_at).copied()
+        let checks = self.checks.iter().filter(|check| check.newest <= version);
+        checks.max_by_key(|check| check.asked_at).copied()
     }
 
     /// Time since `version` was last known to be the newest.
     pub fn age(&self, version: u64, now: Duration) -> Option<Duration> {
-        self.latest_check(version).map(|seen| now.saturating_sub(seen.asked_at))
+        self.latest_check(version).map(|check| now.saturating_sub(check.asked_at))
     }
 }
--- a/crates/direct/src/health.rs
+++ b/crates/direct/src/health.rs
@@ -64,9 +64,9 @@
 
 impl HealthTracker {
     /// Records an outcome; returns the health state if it changed.
-    pub fn record(&mut self, now: Millis, verdict: AttemptOutcome) -> Option<Health> {
+    pub fn record(&mut self, now: Millis, outcome: AttemptOutcome) -> Option<Health> {
         self.decay(now);
-        match verdict {
+        match outcome {
             AttemptOutcome::Success => {
                 self.successes += 1.0;
                 self.consecutive_unreachable = 0;
@@ -77,14 +77,14 @@
             AttemptOutcome::Failed => self.failures += 1.0,
             AttemptOutcome::Unreachable => {
                 self.failures += 1.0;
-                let pause = INITIAL_EJECTION << self.consecutive_unreachable.min(3);
+                let ejection = INITIAL_EJECTION << self.consecutive_unreachable.min(3);
                 self.consecutive_unreachable += 1;
-                self.ejected_until = now + pause.min(MAX_EJECTION);
+                self.ejected_until = now + ejection.min(MAX_EJECTION);
             }
         }
-        let opinion = self.health(now);
-        let before = std::mem::replace(&mut self.health, opinion);
-        (opinion != before).then_some(opinion)
+        let health = self.health(now);
+        let previous = std::mem::replace(&mut self.health, health);
+        (health != previous).then_some(health)
     }
 
     pub fn health(&self, now: Millis) -> Health {
@@ -117,8 +117,8 @@
 
     /// Expected failure rate.
     pub fn failure_rate(&self, now: Millis) -> f64 {
-        let keep = decay(now.saturating_sub(self.updated_at));
-        self.failures * keep / (PRIOR_SUCCESSES + (self.successes + self.failures) * keep)
+        let factor = decay(now.saturating_sub(self.updated_at));
+        self.failures * factor / (PRIOR_SUCCESSES + (self.successes + self.failures) * factor)
     }
 
     /// Whether the engine gets no requests now, as it could not be reached.
@@ -128,14 +128,15 @@
 
     /// Whether the latest attempt to reach the engine failed.
     pub fn is_unreachable(&self, now: Millis) -> bool {
-        let silent = self.consecutive_unreachable > 0 && now < self.ejected_until + UNREACHABLE_TTL;
-        silent || self.is_reported_unreachable(now)
+        let failed_own_attempts =
+            self.consecutive_unreachable > 0 && now < self.ejected_until + UNREACHABLE_TTL;
+        failed_own_attempts || self.is_reported_unreachable(now)
     }
 
     fn decay(&mut self, now: Millis) {
-        let keep = decay(now.saturating_sub(self.updated_at));
-        self.successes *= keep;
-        self.failures *= keep;
+        let factor = decay(now.saturating_sub(self.updated_at));
+        self.successes *= factor;
+        self.failures *= factor;
         self.updated_at = now;
     }
 }
--- a/crates/direct/src/hubs.rs
+++ b/crates/direct/src/hubs.rs
@@ -55,15 +55,16 @@
 ///
 /// The order depends on the list of members only, so that all nodes agree without communication.
 pub fn candidates(members: &[Member], domain: &str) -> Vec<Member> {
-    let mut own: Vec<&Member> = members.iter().filter(|m| m.domain == domain).collect();
-    if own.len() < MIN_NODES {
+    let mut in_domain: Vec<&Member> = members.iter().filter(|m| m.domain == domain).collect();
+    if in_domain.len() < MIN_NODES {
         return Vec::new();
     }
-    let largest = own.iter().map(|m| m.cpu_share).fold(0.0, f64::max);
-    own.retain(|m| m.cpu_share >= MIN_CPU_RATIO * largest);
-    let key = |m: &Member| xxh3_64(m.node.as_bytes());
-    own.sort_by(|a, b| b.cpu_share.total_cmp(&a.cpu_share).then(key(a).cmp(&key(b))));
-    own.into_iter().take(MAX_CANDIDATES).cloned().collect()
+    let largest = in_domain.iter().map(|m| m.cpu_share).fold(0.0, f64::max);
+    in_domain.retain(|m| m.cpu_share >= MIN_CPU_RATIO * largest);
+    let name_hash = |m: &Member| xxh3_64(m.node.as_bytes());
+    in_domain
+        .sort_by(|a, b| b.cpu_share.total_cmp(&a.cpu_share).then(name_hash(a).cmp(&name_hash(b))));
+    in_domain.into_iter().take(MAX_CANDIDATES).cloned().collect()
 }
 
 /// The node that is asked for updates.
@@ -98,31 +99,32 @@
     }
 
     /// Skips a candidate or the leader for a while.
-    pub fn skip(&mut self, addr: SocketAddr, why: SkipReason, now: Millis) {
+    pub fn skip(&mut self, addr: SocketAddr, reason: SkipReason, now: Millis) {
         self.skipped.retain(|_, (_, until)| now < *until);
-        let time = match why {
+        let time = match reason {
             SkipReason::Unresponsive => UNRESPONSIVE_SKIP,
             SkipReason::Stale => STALE_SKIP,
         };
-        self.skipped.insert(addr, (why, now + time));
+        self.skipped.insert(addr, (reason, now + time));
     }
 
-    /// The node that the node at `me` asks, with the leader at `holder`.
+    /// The node that the node at `me` asks, with the leader at `leader`.
     ///
     /// If all candidates are outdated the leader is asked, as the store may refuse a whole domain.
     /// If the leader is outdated too, the store is down for all nodes, and the first candidate that
     /// answers is asked.
-    pub fn parent(&self, me: SocketAddr, holder: Option<SocketAddr>, now: Millis) -> Parent {
-        let others = || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != holder);
+    pub fn parent(&self, me: SocketAddr, leader: Option<SocketAddr>, now: Millis) -> Parent {
+        let candidates =
+            || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != leader);
         let state = |addr: &SocketAddr| {
-            let (why, until) = self.skipped.get(addr)?;
-            (now < *until).then_some(*why)
+            let (reason, until) = self.skipped.get(addr)?;
+            (now < *until).then_some(*reason)
         };
-        let first = others().find(|addr| *addr == me || state(addr).is_none());
-        let holder_knows = holder.is_some_and(|holder| state(&holder).is_none());
-        let answers = || others().find(|addr| state(addr) == Some(SkipReason::Stale));
-        let asked = first.or_else(|| if holder_knows { None } else { answers() });
-        match asked {
+        let first = candidates().find(|addr| *addr == me || state(addr).is_none());
+        let leader_is_current = leader.is_some_and(|leader| state(&leader).is_none());
+        let stale = || candidates().find(|addr| state(addr) == Some(SkipReason::Stale));
+        let hub = first.or_else(|| if leader_is_current { None } else { stale() });
+        match hub {
             Some(addr) if addr != me => Parent::Hub(addr),
             _ => Parent::Leader,
         }
@@ -132,8 +134,8 @@
 /// Factor by which a node extends its poll interval if its parent has this many children, with this
 /// many nodes in total.
 pub fn poll_interval_factor(children: u32, nodes: u32) -> u32 {
-    let of_all = nodes.div_ceil(CHILDREN_PER_STEP).min(MAX_FACTOR_BY_NODES);
-    children.div_ceil(CHILDREN_PER_STEP).max(of_all).clamp(1, MAX_INTERVAL_FACTOR)
+    let by_nodes = nodes.div_ceil(CHILDREN_PER_STEP).min(MAX_FACTOR_BY_NODES);
+    children.div_ceil(CHILDREN_PER_STEP).max(by_nodes).clamp(1, MAX_INTERVAL_FACTOR)
 }
 
 /// Hash by which two nodes detect that they know the same candidates.
--- a/crates/direct/src/in_flight.rs
+++ b/crates/direct/src/in_flight.rs
@@ -19,8 +19,8 @@
 pub struct EngineKey(u32);
 
 impl EngineKey {
-    pub fn of(engine: &EngineId, start: StartTime) -> EngineKey {
-        let mut bytes = start.0.unwrap_or_default().to_le_bytes().to_vec();
+    pub fn of(engine: &EngineId, started_at: StartTime) -> EngineKey {
+        let mut bytes = started_at.0.unwrap_or_default().to_le_bytes().to_vec();
         bytes.extend_from_slice(engine.0.as_bytes());
         EngineKey((xxh3_64(&bytes) & u64::from(u32::MAX)) as u32)
     }
@@ -64,8 +64,8 @@
 pub struct InFlightRow(pub EngineKey, pub u32, pub u32, pub u32);
 
 impl InFlightRow {
-    fn of(key: EngineKey, flight: InFlightLoad) -> InFlightRow {
-        InFlightRow(key, flight.requests, flight.prompts, flight.tokens)
+    fn of(key: EngineKey, load: InFlightLoad) -> InFlightRow {
+        InFlightRow(key, load.requests, load.prompts, load.tokens)
     }
 
     fn load(self) -> InFlightLoad {
@@ -123,42 +123,43 @@
         &mut self,
         from: SocketAddr,
         now: Millis,
-        told: &InFlightUpdate,
+        update: &InFlightUpdate,
     ) -> Vec<EngineKey> {
-        let teller = self.by_peer.entry(from).or_default();
-        teller.received_at = now;
-        let mut concerned: Vec<EngineKey> = told.rows.iter().map(|row| row.0).collect();
-        let mut new: Vec<(EngineKey, InFlightLoad)> =
-            told.rows.iter().map(|r| (r.0, r.load())).collect();
-        if let Some(share) = told.full_partition {
-            let meant = teller.rows.keys().filter(|key| share.contains(**key));
-            let missing = meant.filter(|key| !concerned.contains(key)).copied();
+        let report = self.by_peer.entry(from).or_default();
+        report.received_at = now;
+        let mut affected: Vec<EngineKey> = update.rows.iter().map(|row| row.0).collect();
+        let mut loads: Vec<(EngineKey, InFlightLoad)> =
+            update.rows.iter().map(|r| (r.0, r.load())).collect();
+        if let Some(partition) = update.full_partition {
+            let in_partition = report.rows.keys().filter(|key| partition.contains(**key));
+            let missing = in_partition.filter(|key| !affected.contains(key)).copied();
             let missing: Vec<EngineKey> = missing.collect();
-            concerned.extend(&missing);
-            new.extend(missing.into_iter().map(|key| (key, InFlightLoad::default())));
+            affected.extend(&missing);
+            loads.extend(missing.into_iter().map(|key| (key, InFlightLoad::default())));
         }
-        for (key, flight) in new {
-            set_load(&mut teller.rows, &mut self.sums, key, flight);
+        for (key, load) in loads {
+            set_load(&mut report.rows, &mut self.sums, key, load);
         }
-        concerned
+        affected
     }
 
     /// Drops the reports of nodes that are silent or that `is_wanted` rejects.
     pub fn expire(&mut self, now: Millis, is_wanted: impl Fn(&SocketAddr) -> bool) {
-        let ended = |addr: &SocketAddr, teller: &PeerReport| {
-            now.saturating_sub(teller.received_at) >= REPORT_TTL || !is_wanted(addr)
+        let is_expired = |addr: &SocketAddr, report: &PeerReport| {
+            now.saturating_sub(report.received_at) >= REPORT_TTL || !is_wanted(addr)
         };
-        for (_, teller) in self.by_peer.iter_mut().filter(|(addr, teller)| ended(addr, teller)) {
-            for key in teller.rows.keys().copied().collect::<Vec<_>>() {
-                set_load(&mut teller.rows, &mut self.sums, key, InFlightLoad::default());
+        for (_, report) in self.by_peer.iter_mut().filter(|(addr, report)| is_expired(addr, report))
+        {
+            for key in report.rows.keys().copied().collect::<Vec<_>>() {
+                set_load(&mut report.rows, &mut self.sums, key, InFlightLoad::default());
             }
         }
-        self.by_peer.retain(|addr, teller| !ended(addr, teller));
+        self.by_peer.retain(|addr, report| !is_expired(addr, report));
     }
 
     /// Number of nodes that sent a report within `age`.
     pub fn active_within(&self, age: Millis, now: Millis) -> usize {
-        self.by_peer.values().filter(|teller| now.saturating_sub(teller.received_at) < age).count()
+        self.by_peer.values().filter(|report| now.saturating_sub(report.received_at) < age).count()
     }
 
     /// Total load that all these nodes have in flight at an engine.
@@ -167,7 +168,7 @@
     }
 
     pub fn sums(&self) -> impl Iterator<Item = (EngineKey, InFlightLoad)> + '_ {
-        self.sums.iter().map(|(key, flight)| (*key, *flight))
+        self.sums.iter().map(|(key, load)| (*key, *load))
     }
 }
 
@@ -175,18 +176,18 @@
     rows: &mut IndexMap<EngineKey, InFlightLoad>,
     sums: &mut IndexMap<EngineKey, InFlightLoad>,
     key: EngineKey,
-    flight: InFlightLoad,
+    load: InFlightLoad,
 ) {
-    if !rows.contains_key(&key) && (flight.is_empty() || rows.len() >= MAX_ROWS) {
+    if !rows.contains_key(&key) && (load.is_empty() || rows.len() >= MAX_ROWS) {
         return;
     }
-    let before = rows.get(&key).copied().unwrap_or_default();
-    if flight.is_empty() {
+    let previous = rows.get(&key).copied().unwrap_or_default();
+    if load.is_empty() {
         rows.swap_remove(&key);
     } else {
-        rows.insert(key, flight);
+        rows.insert(key, load);
     }
-    let sum = sums.get(&key).copied().unwrap_or_default().minus(before).plus(flight);
+    let sum = sums.get(&key).copied().unwrap_or_default().minus(previous).plus(load);
     if sum.is_empty() {
         sums.swap_remove(&key);
     } else {
@@ -200,19 +201,19 @@
 /// Interval of complete reports, which make up for lost datagrams.
 const FULL_REPORT_INTERVAL: Millis = 1_000;
 
-fn full_updates(flights: &IndexMap<EngineKey, InFlightLoad>) -> Vec<InFlightUpdate> {
+fn full_updates(loads: &IndexMap<EngineKey, InFlightLoad>) -> Vec<InFlightUpdate> {
     let parts =
-        u32::try_from(flights.len().div_ceil(MAX_ROWS_PER_UPDATE / 2)).unwrap_or(u32::MAX).max(1);
-    let part = |part| {
-        let share = KeyPartition { part, parts };
-        let rows = flights.iter().filter(|(key, _)| share.contains(**key));
+        u32::try_from(loads.len().div_ceil(MAX_ROWS_PER_UPDATE / 2)).unwrap_or(u32::MAX).max(1);
+    let update = |part| {
+        let partition = KeyPartition { part, parts };
+        let rows = loads.iter().filter(|(key, _)| partition.contains(**key));
         let rows = rows
             .take(MAX_ROWS_PER_UPDATE)
-            .map(|(key, flight)| InFlightRow::of(*key, *flight))
+            .map(|(key, load)| InFlightRow::of(*key, *load))
             .collect();
-        InFlightUpdate { full_partition: Some(share), rows }
+        InFlightUpdate { full_partition: Some(partition), rows }
     };
-    (0..parts).map(part).collect()
+    (0..parts).map(update).collect()
 }
 
 /// Sends reports that contain only what changed since the previous one.
@@ -227,26 +228,25 @@
     pub fn next_updates(
         &mut self,
         now: Millis,
-        flights: &IndexMap<EngineKey, InFlightLoad>,
+        loads: &IndexMap<EngineKey, InFlightLoad>,
     ) -> Vec<InFlightUpdate> {
-        let whole =
+        let is_full =
             self.full_sent_at.is_none_or(|at| now.saturating_sub(at) >= FULL_REPORT_INTERVAL);
-        let told = if whole {
+        let updates = if is_full {
             self.full_sent_at = Some(now);
-            full_updates(flights)
+            full_updates(loads)
         } else {
-            self.changes(flights)
+            self.changes(loads)
         };
-        self.last_sent.clone_from(flights);
-        told
+        self.last_sent.clone_from(loads);
+        updates
     }
 
-    fn changes(&self, flights: &IndexMap<EngineKey, InFlightLoad>) -> Vec<InFlightUpdate> {
-        let changed =
-            flights.iter().filter(|(key, flight)| self.last_sent.get(*key) != Some(flight));
-        let ended = self.last_sent.keys().filter(|key| !flights.contains_key(*key));
+    fn changes(&self, loads: &IndexMap<EngineKey, InFlightLoad>) -> Vec<InFlightUpdate> {
+        let changed = loads.iter().filter(|(key, load)| self.last_sent.get(*key) != Some(load));
+        let ended = self.last_sent.keys().filter(|key| !loads.contains_key(*key));
         let ended = ended.map(|key| InFlightRow::of(*key, InFlightLoad::default()));
-        let rows = changed.map(|(key, flight)| InFlightRow::of(*key, *flight)).chain(ended);
+        let rows = changed.map(|(key, load)| InFlightRow::of(*key, *load)).chain(ended);
         let rows: Vec<InFlightRow> = rows.collect();
         rows.chunks(MAX_ROWS_PER_UPDATE)
             .map(|rows| InFlightUpdate { full_partition: None, rows: rows.to_vec() })
--- a/crates/direct/src/isolation.rs
+++ b/crates/direct/src/isolation.rs
@@ -15,14 +15,19 @@
 /// reports that it is not ready, so that callers go to other nodes.
 ///
 /// The store alone is not enough: during a store outage all nodes would report not ready.
-pub fn is_isolated(store_silent_for: Millis, engines: &Engines, domain: &str, now: Millis) -> bool {
+pub fn is_isolated(
+    store_unresponsive_for: Millis,
+    engines: &Engines,
+    domain: &str,
+    now: Millis,
+) -> bool {
     let others = engines.iter().filter(|e| e.accepts_requests() && e.info.domain != domain);
-    let (mut all, mut silent) = (0, 0);
+    let (mut all, mut unreachable) = (0, 0);
     for engine in others {
         all += 1;
-        silent += usize::from(engine.health.is_unreachable(now));
+        unreachable += usize::from(engine.health.is_unreachable(now));
     }
-    store_silent_for > STORE_TIMEOUT
+    store_unresponsive_for > STORE_TIMEOUT
         && all >= MIN_ENGINES
-        && silent as f64 >= UNREACHABLE_RATIO * all as f64
+        && unreachable as f64 >= UNREACHABLE_RATIO * all as f64
 }
--- a/crates/direct/src/leader_liveness.rs
+++ b/crates/direct/src/leader_liveness.rs
@@ -35,7 +35,8 @@
     /// Only a leader that does not respond counts as silent: during a store outage it responds but
     /// cannot renew, and must keep its lease.
     pub fn unrenewed_since(&self, end: Cursor, now: Millis) -> Millis {
-        let told = self.renewed.filter(|(at, _)| self.unresponsive && *at == end);
-        told.map_or(now, |(_, sent)| sent.min(now))
+        let renewed_at =
+            self.renewed.filter(|(renewal_end, _)| self.unresponsive && *renewal_end == end);
+        renewed_at.map_or(now, |(_, sent)| sent.min(now))
     }
 }
--- a/crates/direct/src/list_changes.rs
+++ b/crates/direct/src/list_changes.rs
@@ -40,13 +40,13 @@
 /// much bandwidth, so that node reads it from the store.
 const MAX_FULL_LIST: usize = 400;
 
-/// Whether a node polls the store while there is no leader. `draw` is a random number of the node,
-/// `crowd` the poll interval factor.
+/// Whether a node polls the store while there is no leader. `random` is a random number of the
+/// node, `interval_factor` the poll interval factor.
 ///
 /// Prevents many nodes from overloading the store with reads of a long list, which would also delay
 /// the next leader.
-pub fn polls_store(engines: &Engines, crowd: u32, draw: u32) -> bool {
-    !is_large_list(engines) || draw.is_multiple_of(crowd.max(1))
+pub fn polls_store(engines: &Engines, interval_factor: u32, random: u32) -> bool {
+    !is_large_list(engines) || random.is_multiple_of(interval_factor.max(1))
 }
 
 /// Whether the list is too long to be sent to each node in full.
@@ -145,15 +145,15 @@
 }
 
 fn fingerprint(engines: &Engines, engine: &Engine) -> Fingerprint {
-    let listed = &engine.info;
+    let info = &engine.info;
     Fingerprint {
-        started_at: listed.started_at,
-        is_leaving: matches!(listed.state, EngineState::Leaving { .. }),
-        unreadable: listed.state == EngineState::Unreadable,
-        warming_up: listed.warmup_ms_left > 0,
-        slots: listed.slots,
-        addr: listed.addr,
-        from_backup: engines.is_from_backup(listed.position),
+        started_at: info.started_at,
+        is_leaving: matches!(info.state, EngineState::Leaving { .. }),
+        unreadable: info.state == EngineState::Unreadable,
+        warming_up: info.warmup_ms_left > 0,
+        slots: info.slots,
+        addr: info.addr,
+        from_backup: engines.is_from_backup(info.position),
     }
 }
 
@@ -174,35 +174,35 @@
         let mut changed = Vec::new();
         let mut changes = Vec::new();
         for engine in engines.iter() {
-            let (id, now) = (&engine.info.id, fingerprint(engines, engine));
-            let then = self.entries.get(id).map(|(_, then)| *then);
-            if then != Some(now) {
-                changed.push((id.clone(), now));
+            let (id, current) = (&engine.info.id, fingerprint(engines, engine));
+            let previous = self.entries.get(id).map(|(_, previous)| *previous);
+            if previous != Some(current) {
+                changed.push((id.clone(), current));
             }
-            if !is_first && then.is_none_or(|then| !then.has_same_state(&now)) {
-                let standing = Some(engine.info.state);
-                changes.push(EngineStateChange { engine: id.clone(), state: standing });
+            if !is_first && previous.is_none_or(|previous| !previous.has_same_state(&current)) {
+                let state = Some(engine.info.state);
+                changes.push(EngineStateChange { engine: id.clone(), state });
             }
         }
-        let lost: Vec<EngineId> =
+        let removed: Vec<EngineId> =
             self.entries.keys().filter(|id| engines.get(id).is_none()).cloned().collect();
-        let news = !changed.is_empty() || !lost.is_empty();
-        let read = ListVersion::at_position(cursor);
-        if read > self.version || self.first_version.is_none() {
-            self.version = read;
-        } else if news {
+        let has_changes = !changed.is_empty() || !removed.is_empty();
+        let read_version = ListVersion::at_position(cursor);
+        if read_version > self.version || self.first_version.is_none() {
+            self.version = read_version;
+        } else if has_changes {
             // A change that was learned without reading on gets a later version.
             self.version = self.version.next();
         }
         self.first_version.get_or_insert(self.version);
-        if news {
+        if has_changes {
             self.changed_at = self.version;
         }
-        for (id, signature) in changed {
-            self.removed.retain(|(_, gone)| *gone != id);
-            self.entries.insert(id, (self.version, signature));
+        for (id, fingerprint) in changed {
+            self.removed.retain(|(_, other)| *other != id);
+            self.entries.insert(id, (self.version, fingerprint));
         }
-        for id in lost {
+        for id in removed {
             changes.push(EngineStateChange { engine: id.clone(), state: None });
             self.entries.shift_remove(&id);
             self.removed.push((self.version, id));
@@ -219,58 +219,54 @@
     }
 
     /// Whether a node with this version needs no update.
-    pub fn is_up_to_date(&self, since: Option<ListVersion>) -> bool {
-        let is_known = |since| self.first_version.is_some_and(|begun| since >= begun);
+    pub fn is_up_to_date(&self, version: Option<ListVersion>) -> bool {
+        let is_known = |version| self.first_version.is_some_and(|first| version >= first);
         self.first_version.is_none()
-            || since.is_none_or(|since| is_known(since) && self.changed_at <= since)
+            || version.is_none_or(|version| is_known(version) && self.changed_at <= version)
     }
 
     /// The update for a node with this version; empty for a node without a list.
-    pub fn changes_since(&self, engines: &Engines, since: Option<ListVersion>) -> ListUpdate {
+    pub fn changes_since(&self, engines: &Engines, version: Option<ListVersion>) -> ListUpdate {
         if self.first_version.is_none() {
             return ListUpdate { kind: ListUpdateKind::Unknown, ..ListUpdate::default() };
         }
-        let Some(since) = since else {
+        let Some(version) = version else {
             return ListUpdate { version: self.version, ..ListUpdate::default() };
         };
-        let is_known = self.first_version.is_some_and(|begun| since >= begun);
-        let part = match is_known {
+        let is_known = self.first_version.is_some_and(|first| version >= first);
+        let kind = match is_known {
             true => ListUpdateKind::Changes,
             false if self.entries.len() <= MAX_FULL_LIST => ListUpdateKind::Full,
             false => {
                 return ListUpdate { kind: ListUpdateKind::RereadStore, ..ListUpdate::default() };
             }
         };
-        let newer =
-            self.entries.iter().filter(|(_, (at, _))| part == ListUpdateKind::Full || *at > since);
-        let told = newer.filter_map(|(id, _)| engines.get(id).map(engine_record)).collect();
-        let gone = self.removed.iter().filter(|(at, _)| *at > since);
-        let gone =
-            gone.map(|(at, id)| (id.clone(), engines.removed_at(id).unwrap_or(at.position())));
-        let (gone, copy_end) = (gone.collect(), engines.backup_end());
-        ListUpdate {
-            version: self.version,
-            backup_end: copy_end,
-            kind: part,
-            engines: told,
-            removed: gone,
-        }
+        let changed = self
+            .entries
+            .iter()
+            .filter(|(_, (at, _))| kind == ListUpdateKind::Full || *at > version);
+        let records = changed.filter_map(|(id, _)| engines.get(id).map(engine_record)).collect();
+        let removed = self.removed.iter().filter(|(at, _)| *at > version);
+        let removed =
+            removed.map(|(at, id)| (id.clone(), engines.removed_at(id).unwrap_or(at.position())));
+        let (removed, backup_end) = (removed.collect(), engines.backup_end());
+        ListUpdate { version: self.version, backup_end, kind, engines: records, removed }
     }
 }
 
 fn engine_record(engine: &Engine) -> EngineRecord {
-    let listed = &engine.info;
+    let info = &engine.info;
     EngineRecord {
-        engine: listed.id.clone(),
-        position: listed.position,
-        started_at: listed.started_at,
-        service: listed.service.0.clone(),
-        addr: listed.addr,
-        domain: listed.domain.clone(),
-        slots: listed.slots,
-        leaving: matches!(listed.state, EngineState::Leaving { .. }),
-        unreadable: listed.state == EngineState::Unreadable,
-        warming_up: listed.warmup_ms_left > 0,
-        loaded: listed.loaded.clone(),
+        engine: info.id.clone(),
+        position: info.position,
+        started_at: info.started_at,
+        service: info.service.0.clone(),
+        addr: info.addr,
+        domain: info.domain.clone(),
+        slots: info.slots,
+        leaving: matches!(info.state, EngineState::Leaving { .. }),
+        unreadable: info.state == EngineState::Unreadable,
+        warming_up: info.warmup_ms_left > 0,
+        loaded: info.loaded.clone(),
     }
 }
--- a/crates/direct/src/prefill.rs
+++ b/crates/direct/src/prefill.rs
@@ -55,17 +55,15 @@
 
 impl PrefillBacklog {
     pub fn add_own(&mut self, id: SendId, tokens: u32, now: Millis) {
-        let until_read = self.tokens(now).saturating_add(tokens);
-        self.prompts.insert(
-            id,
-            PendingPrompt { tokens, sent_at: now, tokens_to_process: until_read, is_own: true },
-        );
+        let tokens_to_process = self.tokens(now).saturating_add(tokens);
+        self.prompts
+            .insert(id, PendingPrompt { tokens, sent_at: now, tokens_to_process, is_own: true });
     }
 
     /// Adds a prompt that another node reported.
     pub fn add_from_peer(&mut self, id: SendId, tokens: u32, now: Millis) {
         if self.prompts.len() >= MAX_PROMPTS {
-            self.prompts.retain(|_, sent| sent.is_pending(now));
+            self.prompts.retain(|_, prompt| prompt.is_pending(now));
         }
         if self.prompts.len() < MAX_PROMPTS {
             self.prompts.entry(id).or_insert(PendingPrompt {
@@ -81,23 +79,23 @@
     /// that the engine has processed since it was sent and the time this took, if this node sent
     /// it.
     pub fn finish(&mut self, id: SendId, now: Millis) -> Option<(u32, Millis)> {
-        let sent = self.prompts.swap_remove(&id).filter(|sent| sent.is_own)?;
-        Some((sent.tokens_to_process, now.saturating_sub(sent.sent_at)))
+        let prompt = self.prompts.swap_remove(&id).filter(|prompt| prompt.is_own)?;
+        Some((prompt.tokens_to_process, now.saturating_sub(prompt.sent_at)))
     }
 
     pub fn count(&self, now: Millis) -> usize {
-        self.prompts.values().filter(|sent| sent.is_pending(now)).count()
+        self.prompts.values().filter(|prompt| prompt.is_pending(now)).count()
     }
 
     /// Number and tokens of the prompts that this node sent.
     pub fn own_totals(&self) -> (u32, u32) {
-        let own = self.prompts.values().filter(|sent| sent.is_own);
-        own.fold((0, 0), |(count, sum), sent| (count + 1, sum.saturating_add(sent.tokens)))
+        let own = self.prompts.values().filter(|prompt| prompt.is_own);
+        own.fold((0, 0), |(count, sum), prompt| (count + 1, sum.saturating_add(prompt.tokens)))
     }
 
     pub fn tokens(&self, now: Millis) -> u32 {
-        let waiting = self.prompts.values().filter(|sent| sent.is_pending(now));
-        waiting.fold(0, |sum, sent| sum.saturating_add(sent.tokens))
+        let pending = self.prompts.values().filter(|prompt| prompt.is_pending(now));
+        pending.fold(0, |sum, prompt| sum.saturating_add(prompt.tokens))
     }
 }
 
@@ -131,9 +129,9 @@
 
 impl PrefillRate {
     pub fn record(&mut self, tokens: u32, took: Millis) {
-        let keep = AVERAGING_TOKENS / (AVERAGING_TOKENS + f64::from(tokens));
-        self.ms = self.ms * keep + took as f64;
-        self.tokens = self.tokens * keep + f64::from(tokens);
+        let factor = AVERAGING_TOKENS / (AVERAGING_TOKENS + f64::from(tokens));
+        self.ms = self.ms * factor + took as f64;
+        self.tokens = self.tokens * factor + f64::from(tokens);
     }
 
     /// Estimated prefill time in milliseconds.
--- a/crates/direct/src/refusal.rs
+++ b/crates/direct/src/refusal.rs
@@ -39,9 +39,9 @@
 /// Minimum retry time for a refused caller.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Retry time for a refused caller. `draw`, in `0..1`, adds up to as much again, so that callers
+/// Retry time for a refused caller. `random`, in `0..1`, adds up to as much again, so that callers
 /// that are refused together do not return together.
-pub fn retry_after(wait: Duration, draw: f64) -> Duration {
-    let least = wait.max(MIN_RETRY_AFTER);
-    least + least.mul_f64(draw)
+pub fn retry_after(wait: Duration, random: f64) -> Duration {
+    let min_wait = wait.max(MIN_RETRY_AFTER);
+    min_wait + min_wait.mul_f64(random)
 }
--- a/crates/direct/src/retry_budget.rs
+++ b/crates/direct/src/retry_budget.rs
@@ -46,8 +46,8 @@
     /// `urgent` requests.
     pub fn try_take(&mut self, now: Millis, limits: &RetryBudgetLimits, urgent: bool) -> bool {
         let slack = limits.slack / f64::from(limits.nodes.max(1));
-        let kept = if urgent { 0.0 } else { 0.25 * USED_SHARE * slack };
-        if self.remaining(now, limits) - kept < 1.0 {
+        let reserved = if urgent { 0.0 } else { 0.25 * USED_SHARE * slack };
+        if self.remaining(now, limits) - reserved < 1.0 {
             return false;
         }
         self.retries.push_back(now);
@@ -55,9 +55,9 @@
     }
 
     fn expire(&mut self, now: Millis, limits: &RetryBudgetLimits) {
-        let from = now.saturating_sub(limits.window);
+        let start = now.saturating_sub(limits.window);
         for times in [&mut self.requests, &mut self.retries] {
-            while times.front().is_some_and(|t| *t < from) {
+            while times.front().is_some_and(|t| *t < start) {
                 times.pop_front();
             }
         }
