--- a/crates/direct/src/aggregation.rs
+++ b/crates/direct/src/aggregation.rs
@@ -17,8 +17,8 @@
 /// Time without a report after which loads are unknown; longer than two lost complete reports.
 const REPORT_TTL: Millis = 2_200;
 
-/// Minimum part of the other hubs that must be heard; with fewer, engines look less loaded than
-/// they are.
+/// Minimum part of the other hubs that must have reported; with fewer, engines look less loaded
+/// than they are.
 const MIN_HUBS_RATIO: f64 = 0.66;
 
 /// What a reported load covers.
@@ -178,9 +178,9 @@
     }
 
     fn has_enough_reports(&self, neighbors: &Neighbors, now: Millis) -> bool {
-        let heard = self.remote.active_within(REPORT_TTL, now) as f64;
-        let all = if neighbors.hub.is_some() { 1 } else { neighbors.hubs.len() };
-        all > 0 && heard >= MIN_HUBS_RATIO * all as f64
+        let active = self.remote.active_within(REPORT_TTL, now) as f64;
+        let expected = if neighbors.hub.is_some() { 1 } else { neighbors.hubs.len() };
+        expected > 0 && active >= MIN_HUBS_RATIO * expected as f64
     }
 
     /// Load that all other nodes have in flight at an engine.
--- a/crates/direct/src/freshness.rs
+++ b/crates/direct/src/freshness.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionCheck {
     pub newest: u64,
-    /// When the store was asked, on the clock that includes suspension. The answer holds for this
+    /// When the store was asked, on the clock that includes suspension. The response holds for this
     /// time, however late it arrives.
     pub asked_at: Duration,
 }
--- a/crates/direct/src/hubs.rs
+++ b/crates/direct/src/hubs.rs
@@ -15,7 +15,7 @@
 /// than it saves.
 const MIN_NODES: usize = 5;
 
-/// Maximum number of hub candidates per domain. If none of them answers, each node asks the leader.
+/// Maximum number of hub candidates per domain. If none of them responds, each node asks the leader.
 const MAX_CANDIDATES: usize = 3;
 
 /// Minimum CPU share of a candidate, as a part of the largest in its domain. Small VMs would
@@ -35,7 +35,7 @@
 /// Time for which an unresponsive node is skipped.
 const UNRESPONSIVE_SKIP: Millis = 3_000;
 
-/// Time for which a node that answers with outdated data is skipped.
+/// Time for which a node that responds with outdated data is skipped.
 const STALE_SKIP: Millis = 2_000;
 
 /// A node as known to the others.
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SkipReason {
     Unresponsive,
-    /// It answers, but has not received anything new itself.
+    /// It responds, but has not received anything new itself.
     Stale,
 }
 
@@ -112,7 +112,7 @@
     ///
     /// If all candidates are outdated the leader is asked, as the store may refuse a whole domain.
     /// If the leader is outdated too, the store is down for all nodes, and the first candidate that
-    /// answers is asked.
+    /// responds is asked.
     pub fn parent(&self, me: SocketAddr, leader: Option<SocketAddr>, now: Millis) -> Parent {
         let candidates =
             || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != leader);
--- a/crates/direct/src/isolation.rs
+++ b/crates/direct/src/isolation.rs
@@ -8,7 +8,7 @@
 /// Minimum number of engines to decide by.
 const MIN_ENGINES: usize = 3;
 
-/// Time without an answer from the store; reads of the store's logs end twice per second.
+/// Time without a response from the store; reads of the store's logs end twice per second.
 const STORE_TIMEOUT: Millis = 1_200;
 
 /// Whether the node reaches neither the store nor the engines of other failure domains. It then
--- a/crates/direct/tests/cursor.rs
+++ b/crates/direct/tests/cursor.rs
@@ -61,13 +61,13 @@
 fn era_is_as_old_as_anybody_has_known_it() {
     let mut known = KnownEra::default();
     assert!(known.observe(era("2"), s(0), s(100)));
-    assert!(!known.observe(era("1"), s(50), s(101)), "an earlier one is no news");
+    assert!(!known.observe(era("1"), s(50), s(101)), "an earlier era is not new");
     assert_eq!((known.era(), known.min_age(s(103))), (era("2"), s(3)));
     assert!(!known.observe(era("2"), s(40), s(103)));
     assert_eq!(known.min_age(s(103)), s(40));
     assert!(known.observe(era("3"), s(1), s(104)));
     assert_eq!(known.min_age(s(104)), s(1));
-    assert_eq!(KnownEra::default().min_age(s(7)), s(7), "nothing was lost before the first");
+    assert_eq!(KnownEra::default().min_age(s(7)), s(7), "the first era has no begin");
 }
 
 proptest! {
--- a/crates/direct/tests/engines.rs
+++ b/crates/direct/tests/engines.rs
@@ -146,7 +146,7 @@
     assert_eq!(standing(&engines), None);
     assert!(engines.get(&"e2".into()).is_some());
     engines.upsert(entry(at("0", 11), EngineState::Ready));
-    assert_eq!(standing(&engines), Some(EngineState::Ready), "its entry had lapsed");
+    assert_eq!(standing(&engines), Some(EngineState::Ready), "its entry had expired");
 }
 
 /// Guards against sending to a leaving engine after a restore from a backup in which it was ready.
@@ -159,7 +159,7 @@
     engines.apply_snapshot(vec![entry(at("1", 5), EngineState::Ready)], at("1", 7), true);
     assert_eq!(standing(&engines), Some(LEAVING));
     engines.upsert(entry(at("1", 7), EngineState::Ready));
-    assert_eq!(standing(&engines), Some(LEAVING), "a heartbeat from before, written again");
+    assert_eq!(standing(&engines), Some(LEAVING), "a heartbeat from before the restore");
 }
 
 /// Guards against a delayed heartbeat that makes a leaving engine ready again.
@@ -178,7 +178,7 @@
     engines.upsert(born(at("0", 14), 100, EngineState::Ready));
     assert_eq!(standing(&engines), Some(LEAVING));
     engines.upsert(born(at("0", 16), 200, EngineState::Ready));
-    assert_eq!(standing(&engines), Some(EngineState::Ready), "a later start has said nothing");
+    assert_eq!(standing(&engines), Some(EngineState::Ready), "a later incarnation is not leaving");
 }
 
 /// Guards against using a removed engine that a restored backup still contains.
@@ -208,7 +208,7 @@
     assert!(engines.is_from_backup(at("2", 45)) && !engines.is_from_backup(at("1", 39)));
     assert!(
         !Engines::default().is_from_backup(at("0", 0)),
-        "nothing is copied before the store went away"
+        "nothing comes from a backup before a restore"
     );
 }
 
--- a/crates/direct/tests/list_changes.rs
+++ b/crates/direct/tests/list_changes.rs
@@ -42,7 +42,7 @@
     assert!(listing.is_up_to_date(Some(place(140))));
     assert!(
         listing.changes_since(&engines, Some(place(150))).engines.is_empty(),
-        "that node has read further"
+        "the other node has read further"
     );
 }
 
@@ -79,9 +79,9 @@
     assert_eq!(
         readers(&many(112), 12),
         300,
-        "a short list is read by all, within the time to follow it"
+        "every node polls for a short list"
     );
-    assert_eq!(readers(&many(3_000), 1), 300, "so is any by few nodes");
+    assert_eq!(readers(&many(3_000), 1), 300, "few nodes poll for any list");
 }
 
 /// Changes of state are returned once, and not for the first list.
--- a/crates/direct/tests/placement.rs
+++ b/crates/direct/tests/placement.rs
@@ -78,7 +78,7 @@
     let models = ["m", "n", "x", "y"];
     let uneven = step(&engines, &models, &[("m", 30.0), ("n", 30.0)]);
     assert_matches!(uneven, Some(ModelLoad { engine, evict: drop, .. }) if engine.0 == "e3" && drop.is_empty());
-    assert_eq!(step(&engines, &models, &[("m", 6.0), ("n", 6.0)]), None, "there is little to do");
+    assert_eq!(step(&engines, &models, &[("m", 6.0), ("n", 6.0)]), None, "the load is low");
 }
 
 /// Guards against an engine that stays idle because it has the last copies of rarely requested
@@ -126,7 +126,7 @@
     let plan = |rates: &Rates| {
         next_model_load(&all(&engines), &pool, rates, &PendingLoads::new(), ALL, 1_000).unwrap()
     };
-    assert_eq!(plan(&rates).engine.0, "e2", "nothing runs there");
+    assert_eq!(plan(&rates).engine.0, "e2", "no request runs there");
     rates.recent.insert("old".to_owned(), 30.0);
     let step = plan(&rates);
     assert_eq!((step.engine.0.as_str(), step.evict.as_slice()), ("e3", &["gone".to_owned()][..]));
