--- a/crates/direct/benches/plan.rs
+++ b/crates/direct/benches/plan.rs
@@ -57,7 +57,7 @@
         let mut all = Engines::default();
         for e in 0..engines {
             let held = |m: usize| LoadedModel { model: name(m % models), adapters: Vec::new() };
-            let listed = EngineInfo {
+            let info = EngineInfo {
                 id: EngineId(format!("i-{e:010x}")),
                 position: Cursor::default(),
                 service: service.clone(),
@@ -70,13 +70,13 @@
                 cached: CachedWeights::default(),
                 warmup_ms_left: 0,
             };
-            all.upsert(listed);
+            all.upsert(info);
         }
         let mut demand = Demand::default();
         for m in 0..models {
             let adapter = (adapters > 0).then(|| format!("a{}", m % 8));
-            let wanted = ModelRef { model: name(m), adapter };
-            demand.record(900, &wanted, 400.0 / (m + 1) as f64);
+            let model_ref = ModelRef { model: name(m), adapter };
+            demand.record(900, &model_ref, 400.0 / (m + 1) as f64);
         }
         World { engines: all, pool, demand, service }
     }
@@ -94,9 +94,9 @@
     }
 
     fn adapter(&self) -> Duration {
-        let wanted = ModelRef { model: "model-0".into(), adapter: Some("a9".into()) };
+        let model_ref = ModelRef { model: "model-0".into(), adapter: Some("a9".into()) };
         let (all, pool) = (self.all(), &self.pool);
-        timed(|| place_adapter(&all, pool, &self.demand, &wanted, "zone-1", 1_000))
+        timed(|| place_adapter(&all, pool, &self.demand, &model_ref, "zone-1", 1_000))
     }
 
     fn choice(&self) -> Duration {
@@ -106,7 +106,7 @@
             max_output_tokens: 300,
             parts: vec![PromptPart { id: 1, tokens: 700 }],
         };
-        let ask = ChoiceParams {
+        let params = ChoiceParams {
             service: &self.service,
             prompt: Some(&prompt),
             domain: "zone-1",
@@ -119,7 +119,7 @@
             random: 0.3,
             weights: CostWeights::default(),
         };
-        timed(|| choose_engine(&self.engines, &ask, 1_000))
+        timed(|| choose_engine(&self.engines, &params, 1_000))
     }
 }
 
--- a/crates/direct/tests/choice.rs
+++ b/crates/direct/tests/choice.rs
@@ -8,11 +8,11 @@
     AttemptOutcome, Choice, ChoiceParams, CostWeights, EngineId, Engines, Load, NoEngine, Prompt,
     PromptPart, SendId, choose_engine, is_isolated,
 };
-use support::{engines, listed, service, wanted};
+use support::{engine_info, engines, model_ref, service};
 
 fn prompt(want: &str, session: u64) -> Prompt {
     Prompt {
-        model_ref: Some(wanted(want)),
+        model_ref: Some(model_ref(want)),
         prompt_tokens: 500,
         max_output_tokens: 100,
         parts: vec![PromptPart { id: 1, tokens: 200 }, PromptPart { id: session, tokens: 300 }],
@@ -21,7 +21,7 @@
 
 fn chosen(engines: &Engines, want: &str, tried: &[EngineId]) -> Result<Choice, NoEngine> {
     let (service, prompt) = (service(), prompt(want, 7));
-    let ask = ChoiceParams {
+    let params = ChoiceParams {
         service: &service,
         prompt: Some(&prompt),
         domain: "a",
@@ -34,21 +34,21 @@
         random: 0.0,
         weights: CostWeights::default(),
     };
-    choose_engine(engines, &ask, 1_000)
+    choose_engine(engines, &params, 1_000)
 }
 
-fn name(choice: Result<Choice, NoEngine>) -> String {
+fn engine_id(choice: Result<Choice, NoEngine>) -> String {
     choice.unwrap().engine.0
 }
 
 #[test]
 fn holder_of_the_adapter_is_chosen() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "b", &["m/x"]), ("e3", "a", &["m/y"])]);
-    assert_eq!(name(chosen(&engines, "m/x", &[])), "e2");
+    assert_eq!(engine_id(chosen(&engines, "m/x", &[])), "e2");
 }
 
 #[test]
-fn adapter_that_is_nowhere_is_not_sent_in_hope() {
+fn request_for_an_adapter_loaded_nowhere_is_not_sent() {
     let engines = engines(&[("e1", "a", &["m"])]);
     assert_matches!(chosen(&engines, "m/x", &[]), Err(NoEngine::NotLoaded(_)));
 }
@@ -61,7 +61,7 @@
 #[test]
 fn engine_that_leaves_gets_nothing() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
-    let mut leaving = listed("e1", "a", &["m"]);
+    let mut leaving = engine_info("e1", "a", &["m"]);
     leaving.state = hgw_direct::EngineState::Leaving { terminates_at: None };
     engines.upsert(leaving);
     assert_eq!(chosen(&engines, "m", &[]), Err(NoEngine::NoneAvailable));
@@ -78,21 +78,21 @@
 #[test]
 fn own_domain_goes_before_a_little_load_elsewhere() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"]), ("e3", "b", &["m"])]);
-    assert_ne!(name(chosen(&engines, "m", &[])), "e3");
+    assert_ne!(engine_id(chosen(&engines, "m", &[])), "e3");
 }
 
 #[test]
-fn told_load_counts_with_what_was_sent_since() {
+fn reported_load_counts_with_requests_sent_since() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     let busy = engines.get_mut(&"e1".into()).unwrap();
     busy.reported_load = Some((Load { running: 60, waiting: 0, slots: 64 }, 900, 5));
     busy.own_requests = 12;
     assert_eq!(busy.estimate(1_000), 67.0);
-    assert_eq!(name(chosen(&engines, "m", &[])), "e2");
+    assert_eq!(engine_id(chosen(&engines, "m", &[])), "e2");
 }
 
 #[test]
-fn old_word_of_a_load_is_forgotten() {
+fn old_load_report_is_ignored() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
     let engine = engines.get_mut(&"e1".into()).unwrap();
     engine.reported_load = Some((Load { running: 60, waiting: 9, slots: 64 }, 0, 0));
@@ -107,7 +107,7 @@
     for _ in 0..4 {
         engines.get_mut(&"e1".into()).unwrap().health.record(900, AttemptOutcome::Failed);
     }
-    assert_eq!(name(chosen(&engines, "m", &[])), "e2");
+    assert_eq!(engine_id(chosen(&engines, "m", &[])), "e2");
     engines.get_mut(&"e1".into()).unwrap().health.record(1_000, AttemptOutcome::Success);
     let judge = engines.get(&"e1".into()).unwrap().health.clone();
     assert!(judge.failure_rate(60_000) < 0.01, "{}", judge.failure_rate(60_000));
@@ -117,8 +117,8 @@
 fn engine_that_cannot_be_reached_is_the_last_resort() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "b", &["m"])]);
     engines.get_mut(&"e1".into()).unwrap().health.record(990, AttemptOutcome::Unreachable);
-    assert_eq!(name(chosen(&engines, "m", &[])), "e2");
-    assert_eq!(name(chosen(&engines, "m", &["e2".into()])), "e1");
+    assert_eq!(engine_id(chosen(&engines, "m", &[])), "e2");
+    assert_eq!(engine_id(chosen(&engines, "m", &["e2".into()])), "e1");
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let service = service();
     let mut counts = indexmap::IndexMap::new();
     for draw in 0..300 {
-        let ask = ChoiceParams {
+        let params = ChoiceParams {
             service: &service,
             prompt: None,
             domain: "a",
@@ -164,14 +164,14 @@
             random: f64::from(draw) / 300.0,
             weights: CostWeights::default(),
         };
-        *counts.entry(name(choose_engine(&engines, &ask, 1_000))).or_insert(0) += 1;
+        *counts.entry(engine_id(choose_engine(&engines, &params, 1_000))).or_insert(0) += 1;
     }
     assert!(counts.len() == 3 && counts.values().all(|n| (70..130).contains(n)), "{counts:?}");
 }
 
 /// Guards against sending all long prompts to one engine because it runs few requests.
 #[test]
-fn prompts_that_wait_to_be_read_count_more_than_requests() {
+fn prefill_backlog_counts_more_than_requests() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     let reading = engines.get_mut(&"e1".into()).unwrap();
     reading.own_requests = 4;
@@ -179,17 +179,17 @@
         reading.prefill_backlog.add_own(SendId::of(request), 1_500, 950);
     }
     engines.get_mut(&"e2".into()).unwrap().own_requests = 20;
-    assert_eq!(name(chosen(&engines, "m", &[])), "e2");
+    assert_eq!(engine_id(chosen(&engines, "m", &[])), "e2");
     let reading = engines.get_mut(&"e1".into()).unwrap();
     for request in ["r1", "r2", "r3", "r4"] {
         assert!(reading.prefill_backlog.finish(SendId::of(request), 990).is_some());
     }
-    assert_eq!(name(chosen(&engines, "m", &[])), "e1");
+    assert_eq!(engine_id(chosen(&engines, "m", &[])), "e1");
 }
 
 /// Two engines have the same prefill backlog; one needs three times as long for it.
 #[test]
-fn engine_that_reads_slowly_is_passed_over_for_one_that_reads_fast() {
+fn engine_with_slow_prefill_is_avoided() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     for (id, took) in [("e1", 180), ("e2", 60)] {
         let engine = engines.get_mut(&id.into()).unwrap();
@@ -198,11 +198,11 @@
         }
         engine.prefill_backlog.add_own(SendId::of("r"), 1_500, 980);
     }
-    assert_eq!(name(chosen(&engines, "m", &[])), "e2");
+    assert_eq!(engine_id(chosen(&engines, "m", &[])), "e2");
 }
 
 /// Gives an engine streams that one more prompt would delay beyond the gap target.
-fn crowded(engines: &mut Engines, id: &str) {
+fn add_slow_streams(engines: &mut Engines, id: &str) {
     let engine = engines.get_mut(&id.into()).unwrap();
     engine.own_requests = 12;
     engine.event_interval_ms = 30.0;
@@ -211,9 +211,9 @@
     }
 }
 
-fn on_time(engines: &Engines, waits: bool) -> Result<Choice, NoEngine> {
+fn choose_within_gap(engines: &Engines, waits: bool) -> Result<Choice, NoEngine> {
     let (service, prompt) = (service(), prompt("m", 7));
-    let ask = ChoiceParams {
+    let params = ChoiceParams {
         service: &service,
         prompt: Some(&prompt),
         domain: "a",
@@ -226,7 +226,7 @@
         random: 0.0,
         weights: CostWeights::default(),
     };
-    choose_engine(engines, &ask, 1_000)
+    choose_engine(engines, &params, 1_000)
 }
 
 /// Guards against a burst of prompts that delays the streams of all engines. A request that cannot
@@ -234,16 +234,16 @@
 #[test]
 fn prompt_waits_where_it_would_pause_streams_for_too_long() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    crowded(&mut engines, "e1");
-    assert_eq!(name(on_time(&engines, true)), "e2");
-    crowded(&mut engines, "e2");
-    assert_eq!(on_time(&engines, true), Err(NoEngine::PrefillBusy));
-    assert!(on_time(&engines, false).is_ok());
+    add_slow_streams(&mut engines, "e1");
+    assert_eq!(engine_id(choose_within_gap(&engines, true)), "e2");
+    add_slow_streams(&mut engines, "e2");
+    assert_eq!(choose_within_gap(&engines, true), Err(NoEngine::PrefillBusy));
+    assert!(choose_within_gap(&engines, false).is_ok());
     let engine = engines.get_mut(&"e2".into()).unwrap();
     for request in ["r1", "r2"] {
         engine.prefill_backlog.finish(SendId::of(request), 1_000);
     }
-    assert_eq!(name(on_time(&engines, true)), "e2");
+    assert_eq!(engine_id(choose_within_gap(&engines, true)), "e2");
 }
 
 /// Guards against an endless wait of a prompt whose own prefill exceeds the gap target.
@@ -252,26 +252,26 @@
     let mut engines = engines(&[("e1", "a", &["m"])]);
     let engine = engines.get_mut(&"e1".into()).unwrap();
     (engine.own_requests, engine.event_interval_ms) = (12, 250.0);
-    assert_eq!(name(on_time(&engines, true)), "e1");
+    assert_eq!(engine_id(choose_within_gap(&engines, true)), "e1");
 }
 
 /// An engine without streams has none to delay.
 #[test]
 fn engine_that_runs_nothing_takes_prompts() {
     let mut engines = engines(&[("e1", "a", &["m"])]);
-    crowded(&mut engines, "e1");
+    add_slow_streams(&mut engines, "e1");
     engines.get_mut(&"e1".into()).unwrap().own_requests = 3;
-    assert_eq!(name(on_time(&engines, true)), "e1");
+    assert_eq!(engine_id(choose_within_gap(&engines, true)), "e1");
 }
 
 /// Guards against sending to an ejected engine because it has no known prefill backlog.
 #[test]
-fn engine_that_cannot_be_reached_is_no_way_round_a_wait() {
+fn unreachable_engine_does_not_avoid_a_wait() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    crowded(&mut engines, "e1");
+    add_slow_streams(&mut engines, "e1");
     engines.get_mut(&"e2".into()).unwrap().health.record(990, AttemptOutcome::Unreachable);
-    assert_eq!(on_time(&engines, true), Err(NoEngine::PrefillBusy));
-    assert_eq!(name(on_time(&engines, false)), "e1");
+    assert_eq!(choose_within_gap(&engines, true), Err(NoEngine::PrefillBusy));
+    assert_eq!(engine_id(choose_within_gap(&engines, false)), "e1");
 }
 
 /// Guards against skipping the only idle engine when requests consider some engines only.
@@ -284,7 +284,7 @@
     }
     let (service, prompt) = (service(), prompt("m", 7));
     for draw in 0..100 {
-        let ask = ChoiceParams {
+        let params = ChoiceParams {
             service: &service,
             prompt: Some(&prompt),
             domain: "a",
@@ -297,7 +297,7 @@
             random: f64::from(draw) / 100.0,
             weights: CostWeights::default(),
         };
-        assert_eq!(name(choose_engine(&engines, &ask, 1_000)), "e2");
+        assert_eq!(engine_id(choose_engine(&engines, &params, 1_000)), "e2");
     }
 }
 
@@ -309,7 +309,7 @@
     engines.get_mut(&"e1".into()).unwrap().in_flight_elsewhere = Some(flight);
     let (service, prompt) = (service(), prompt("m", 7));
     for goes_first in [true, false] {
-        let ask = ChoiceParams {
+        let params = ChoiceParams {
             service: &service,
             prompt: Some(&prompt),
             domain: "a",
@@ -322,14 +322,14 @@
             random: 0.5,
             weights: CostWeights::default(),
         };
-        let choice = choose_engine(&engines, &ask, 1_000);
+        let choice = choose_engine(&engines, &params, 1_000);
         assert_eq!(choice.is_ok(), goes_first, "{choice:?}");
     }
 }
 
 /// Guards against refusals while nodes count the same requests more than once.
 #[test]
-fn engines_that_say_they_have_places_are_not_full() {
+fn engines_that_report_free_slots_are_not_full() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "b", &["m"])]);
     for engine in engines.iter_mut() {
         let slots = engine.info.slots;
--- a/crates/direct/tests/cursor.rs
+++ b/crates/direct/tests/cursor.rs
@@ -40,7 +40,7 @@
 /// Guards against engines that reject a new leader after a restore of the store, and against two
 /// leaders with the same token.
 #[test]
-fn fencing_numbers_rise_over_eras() {
+fn fencing_tokens_increase_over_eras() {
     assert_eq!(at("0", 17).fencing_token(), Some(17));
     assert!(at("1", 3).fencing_token() > at("0", 17).fencing_token());
     assert!(at("1", 17).fencing_token() > at("0", 17).fencing_token());
@@ -73,7 +73,7 @@
 proptest! {
     /// Tokens have the order of positions and are unique.
     #[test]
-    fn fencing_numbers_have_the_order_of_places(
+    fn fencing_tokens_have_the_order_of_positions(
         a in (0_u32..2_097_152, 0_u64..1 << 32),
         b in (0_u32..2_097_152, 0_u64..1 << 32),
     ) {
--- a/crates/direct/tests/customer.rs
+++ b/crates/direct/tests/customer.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use hgw_direct::{ApiKey, CallerIdentity, Credentials, Customer, Customers, Quota, QuotaUnit};
 
-fn shows(key: &str) -> Credentials {
+fn credentials(key: &str) -> Credentials {
     Credentials::Key(ApiKey::new(key))
 }
 
@@ -16,7 +16,7 @@
     customers
 }
 
-fn name(customers: &Customers, shown: &Credentials, is_open: bool) -> Option<String> {
+fn customer_name(customers: &Customers, shown: &Credentials, is_open: bool) -> Option<String> {
     match customers.identify(shown, is_open) {
         CallerIdentity::Customer(name, _) => Some(name.0.clone()),
         CallerIdentity::Anonymous | CallerIdentity::Unauthorized => None,
@@ -26,8 +26,8 @@
 #[test]
 fn key_names_its_customer() {
     let all = customers(&[("a", &["k1", "k2"]), ("b", &["k3"])]);
-    assert_eq!(name(&all, &shows("k2"), false).as_deref(), Some("a"));
-    assert_eq!(name(&all, &shows("k3"), true).as_deref(), Some("b"));
+    assert_eq!(customer_name(&all, &credentials("k2"), false).as_deref(), Some("a"));
+    assert_eq!(customer_name(&all, &credentials("k3"), true).as_deref(), Some("b"));
 }
 
 /// Guards against accepting a revoked key, and against a moved key that names its previous
@@ -35,12 +35,12 @@
 #[test]
 fn key_that_is_taken_away_names_nobody() {
     let all = customers(&[("a", &[]), ("b", &["k1"])]);
-    assert_eq!(name(&all, &shows("k1"), false).as_deref(), Some("b"));
-    assert_eq!(name(&all, &shows("k2"), false), None);
+    assert_eq!(customer_name(&all, &credentials("k1"), false).as_deref(), Some("b"));
+    assert_eq!(customer_name(&all, &credentials("k2"), false), None);
 }
 
 #[test]
-fn only_open_routes_are_for_those_who_show_nothing() {
+fn only_public_routes_accept_anonymous_callers() {
     let all = customers(&[("a", &["k1"])]);
     assert_matches!(all.identify(&Credentials::None, true), CallerIdentity::Anonymous);
     assert_matches!(all.identify(&Credentials::None, false), CallerIdentity::Unauthorized);
@@ -51,14 +51,14 @@
 fn unknown_key_and_several_keys_are_strangers_on_any_route() {
     let all = customers(&[("a", &["k1"])]);
     for is_open in [false, true] {
-        assert_matches!(all.identify(&shows("k9"), is_open), CallerIdentity::Unauthorized);
+        assert_matches!(all.identify(&credentials("k9"), is_open), CallerIdentity::Unauthorized);
         assert_matches!(all.identify(&Credentials::Invalid, is_open), CallerIdentity::Unauthorized);
     }
 }
 
 #[test]
 fn key_is_not_printed() {
-    let shown = format!("{:?} {:?}", shows("secret"), customers(&[("a", &["secret"])]));
+    let shown = format!("{:?} {:?}", credentials("secret"), customers(&[("a", &["secret"])]));
     assert!(!shown.contains("secret"), "{shown}");
 }
 
--- a/crates/direct/tests/engines.rs
+++ b/crates/direct/tests/engines.rs
@@ -8,15 +8,15 @@
 };
 use proptest::collection::vec;
 use proptest::prelude::{prop_assert, prop_assert_eq, proptest};
-use support::{engines, listed};
+use support::{engine_info, engines};
 
-fn born(at: u64, holds: &[&str]) -> EngineInfo {
-    EngineInfo { started_at: StartTime(Some(at)), ..listed("e1", "a", holds) }
+fn started_at(at: u64, holds: &[&str]) -> EngineInfo {
+    EngineInfo { started_at: StartTime(Some(at)), ..engine_info("e1", "a", holds) }
 }
 
-fn used() -> Engines {
+fn engines_in_use() -> Engines {
     let mut engines = engines(&[("e1", "a", &[])]);
-    engines.upsert(born(100, &["m"]));
+    engines.upsert(started_at(100, &["m"]));
     let engine = engines.get_mut(&id()).unwrap();
     engine.own_requests = 7;
     engine.accepted_orders = 3;
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn later_start_ends_all_that_was_believed() {
-    let mut engines = used();
-    engines.upsert(born(200, &[]));
+fn later_start_discards_all_known_state() {
+    let mut engines = engines_in_use();
+    engines.upsert(started_at(200, &[]));
     let engine = engines.get(&id()).unwrap();
     assert_eq!(
         (
@@ -54,9 +54,9 @@
 
 #[test]
 fn entry_of_an_earlier_start_changes_nothing() {
-    let mut engines = used();
-    engines.upsert(born(200, &["n"]));
-    let mut late = born(100, &["m"]);
+    let mut engines = engines_in_use();
+    engines.upsert(started_at(200, &["n"]));
+    let mut late = started_at(100, &["m"]);
     late.state = EngineState::Leaving { terminates_at: None };
     engines.upsert(late);
     let engine = engines.get(&id()).unwrap();
@@ -65,8 +65,8 @@
 
 /// Guards against applying a report about an earlier incarnation after a restart.
 #[test]
-fn word_of_a_later_start_goes_before_one_of_the_earlier() {
-    let mut engines = used();
+fn report_of_a_later_start_replaces_an_earlier_one() {
+    let mut engines = engines_in_use();
     let engine = engines.observe_start(&id(), StartTime(Some(200))).unwrap();
     assert!(engine.info.loaded.is_empty() && engine.own_requests == 0);
     engine.accepted_orders = 1;
@@ -76,9 +76,9 @@
 
 /// Some engines do not report their start time, or not everywhere.
 #[test]
-fn word_without_a_start_holds_for_the_start_that_is_known() {
-    let mut engines = used();
-    engines.upsert(listed("e1", "a", &["m", "n"]));
+fn report_without_a_start_applies_to_the_known_one() {
+    let mut engines = engines_in_use();
+    engines.upsert(engine_info("e1", "a", &["m", "n"]));
     let engine = engines.observe_start(&id(), StartTime(None)).unwrap();
     assert_eq!((engine.own_requests, engine.info.started_at), (7, StartTime(Some(100))));
     assert!(engines.take_restarted().is_empty());
@@ -86,42 +86,45 @@
 
 #[test]
 fn engine_whose_entry_cannot_be_read_is_not_used_until_one_can() {
-    let mut engines = used();
+    let mut engines = engines_in_use();
     engines.mark_unreadable(&id(), Cursor::default());
     assert!(!engines.get(&id()).unwrap().accepts_requests());
-    engines.upsert(born(100, &["m"]));
+    engines.upsert(started_at(100, &["m"]));
     let engine = engines.get(&id()).unwrap();
     assert!(engine.accepts_requests() && engine.own_requests == 7);
 }
 
 /// Guards against applying loads of an earlier incarnation, however the restart became known.
 #[test]
-fn engine_is_found_by_the_name_of_its_newest_start_alone() {
-    let named = |born| EngineKey::of(&"e1".into(), StartTime(born));
+fn engine_is_found_by_the_key_of_its_latest_start_only() {
+    let key = |started_at| EngineKey::of(&"e1".into(), StartTime(started_at));
     let mut engines = engines(&[("e1", "a", &["m"])]);
-    assert!(engines.by_key(named(None)).is_some());
-    let entry = |born| EngineInfo { started_at: StartTime(born), ..listed("e1", "a", &["m"]) };
+    assert!(engines.by_key(key(None)).is_some());
+    let entry = |started_at| EngineInfo {
+        started_at: StartTime(started_at),
+        ..engine_info("e1", "a", &["m"])
+    };
     engines.upsert(entry(Some(1)));
-    assert!(engines.by_key(named(None)).is_none() && engines.by_key(named(Some(1))).is_some());
+    assert!(engines.by_key(key(None)).is_none() && engines.by_key(key(Some(1))).is_some());
     engines.upsert(entry(Some(2)));
-    assert!(engines.by_key(named(Some(1))).is_none() && engines.by_key(named(Some(2))).is_some());
+    assert!(engines.by_key(key(Some(1))).is_none() && engines.by_key(key(Some(2))).is_some());
     engines.observe_start(&"e1".into(), StartTime(Some(3)));
-    assert!(engines.by_key(named(Some(2))).is_none() && engines.by_key(named(Some(3))).is_some());
+    assert!(engines.by_key(key(Some(2))).is_none() && engines.by_key(key(Some(3))).is_some());
     engines.remove(&"e1".into(), Cursor::default());
-    assert!(engines.by_key(named(Some(3))).is_none());
+    assert!(engines.by_key(key(Some(3))).is_none());
 }
 
 fn at(era: &str, offset: u64) -> Cursor {
     Cursor::new(era.parse().unwrap(), offset)
 }
 
-fn entry(at: Cursor, standing: EngineState) -> EngineInfo {
-    EngineInfo { position: at, state: standing, ..listed("e1", "a", &["m"]) }
+fn entry(at: Cursor, state: EngineState) -> EngineInfo {
+    EngineInfo { position: at, state, ..engine_info("e1", "a", &["m"]) }
 }
 
 const LEAVING: EngineState = EngineState::Leaving { terminates_at: None };
 
-fn standing(engines: &Engines) -> Option<EngineState> {
+fn state(engines: &Engines) -> Option<EngineState> {
     engines.get(&id()).map(|engine| engine.info.state)
 }
 
@@ -132,7 +135,7 @@
     engines.upsert(entry(at("0", 5), EngineState::Ready));
     engines.upsert(entry(at("0", 9), LEAVING));
     engines.apply_snapshot(vec![entry(at("0", 5), EngineState::Ready)], at("0", 8), false);
-    assert_eq!(standing(&engines), Some(LEAVING));
+    assert_eq!(state(&engines), Some(LEAVING));
 }
 
 /// Guards against a delayed response that restores a removed engine or removes a new one.
@@ -141,12 +144,12 @@
     let mut engines = Engines::default();
     engines.upsert(entry(at("0", 5), EngineState::Ready));
     engines.remove(&id(), at("0", 9));
-    engines.upsert(EngineInfo { position: at("0", 10), ..listed("e2", "a", &["m"]) });
+    engines.upsert(EngineInfo { position: at("0", 10), ..engine_info("e2", "a", &["m"]) });
     engines.apply_snapshot(vec![entry(at("0", 5), EngineState::Ready)], at("0", 8), false);
-    assert_eq!(standing(&engines), None);
+    assert_eq!(state(&engines), None);
     assert!(engines.get(&"e2".into()).is_some());
     engines.upsert(entry(at("0", 11), EngineState::Ready));
-    assert_eq!(standing(&engines), Some(EngineState::Ready), "its entry had expired");
+    assert_eq!(state(&engines), Some(EngineState::Ready), "its entry had expired");
 }
 
 /// Guards against sending to a leaving engine after a restore from a backup in which it was ready.
@@ -157,46 +160,44 @@
     engines.upsert(entry(at("0", 9), LEAVING));
     engines.set_backup_end(at("1", 7));
     engines.apply_snapshot(vec![entry(at("1", 5), EngineState::Ready)], at("1", 7), true);
-    assert_eq!(standing(&engines), Some(LEAVING));
+    assert_eq!(state(&engines), Some(LEAVING));
     engines.upsert(entry(at("1", 7), EngineState::Ready));
-    assert_eq!(standing(&engines), Some(LEAVING), "a heartbeat from before the restore");
+    assert_eq!(state(&engines), Some(LEAVING), "a heartbeat from before the restore");
 }
 
 /// Guards against a delayed heartbeat that makes a leaving engine ready again.
 #[test]
 fn late_heartbeat_does_not_take_back_that_an_engine_leaves() {
     let mut engines = Engines::default();
-    let born = |at, start, standing| EngineInfo {
-        started_at: StartTime(Some(start)),
-        ..entry(at, standing)
-    };
-    engines.upsert(born(at("0", 5), 100, EngineState::Ready));
-    engines.upsert(born(at("0", 9), 100, LEAVING));
-    engines.upsert(born(at("0", 11), 100, EngineState::Ready));
-    assert_eq!(standing(&engines), Some(LEAVING));
+    let started =
+        |at, start, state| EngineInfo { started_at: StartTime(Some(start)), ..entry(at, state) };
+    engines.upsert(started(at("0", 5), 100, EngineState::Ready));
+    engines.upsert(started(at("0", 9), 100, LEAVING));
+    engines.upsert(started(at("0", 11), 100, EngineState::Ready));
+    assert_eq!(state(&engines), Some(LEAVING));
     engines.remove(&id(), at("0", 12));
-    engines.upsert(born(at("0", 14), 100, EngineState::Ready));
-    assert_eq!(standing(&engines), Some(LEAVING));
-    engines.upsert(born(at("0", 16), 200, EngineState::Ready));
-    assert_eq!(standing(&engines), Some(EngineState::Ready), "a later incarnation is not leaving");
+    engines.upsert(started(at("0", 14), 100, EngineState::Ready));
+    assert_eq!(state(&engines), Some(LEAVING));
+    engines.upsert(started(at("0", 16), 200, EngineState::Ready));
+    assert_eq!(state(&engines), Some(EngineState::Ready), "a later incarnation is not leaving");
 }
 
 /// Guards against using a removed engine that a restored backup still contains.
 #[test]
-fn engine_that_is_gone_comes_back_by_its_own_word_only() {
+fn removed_engine_returns_by_a_new_entry_only() {
     let mut engines = Engines::default();
     engines.upsert(entry(at("0", 5), EngineState::Ready));
     engines.remove(&id(), at("0", 9));
     engines.set_backup_end(at("1", 7));
     engines.apply_snapshot(vec![entry(at("1", 5), EngineState::Ready)], at("1", 7), true);
-    assert_eq!(standing(&engines), None);
+    assert_eq!(state(&engines), None);
     engines.upsert(entry(at("1", 8), EngineState::Ready));
-    assert_eq!(standing(&engines), Some(EngineState::Ready));
+    assert_eq!(state(&engines), Some(EngineState::Ready));
 }
 
 /// Guards against ignoring entries that were written after a restore.
 #[test]
-fn earliest_end_of_a_copy_counts() {
+fn earliest_backup_end_counts() {
     let mut engines = Engines::default();
     engines.set_backup_end(at("1", 50));
     assert!(engines.is_from_backup(at("1", 45)) && !engines.is_from_backup(at("1", 50)));
@@ -213,7 +214,7 @@
 }
 
 /// Applies one change of the store's log.
-fn takes(engines: &mut Engines, offset: u64, kind: u8) {
+fn apply_change(engines: &mut Engines, offset: u64, kind: u8) {
     let place = at("0", offset);
     match kind {
         0 => engines.upsert(entry(place, EngineState::Ready)),
@@ -225,7 +226,7 @@
 proptest! {
     /// The latest position wins in any order of updates, and a leaving engine never becomes ready.
     #[test]
-    fn last_place_counts_in_whatever_order_words_come(
+    fn latest_position_counts_in_any_order(
         log in vec(0_u8..3, 1..12),
         order in vec(0_usize..12, 0..40),
     ) {
@@ -235,7 +236,7 @@
         let Some(last) = read.iter().copied().max() else { return Ok(()) };
         let heard: Vec<u8> = read.iter().map(|n| log[*n]).collect();
         for n in read {
-            takes(&mut engines, n as u64, log[n]);
+            apply_change(&mut engines, n as u64, log[n]);
         }
         let left = heard.contains(&1);
         let expected = match log[last] {
@@ -243,17 +244,17 @@
             _ if left => Some(LEAVING),
             _ => Some(EngineState::Ready),
         };
-        prop_assert_eq!(standing(&engines), expected);
+        prop_assert_eq!(state(&engines), expected);
     }
 
     /// No restore from a backup makes a leaving or removed engine ready.
     #[test]
-    fn copy_brings_nothing_back(log in vec(0_u8..3, 1..12), copied in 0_usize..12) {
+    fn backup_brings_nothing_back(log in vec(0_u8..3, 1..12), copied in 0_usize..12) {
         let mut engines = Engines::default();
         for (n, kind) in log.iter().enumerate() {
-            takes(&mut engines, n as u64, *kind);
+            apply_change(&mut engines, n as u64, *kind);
         }
-        let before = standing(&engines);
+        let before = state(&engines);
         let copy = &log[..copied.min(log.len())];
         let end = at("1", copy.len() as u64);
         engines.set_backup_end(end);
@@ -265,7 +266,7 @@
             }
         }
         if before != Some(EngineState::Ready) {
-            prop_assert!(standing(&engines) != Some(EngineState::Ready));
+            prop_assert!(state(&engines) != Some(EngineState::Ready));
         }
     }
 }
--- a/crates/direct/tests/hubs.rs
+++ b/crates/direct/tests/hubs.rs
@@ -20,16 +20,16 @@
     all.chain([member(20, "b", 1.0)]).collect()
 }
 
-fn heads() -> (Hubs, Vec<SocketAddr>) {
-    let mut heads = Hubs::default();
+fn hubs_of_domain() -> (Hubs, Vec<SocketAddr>) {
+    let mut hubs = Hubs::default();
     let known = candidates(&domain(), "a");
     let addrs = known.iter().map(|c| c.addr).collect();
-    heads.set_candidates(known);
-    (heads, addrs)
+    hubs.set_candidates(known);
+    (hubs, addrs)
 }
 
 #[test]
-fn larger_machines_of_the_domain_pass_on() {
+fn larger_vms_of_the_domain_are_hub_candidates() {
     let mut names: Vec<_> = candidates(&domain(), "a").into_iter().map(|c| c.node).collect();
     names.sort();
     assert_eq!(names, ["node-11", "node-3", "node-7"]);
@@ -48,110 +48,110 @@
 
 /// Small domains need no hub.
 #[test]
-fn few_nodes_ask_the_holder_themselves() {
+fn few_nodes_ask_the_leader_themselves() {
     let few: Vec<Member> = (0..4).map(|n| member(n, "a", 0.25)).collect();
     assert_eq!(candidates(&few, "a"), []);
     assert_eq!(Hubs::default().parent(addr(1), Some(addr(9)), 0), Parent::Leader);
 }
 
 #[test]
-fn node_asks_the_first_and_the_first_asks_the_holder() {
-    let (heads, first) = heads();
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 0), Parent::Hub(first[0]));
-    assert_eq!(heads.parent(first[1], Some(addr(90)), 0), Parent::Hub(first[0]));
-    assert_eq!(heads.parent(first[0], Some(addr(90)), 0), Parent::Leader);
+fn node_asks_the_first_hub_and_that_asks_the_leader() {
+    let (hubs, first) = hubs_of_domain();
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 0), Parent::Hub(first[0]));
+    assert_eq!(hubs.parent(first[1], Some(addr(90)), 0), Parent::Hub(first[0]));
+    assert_eq!(hubs.parent(first[0], Some(addr(90)), 0), Parent::Leader);
 }
 
 /// Guards against a domain without updates after its hub was killed.
 #[test]
-fn second_takes_over_from_a_first_that_is_silent() {
-    let (mut heads, first) = heads();
-    heads.skip(first[0], SkipReason::Unresponsive, 1_000);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[1]));
-    assert_eq!(heads.parent(first[1], Some(addr(90)), 1_100), Parent::Leader);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 4_000), Parent::Hub(first[0]));
+fn second_hub_replaces_an_unresponsive_first() {
+    let (mut hubs, first) = hubs_of_domain();
+    hubs.skip(first[0], SkipReason::Unresponsive, 1_000);
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[1]));
+    assert_eq!(hubs.parent(first[1], Some(addr(90)), 1_100), Parent::Leader);
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 4_000), Parent::Hub(first[0]));
 }
 
 /// Guards against a domain without updates after all its hub candidates failed.
 #[test]
-fn nodes_ask_the_holder_where_none_passes_on() {
-    let (mut heads, first) = heads();
+fn nodes_ask_the_leader_if_no_hub_responds() {
+    let (mut hubs, first) = hubs_of_domain();
     for addr in &first {
-        heads.skip(*addr, SkipReason::Unresponsive, 1_000);
+        hubs.skip(*addr, SkipReason::Unresponsive, 1_000);
     }
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
 }
 
 /// Guards against overloading the leader during a store outage, when all nodes are outdated.
 #[test]
-fn first_is_asked_again_where_none_knows_more() {
-    let (mut heads, first) = heads();
+fn first_hub_is_asked_again_if_all_are_stale() {
+    let (mut hubs, first) = hubs_of_domain();
     for addr in first.iter().chain([&addr(90)]) {
-        heads.skip(*addr, SkipReason::Stale, 1_000);
+        hubs.skip(*addr, SkipReason::Stale, 1_000);
     }
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[0]));
-    assert_eq!(heads.parent(addr(1), None, 1_100), Parent::Hub(first[0]));
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[0]));
+    assert_eq!(hubs.parent(addr(1), None, 1_100), Parent::Hub(first[0]));
 }
 
 /// Guards against outdated updates when the store refuses all hubs of a domain.
 #[test]
-fn holder_is_asked_where_those_that_pass_on_know_nothing_new() {
-    let (mut heads, first) = heads();
+fn leader_is_asked_if_all_hubs_are_stale() {
+    let (mut hubs, first) = hubs_of_domain();
     for addr in &first {
-        heads.skip(*addr, SkipReason::Stale, 1_000);
+        hubs.skip(*addr, SkipReason::Stale, 1_000);
     }
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
-    heads.set_candidates(candidates(&domain(), "a"));
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 3_000), Parent::Hub(first[0]));
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
+    hubs.set_candidates(candidates(&domain(), "a"));
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 1_100), Parent::Leader);
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 3_000), Parent::Hub(first[0]));
 }
 
 /// Guards against a small VM as hub, whose link would be saturated.
 #[test]
-fn smaller_machine_is_not_asked_where_nobody_else_knows_more() {
+fn small_vm_is_not_asked_even_if_all_others_are_stale() {
     let small = (0..12).map(|n| member(n, "a", 0.12));
     let members: Vec<Member> = small.chain([member(30, "a", 0.5), member(31, "a", 0.4)]).collect();
-    let mut heads = Hubs::default();
-    heads.set_candidates(candidates(&members, "a"));
-    let asks = |heads: &Hubs, now| heads.parent(addr(91), Some(addr(90)), now);
-    heads.skip(addr(30), SkipReason::Stale, 1_000);
-    assert_eq!(asks(&heads, 1_100), Parent::Hub(addr(31)));
-    heads.skip(addr(31), SkipReason::Stale, 1_100);
-    assert_eq!(asks(&heads, 1_200), Parent::Leader);
-    heads.skip(addr(90), SkipReason::Unresponsive, 1_200);
-    assert_eq!(asks(&heads, 1_300), Parent::Hub(addr(30)));
+    let mut hubs = Hubs::default();
+    hubs.set_candidates(candidates(&members, "a"));
+    let asks = |hubs: &Hubs, now| hubs.parent(addr(91), Some(addr(90)), now);
+    hubs.skip(addr(30), SkipReason::Stale, 1_000);
+    assert_eq!(asks(&hubs, 1_100), Parent::Hub(addr(31)));
+    hubs.skip(addr(31), SkipReason::Stale, 1_100);
+    assert_eq!(asks(&hubs, 1_200), Parent::Leader);
+    hubs.skip(addr(90), SkipReason::Unresponsive, 1_200);
+    assert_eq!(asks(&hubs, 1_300), Parent::Hub(addr(30)));
 }
 
 /// The next leader becomes known through a hub that responds.
 #[test]
-fn one_that_answers_is_asked_before_a_silent_holder() {
-    let (mut heads, first) = heads();
-    heads.skip(first[0], SkipReason::Unresponsive, 1_000);
-    heads.skip(first[1], SkipReason::Stale, 1_000);
-    heads.skip(first[2], SkipReason::Stale, 1_000);
-    heads.skip(addr(90), SkipReason::Unresponsive, 1_000);
-    assert_eq!(heads.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[1]));
+fn stale_hub_is_asked_before_an_unresponsive_leader() {
+    let (mut hubs, first) = hubs_of_domain();
+    hubs.skip(first[0], SkipReason::Unresponsive, 1_000);
+    hubs.skip(first[1], SkipReason::Stale, 1_000);
+    hubs.skip(first[2], SkipReason::Stale, 1_000);
+    hubs.skip(addr(90), SkipReason::Unresponsive, 1_000);
+    assert_eq!(hubs.parent(addr(1), Some(addr(90)), 1_100), Parent::Hub(first[1]));
 }
 
 /// The leader serves the hubs of all domains; its own domain has another hub.
 #[test]
-fn holder_does_not_pass_on_to_its_domain() {
-    let (heads, first) = heads();
-    assert_eq!(heads.parent(addr(1), Some(first[0]), 0), Parent::Hub(first[1]));
-    assert_eq!(heads.parent(first[1], Some(first[0]), 0), Parent::Leader);
+fn leader_is_no_hub_of_its_domain() {
+    let (hubs, first) = hubs_of_domain();
+    assert_eq!(hubs.parent(addr(1), Some(first[0]), 0), Parent::Hub(first[1]));
+    assert_eq!(hubs.parent(first[1], Some(first[0]), 0), Parent::Leader);
 }
 
 /// Guards against polling at the full rate when there are few hubs but many nodes.
 #[test]
-fn heads_of_many_nodes_hold_back_though_they_are_few() {
+fn few_hubs_of_many_nodes_poll_less_often() {
     let of = [(6, 6), (9, 10), (11, 12), (10, 33), (12, 195), (33, 195), (194, 195)];
-    let crowds = of.map(|(children, nodes)| poll_interval_factor(children, nodes));
-    assert_eq!(crowds, [1, 1, 2, 4, 4, 4, 12]);
+    let factors = of.map(|(children, nodes)| poll_interval_factor(children, nodes));
+    assert_eq!(factors, [1, 1, 2, 4, 4, 4, 12]);
 }
 
 /// Guards against a small VM as hub, whose link would be saturated.
 #[test]
-fn small_machine_passes_nothing_on_beside_large_ones() {
+fn small_vm_is_no_hub_beside_large_ones() {
     let node = |n: u16, processor| Member {
         node: format!("n-{n}"),
         addr: ([10, 0, 0, 1], n).into(),
--- a/crates/direct/tests/list_changes.rs
+++ b/crates/direct/tests/list_changes.rs
@@ -6,66 +6,69 @@
     Cursor, EngineInfo, EngineState, Engines, Era, ListChanges, ListUpdateKind, ListVersion,
     StartTime, polls_store,
 };
-use support::{engines, listed};
+use support::{engine_info, engines};
 
 fn at(offset: u64) -> Cursor {
     Cursor::new(Era::FIRST, offset)
 }
 
-fn place(offset: u64) -> ListVersion {
+fn version(offset: u64) -> ListVersion {
     ListVersion::at_position(at(offset))
 }
 
-fn many(count: usize) -> Engines {
+fn many_engines(count: usize) -> Engines {
     let mut engines = Engines::default();
     for number in 0..count {
-        engines.upsert(listed(&format!("e{number}"), "a", &["m"]));
+        engines.upsert(engine_info(&format!("e{number}"), "a", &["m"]));
     }
     engines
 }
 
 /// Guards against sending the complete list to nodes that need only the latest changes.
 #[test]
-fn changes_are_told_from_where_the_other_list_ends() {
+fn changes_are_sent_from_the_receivers_version() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"]), ("e3", "a", &["m"])]);
-    let mut listing = ListChanges::default();
-    listing.update(&engines, at(100));
-    assert!(listing.is_up_to_date(Some(place(100))));
+    let mut changes_log = ListChanges::default();
+    changes_log.update(&engines, at(100));
+    assert!(changes_log.is_up_to_date(Some(version(100))));
     engines.get_mut(&"e1".into()).unwrap().info.state =
         EngineState::Leaving { terminates_at: None };
     engines.remove(&"e2".into(), Cursor::default());
-    listing.update(&engines, at(140));
-    let news = listing.changes_since(&engines, Some(place(120)));
-    assert_eq!((news.kind, news.version), (ListUpdateKind::Changes, place(140)));
-    assert!(news.engines.iter().map(|e| e.engine.0.as_str()).eq(["e1"]), "{news:?}");
-    assert!(news.engines[0].leaving && news.removed == [("e2".into(), at(0))], "{news:?}");
-    assert!(listing.is_up_to_date(Some(place(140))));
+    changes_log.update(&engines, at(140));
+    let update = changes_log.changes_since(&engines, Some(version(120)));
+    assert_eq!((update.kind, update.version), (ListUpdateKind::Changes, version(140)));
+    assert!(update.engines.iter().map(|e| e.engine.0.as_str()).eq(["e1"]), "{update:?}");
+    assert!(update.engines[0].leaving && update.removed == [("e2".into(), at(0))], "{update:?}");
+    assert!(changes_log.is_up_to_date(Some(version(140))));
     assert!(
-        listing.changes_since(&engines, Some(place(150))).engines.is_empty(),
+        changes_log.changes_since(&engines, Some(version(150))).engines.is_empty(),
         "the other node has read further"
     );
 }
 
 /// Guards against missing a change that was learned without reading on in the log.
 #[test]
-fn change_without_reading_on_is_told_as_a_later_one() {
+fn change_without_reading_on_gets_a_later_version() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    let mut listing = ListChanges::default();
-    listing.update(&engines, at(100));
+    let mut changes_log = ListChanges::default();
+    changes_log.update(&engines, at(100));
     engines.remove(&"e1".into(), Cursor::default());
-    listing.update(&engines, at(100));
-    assert_eq!(listing.changes_since(&engines, Some(place(100))).removed, [("e1".into(), at(0))]);
+    changes_log.update(&engines, at(100));
+    assert_eq!(
+        changes_log.changes_since(&engines, Some(version(100))).removed,
+        [("e1".into(), at(0))]
+    );
 }
 
 #[test]
-fn node_that_lags_behind_is_told_a_short_list_and_reads_a_long_one() {
-    let (short, long) = (many(13), many(3_000));
-    for (engines, part) in [(&short, ListUpdateKind::Full), (&long, ListUpdateKind::RereadStore)] {
-        let mut listing = ListChanges::default();
-        listing.update(engines, at(100));
-        let news = listing.changes_since(engines, Some(place(50)));
-        assert_eq!(news.kind, part);
-        assert_eq!(news.engines.len(), if part == ListUpdateKind::Full { 13 } else { 0 });
+fn node_that_lags_behind_gets_a_short_list_and_reads_a_long_one() {
+    let (short, long) = (many_engines(13), many_engines(3_000));
+    for (engines, kind) in [(&short, ListUpdateKind::Full), (&long, ListUpdateKind::RereadStore)] {
+        let mut changes_log = ListChanges::default();
+        changes_log.update(engines, at(100));
+        let update = changes_log.changes_since(engines, Some(version(50)));
+        assert_eq!(update.kind, kind);
+        assert_eq!(update.engines.len(), if kind == ListUpdateKind::Full { 13 } else { 0 });
     }
     assert_eq!(ListChanges::default().changes_since(&short, None).engines, []);
 }
@@ -73,55 +76,52 @@
 /// Guards against overloading the store when all nodes read a long list.
 #[test]
 fn few_nodes_read_a_long_list_when_nobody_reads_it_for_all() {
-    let readers =
-        |engines: &Engines, crowd| (0..300).filter(|d| polls_store(engines, crowd, *d)).count();
-    assert_eq!(readers(&many(3_000), 12), 25);
-    assert_eq!(
-        readers(&many(112), 12),
-        300,
-        "every node polls for a short list"
-    );
-    assert_eq!(readers(&many(3_000), 1), 300, "few nodes poll for any list");
+    let readers = |engines: &Engines, interval_factor| {
+        (0..300).filter(|d| polls_store(engines, interval_factor, *d)).count()
+    };
+    assert_eq!(readers(&many_engines(3_000), 12), 25);
+    assert_eq!(readers(&many_engines(112), 12), 300, "every node polls for a short list");
+    assert_eq!(readers(&many_engines(3_000), 1), 300, "few nodes poll for any list");
 }
 
 /// Changes of state are returned once, and not for the first list.
 #[test]
-fn each_change_of_standing_is_told_once() {
+fn each_change_of_state_is_returned_once() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    let mut listing = ListChanges::default();
-    let mut told = |engines: &Engines, at| {
-        let changes = listing.update(engines, at);
+    let mut changes_log = ListChanges::default();
+    let mut reported = |engines: &Engines, at| {
+        let changes = changes_log.update(engines, at);
         changes.iter().map(|c| format!("{} {c}", c.engine)).collect::<Vec<_>>().join(", ")
     };
-    assert_eq!(told(&engines, at(100)), "");
+    assert_eq!(reported(&engines, at(100)), "");
     engines.get_mut(&"e1".into()).unwrap().info.state =
         EngineState::Leaving { terminates_at: None };
     engines.get_mut(&"e2".into()).unwrap().info.warmup_ms_left = 50;
-    assert_eq!(told(&engines, at(110)), "e1 leaving");
+    assert_eq!(reported(&engines, at(110)), "e1 leaving");
     engines.remove(&"e1".into(), Cursor::default());
-    engines.upsert(listed("e3", "a", &["m"]));
-    assert_eq!(told(&engines, at(120)), "e3 ready, e1 gone");
-    assert_eq!(told(&engines, at(130)), "");
+    engines.upsert(engine_info("e3", "a", &["m"]));
+    assert_eq!(reported(&engines, at(120)), "e3 ready, e1 gone");
+    assert_eq!(reported(&engines, at(130)), "");
 }
 
 /// Guards against removing an engine whose entry expired and returned between two updates.
 #[test]
-fn engine_that_came_back_is_not_told_as_gone() {
+fn engine_that_came_back_is_not_reported_as_removed() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    let mut listing = ListChanges::default();
-    listing.update(&engines, at(100));
+    let mut changes_log = ListChanges::default();
+    changes_log.update(&engines, at(100));
     engines.remove(&"e1".into(), Cursor::default());
-    listing.update(&engines, at(110));
-    engines.upsert(EngineInfo { position: at(115), ..listed("e1", "a", &["m"]) });
-    listing.update(&engines, at(120));
-    let news = listing.changes_since(&engines, Some(place(100)));
-    assert!(news.engines.iter().map(|e| e.engine.0.as_str()).eq(["e1"]), "{news:?}");
-    assert_eq!(news.removed, []);
+    changes_log.update(&engines, at(110));
+    engines.upsert(EngineInfo { position: at(115), ..engine_info("e1", "a", &["m"]) });
+    changes_log.update(&engines, at(120));
+    let update = changes_log.changes_since(&engines, Some(version(100)));
+    assert!(update.engines.iter().map(|e| e.engine.0.as_str()).eq(["e1"]), "{update:?}");
+    assert_eq!(update.removed, []);
 }
 
 /// Guards against missing changes of a new leader that has not learned what the previous one had.
 #[test]
-fn who_reads_on_is_ahead_of_who_found_something_out() {
+fn reading_on_is_newer_than_a_change_found_without() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
     let (mut first, mut second) = (ListChanges::default(), ListChanges::default());
     first.update(&engines, at(100));
@@ -129,34 +129,34 @@
     let mut found = engines.clone();
     found.observe_start(&"e2".into(), StartTime(Some(200)));
     first.update(&found, at(100));
-    let told = first.changes_since(&found, Some(place(100))).version;
+    let reported = first.changes_since(&found, Some(version(100))).version;
     engines.upsert(EngineInfo {
         position: at(100),
         state: EngineState::Leaving { terminates_at: None },
-        ..listed("e1", "a", &["m"])
+        ..engine_info("e1", "a", &["m"])
     });
     second.update(&engines, at(101));
-    let news = second.changes_since(&engines, Some(told));
-    assert!(news.engines.iter().any(|e| e.engine == "e1".into() && e.leaving), "{news:?}");
+    let update = second.changes_since(&engines, Some(reported));
+    assert!(update.engines.iter().any(|e| e.engine == "e1".into() && e.leaving), "{update:?}");
 }
 
 /// Guards against missing changes after a restore from a shorter, equal or longer log.
 #[test]
-fn changes_are_told_on_over_an_era() {
+fn changes_are_sent_across_eras() {
     for end in [60, 100, 140] {
         let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-        let mut listing = ListChanges::default();
-        listing.update(&engines, at(100));
+        let mut changes_log = ListChanges::default();
+        changes_log.update(&engines, at(100));
         let later = |offset| Cursor::new("1".parse().unwrap(), offset);
-        listing.update(&engines, later(end));
+        changes_log.update(&engines, later(end));
         engines.upsert(EngineInfo {
             position: later(end),
             state: EngineState::Leaving { terminates_at: None },
-            ..listed("e1", "a", &["m"])
+            ..engine_info("e1", "a", &["m"])
         });
-        listing.update(&engines, later(end + 1));
-        let news = listing.changes_since(&engines, Some(place(100)));
-        assert!(news.engines.iter().any(|e| e.engine == "e1".into() && e.leaving), "{news:?}");
-        assert!(listing.is_up_to_date(Some(ListVersion::at_position(later(end + 1)))));
+        changes_log.update(&engines, later(end + 1));
+        let update = changes_log.changes_since(&engines, Some(version(100)));
+        assert!(update.engines.iter().any(|e| e.engine == "e1".into() && e.leaving), "{update:?}");
+        assert!(changes_log.is_up_to_date(Some(ListVersion::at_position(later(end + 1)))));
     }
 }
--- a/crates/direct/tests/placement.rs
+++ b/crates/direct/tests/placement.rs
@@ -10,7 +10,7 @@
     WeightSource, count_evicting, free_adapter_slots, next_model_load, place_adapter,
 };
 use hgw_direct::{Demand, Engine, Engines, Model, ModelPool, Rates};
-use support::{engines, wanted};
+use support::{engines, model_ref};
 
 /// A service whose engines have memory for three models.
 fn pool(models: &[&str]) -> ModelPool {
@@ -33,41 +33,41 @@
 
 const ALL: AllowedActions = AllowedActions { load_from_store: true, evict: true };
 
-fn all(engines: &Engines) -> Vec<&Engine> {
+fn all_refs(engines: &Engines) -> Vec<&Engine> {
     engines.iter().collect()
 }
 
 fn rates(all: &[(&str, f64)]) -> Rates {
     let mut rates = Rates::default();
     for (text, rate) in all {
-        let wanted = wanted(text);
-        *rates.models.entry(wanted.model.clone()).or_default() += rate;
-        if wanted.adapter.is_some() {
-            rates.adapters.insert(wanted, *rate);
+        let model_ref = model_ref(text);
+        *rates.models.entry(model_ref.model.clone()).or_default() += rate;
+        if model_ref.adapter.is_some() {
+            rates.adapters.insert(model_ref, *rate);
         }
     }
     rates
 }
 
-fn step(engines: &Engines, models: &[&str], demand: &[(&str, f64)]) -> Option<ModelLoad> {
+fn next_load(engines: &Engines, models: &[&str], demand: &[(&str, f64)]) -> Option<ModelLoad> {
     let pool = pool(models);
-    next_model_load(&all(engines), &pool, &rates(demand), &PendingLoads::new(), ALL, 1_000)
+    next_model_load(&all_refs(engines), &pool, &rates(demand), &PendingLoads::new(), ALL, 1_000)
 }
 
 #[test]
 fn model_that_is_nowhere_is_loaded_first() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"])]);
-    let step = step(&engines, &["m", "n"], &[("m", 500.0)]);
-    assert_matches!(step, Some(ModelLoad { model: load, evict: drop, .. }) if load == "n" && drop.is_empty());
+    let step = next_load(&engines, &["m", "n"], &[("m", 500.0)]);
+    assert_matches!(step, Some(ModelLoad { model, evict, .. }) if model == "n" && evict.is_empty());
 }
 
 #[test]
 fn model_in_demand_gets_copies_by_its_rate() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m", "n"]), ("e3", "a", &["n"])]);
     // One copy with 64 slots serves 6.4 requests per second.
-    assert_eq!(step(&engines, &["m", "n"], &[("m", 12.0), ("n", 6.0)]), None);
-    let step = step(&engines, &["m", "n"], &[("m", 18.0), ("n", 0.5)]);
-    assert_matches!(step, Some(ModelLoad { engine, model: load, .. }) if engine.0 == "e3" && load == "m");
+    assert_eq!(next_load(&engines, &["m", "n"], &[("m", 12.0), ("n", 6.0)]), None);
+    let step = next_load(&engines, &["m", "n"], &[("m", 18.0), ("n", 0.5)]);
+    assert_matches!(step, Some(ModelLoad { engine, model, .. }) if engine.0 == "e3" && model == "m");
 }
 
 /// Guards against idle engines while copies of busy models share others.
@@ -76,9 +76,9 @@
     let engines =
         engines(&[("e1", "a", &["m", "n"]), ("e2", "a", &["m", "n"]), ("e3", "a", &["x", "y"])]);
     let models = ["m", "n", "x", "y"];
-    let uneven = step(&engines, &models, &[("m", 30.0), ("n", 30.0)]);
-    assert_matches!(uneven, Some(ModelLoad { engine, evict: drop, .. }) if engine.0 == "e3" && drop.is_empty());
-    assert_eq!(step(&engines, &models, &[("m", 6.0), ("n", 6.0)]), None, "the load is low");
+    let uneven = next_load(&engines, &models, &[("m", 30.0), ("n", 30.0)]);
+    assert_matches!(uneven, Some(ModelLoad { engine, evict, .. }) if engine.0 == "e3" && evict.is_empty());
+    assert_eq!(next_load(&engines, &models, &[("m", 6.0), ("n", 6.0)]), None, "the load is low");
 }
 
 /// Guards against an engine that stays idle because it has the last copies of rarely requested
@@ -93,23 +93,23 @@
     let before = engines(
         &[&[("e1", "a", &busy as &[&str]), ("e2", "a", &["m", "old", "a"])], &last[..]].concat(),
     );
-    let first = step(&before, &models, &demand);
-    assert_matches!(first, Some(ModelLoad { engine, evict: drop, model: load, .. })
-        if engine.0 != "e3" && drop.len() == 1 && ["x", "y", "z"].contains(&load.as_str()));
+    let first = next_load(&before, &models, &demand);
+    assert_matches!(first, Some(ModelLoad { engine, evict, model, .. })
+        if engine.0 != "e3" && evict.len() == 1 && ["x", "y", "z"].contains(&model.as_str()));
     let after = engines(
         &[&[("e1", "a", &moved as &[&str]), ("e2", "a", &["m", "old", "a"])], &last[..]].concat(),
     );
-    let second = step(&after, &models, &demand);
-    assert_matches!(second, Some(ModelLoad { engine, evict: drop, model: load, .. })
-        if engine.0 == "e3" && drop == ["x"] && load == "m");
+    let second = next_load(&after, &models, &demand);
+    assert_matches!(second, Some(ModelLoad { engine, evict, model, .. })
+        if engine.0 == "e3" && evict == ["x"] && model == "m");
 }
 
 /// Guards against using an engine with little load for a rarely requested model.
 #[test]
 fn model_that_is_hardly_asked_for_goes_to_a_busy_engine() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["n"])]);
-    let step = step(&engines, &["m", "n", "x"], &[("m", 6.2), ("n", 5.0)]);
-    assert_matches!(step, Some(ModelLoad { engine, model: load, .. }) if engine.0 == "e1" && load == "x");
+    let step = next_load(&engines, &["m", "n", "x"], &[("m", 6.2), ("n", 5.0)]);
+    assert_matches!(step, Some(ModelLoad { engine, model, .. }) if engine.0 == "e1" && model == "x");
 }
 
 /// Guards against evicting a model that is in use, when a load elsewhere is complete sooner.
@@ -124,7 +124,8 @@
     let pool = pool(&["gone", "m", "old", "w", "x", "y", "z"]);
     let mut rates = rates(&[("m", 60.0)]);
     let plan = |rates: &Rates| {
-        next_model_load(&all(&engines), &pool, rates, &PendingLoads::new(), ALL, 1_000).unwrap()
+        next_model_load(&all_refs(&engines), &pool, rates, &PendingLoads::new(), ALL, 1_000)
+            .unwrap()
     };
     assert_eq!(plan(&rates).engine.0, "e2", "no request runs there");
     rates.recent.insert("old".to_owned(), 30.0);
@@ -134,7 +135,7 @@
 
 /// Guards against evicting both copies of a model in one plan.
 #[test]
-fn two_steps_of_one_look_leave_a_last_copy() {
+fn two_loads_of_one_plan_leave_a_last_copy() {
     let mut engines = engines(&[
         ("e1", "a", &["m", "a", "b"]),
         ("e2", "a", &["n", "c", "d"]),
@@ -144,32 +145,33 @@
     let pool = pool(&["a", "b", "c", "d", "m", "n", "old", "w", "x", "y", "z"]);
     let rates = rates(&[("m", 40.0), ("n", 40.0)]);
     let mut pending = PendingLoads::new();
-    let mut dropped = 0;
-    while let Some(step) = next_model_load(&all(&engines), &pool, &rates, &pending, ALL, 1_000) {
-        dropped += step.evict.iter().filter(|model| *model == "old").count();
+    let mut evicted = 0;
+    while let Some(step) = next_model_load(&all_refs(&engines), &pool, &rates, &pending, ALL, 1_000)
+    {
+        evicted += step.evict.iter().filter(|model| *model == "old").count();
         step.apply_evictions(&mut engines);
         pending.insert(step.engine, step.model);
     }
-    assert_eq!(dropped, 1);
+    assert_eq!(evicted, 1);
 }
 
 #[test]
 fn adapters_in_demand_get_enough_places() {
     let engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["m"]), ("e3", "a", &["n"])]);
     let demand = [("m/a", 1.3), ("m/b", 1.3), ("m/c", 1.3), ("m/d", 1.3), ("m/e", 1.3)];
-    let step = step(&engines, &["m", "n"], &demand);
-    assert_matches!(step, Some(ModelLoad { engine, model: load, .. }) if engine.0 == "e3" && load == "m");
+    let step = next_load(&engines, &["m", "n"], &demand);
+    assert_matches!(step, Some(ModelLoad { engine, model, .. }) if engine.0 == "e3" && model == "m");
 }
 
 #[test]
 fn spare_copy_makes_way_and_a_last_one_never_does() {
     let full = ["a", "b", "c"];
     let engines = engines(&[("e1", "a", &full), ("e2", "a", &full)]);
-    let first = step(&engines, &["a", "b", "c", "d"], &[("a", 20.0)]);
-    assert_matches!(first, Some(ModelLoad { evict: drop, model: load, .. }) if load == "d" && (drop == ["b"] || drop == ["c"]));
+    let first = next_load(&engines, &["a", "b", "c", "d"], &[("a", 20.0)]);
+    assert_matches!(first, Some(ModelLoad { evict, model, .. }) if model == "d" && (evict == ["b"] || evict == ["c"]));
     let mut single = Engines::default();
-    single.upsert(support::listed("e1", "a", &full));
-    assert_eq!(step(&single, &["a", "b", "c", "d"], &[("d", 20.0)]), None);
+    single.upsert(support::engine_info("e1", "a", &full));
+    assert_eq!(next_load(&single, &["a", "b", "c", "d"], &[("d", 20.0)]), None);
 }
 
 /// Guards against evicting and loading the same copy in turn.
@@ -178,9 +180,9 @@
     let full = ["a", "b", "c"];
     let engines = engines(&[("e1", "a", &full), ("e2", "a", &["a", "x", "y"])]);
     let models = ["a", "b", "c", "x", "y", "z"];
-    assert_eq!(step(&engines, &models, &[("a", 15.0)]), None);
-    let silent = step(&engines, &models, &[]);
-    assert_matches!(silent, Some(ModelLoad { evict: drop, model: load, .. }) if load == "z" && drop == ["a"]);
+    assert_eq!(next_load(&engines, &models, &[("a", 15.0)]), None);
+    let without_demand = next_load(&engines, &models, &[]);
+    assert_matches!(without_demand, Some(ModelLoad { evict, model, .. }) if model == "z" && evict == ["a"]);
 }
 
 #[test]
@@ -188,7 +190,7 @@
     let engines = engines(&[("e1", "a", &["m"])]);
     let pending = PendingLoads::from_iter([("e1".into(), "n".to_owned())]);
     let pool = pool(&["m", "n", "o"]);
-    let step = next_model_load(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0);
+    let step = next_model_load(&all_refs(&engines), &pool, &Rates::default(), &pending, ALL, 0);
     assert_eq!(step, None);
 }
 
@@ -200,20 +202,23 @@
     let pool = pool(&["a", "b", "c", "d"]);
     let mut pending = PendingLoads::new();
     let first =
-        next_model_load(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0).unwrap();
+        next_model_load(&all_refs(&engines), &pool, &Rates::default(), &pending, ALL, 0).unwrap();
     pending.insert(first.engine, first.model);
-    assert_eq!(next_model_load(&all(&engines), &pool, &Rates::default(), &pending, ALL, 0), None);
+    assert_eq!(
+        next_model_load(&all_refs(&engines), &pool, &Rates::default(), &pending, ALL, 0),
+        None
+    );
 }
 
 /// Guards against loading from the weight store when an engine has the weights on its disk.
 #[test]
-fn model_is_loaded_where_its_weights_are_at_hand() {
+fn model_is_loaded_where_its_weights_are_cached() {
     let mut engines = engines(&[("e1", "a", &["m"]), ("e2", "a", &["n"]), ("e3", "a", &["n"])]);
     let pool = pool(&["m", "n"]);
     let demand = rates(&[("m", 15.0), ("n", 8.0)]);
     engines.get_mut(&"e3".into()).unwrap().info.cached.on_disk = vec!["m".to_owned()];
     let plan = |allowed| {
-        next_model_load(&all(&engines), &pool, &demand, &PendingLoads::new(), allowed, 1_000)
+        next_model_load(&all_refs(&engines), &pool, &demand, &PendingLoads::new(), allowed, 1_000)
     };
     let step = plan(ALL).unwrap();
     assert_eq!((step.engine.0.as_str(), step.source), ("e3", WeightSource::Disk));
@@ -228,8 +233,14 @@
     let engines = engines(&[("e1", "a", &full), ("e2", "a", &full)]);
     let pool = pool(&["a", "b", "c", "d"]);
     let allowed = AllowedActions { load_from_store: true, evict: false };
-    let step =
-        next_model_load(&all(&engines), &pool, &Rates::default(), &PendingLoads::new(), allowed, 0);
+    let step = next_model_load(
+        &all_refs(&engines),
+        &pool,
+        &Rates::default(),
+        &PendingLoads::new(),
+        allowed,
+        0,
+    );
     assert_eq!(step, None);
 }
 
@@ -238,10 +249,10 @@
     let engines =
         engines(&[("e1", "a", &["m/x", "m/y"]), ("e2", "a", &["m/x"]), ("e3", "a", &["n"])]);
     let step = place_adapter(
-        &all(&engines),
+        &all_refs(&engines),
         &pool(&["m", "n"]),
         &Demand::default(),
-        &wanted("m/z"),
+        &model_ref("m/z"),
         "a",
         0,
     );
@@ -254,14 +265,14 @@
     let engines = engines(&[("e1", "a", &["m/x", "m/y"])]);
     let mut demand = Demand::default();
     for at in (0..9_000).step_by(100) {
-        demand.record(at, &wanted("m/y"), 1.0);
+        demand.record(at, &model_ref("m/y"), 1.0);
     }
-    demand.record(9_900, &wanted("m/x"), 0.1);
+    demand.record(9_900, &model_ref("m/x"), 0.1);
     let pool = pool(&["m"]);
-    let step = place_adapter(&all(&engines), &pool, &demand, &wanted("m/z"), "a", 10_500);
-    assert_eq!(step, AdapterAction::Load { engine: "e1".into(), evict: Some(wanted("m/x")) });
-    demand.record(10_400, &wanted("m/x"), 0.1);
-    let step = place_adapter(&all(&engines), &pool, &demand, &wanted("m/z"), "a", 13_000);
+    let step = place_adapter(&all_refs(&engines), &pool, &demand, &model_ref("m/z"), "a", 10_500);
+    assert_eq!(step, AdapterAction::Load { engine: "e1".into(), evict: Some(model_ref("m/x")) });
+    demand.record(10_400, &model_ref("m/x"), 0.1);
+    let step = place_adapter(&all_refs(&engines), &pool, &demand, &model_ref("m/z"), "a", 13_000);
     assert_matches!(step, AdapterAction::Load { evict: Some(_), .. });
 }
 
@@ -269,46 +280,47 @@
 fn adapter_without_its_model_is_placed_nowhere() {
     let engines = engines(&[("e1", "a", &["n"])]);
     let pool = pool(&["m", "n"]);
-    let step = place_adapter(&all(&engines), &pool, &Demand::default(), &wanted("m/z"), "a", 0);
+    let step =
+        place_adapter(&all_refs(&engines), &pool, &Demand::default(), &model_ref("m/z"), "a", 0);
     assert_eq!(step, AdapterAction::NotPossible);
 }
 
 /// Guards against exceeding an engine's adapter slots after the response to an order was lost.
 #[test]
-fn adapter_that_may_be_coming_takes_its_place() {
+fn adapter_that_may_be_loading_takes_its_slot() {
     let mut engines = engines(&[("e1", "a", &["m/x"])]);
     let pool = pool(&["m"]);
     let engine = engines.get_mut(&"e1".into()).unwrap();
     assert_eq!(free_adapter_slots(engine, &pool), 1);
-    engine.expect_adapter(&wanted("m/y"));
+    engine.expect_adapter(&model_ref("m/y"));
     assert_eq!(free_adapter_slots(engine, &pool), 0);
-    engine.add_loaded(&wanted("m/y"));
+    engine.add_loaded(&model_ref("m/y"));
     assert_eq!(free_adapter_slots(engine, &pool), 0);
 }
 
 #[test]
-fn ceiling_holds_over_a_window_and_a_takeover() {
+fn load_rate_limit_holds_over_a_window_and_a_takeover() {
     let limits = LoadRateLimits { loads_per_s: 1.6, window: 5_000 };
-    let mut ceiling = LoadRateLimiter::default();
-    let begin = |ceiling: &mut LoadRateLimiter, now| {
-        let mut begun = 0;
-        while ceiling.allows(now, &limits) {
-            ceiling.record_load(now);
-            begun += 1;
+    let mut limiter = LoadRateLimiter::default();
+    let start_loads = |limiter: &mut LoadRateLimiter, now| {
+        let mut started = 0;
+        while limiter.allows(now, &limits) {
+            limiter.record_load(now);
+            started += 1;
         }
-        begun
+        started
     };
-    assert_eq!(begin(&mut ceiling, 0), 10);
-    assert_eq!(begin(&mut ceiling, 4_900), 0);
-    assert_eq!(begin(&mut ceiling, 5_001), 10);
+    assert_eq!(start_loads(&mut limiter, 0), 10);
+    assert_eq!(start_loads(&mut limiter, 4_900), 0);
+    assert_eq!(start_loads(&mut limiter, 5_001), 10);
     let mut successor = LoadRateLimiter::default();
     successor.assume_full(0, &limits, 1);
-    assert_eq!(begin(&mut successor, 0), 1);
+    assert_eq!(start_loads(&mut successor, 0), 1);
 }
 
 /// Guards against blocked placement after engines disappear while they load.
 #[test]
-fn engine_that_vanished_while_loading_makes_no_room() {
+fn engine_that_vanished_while_loading_is_not_counted() {
     let pending = PendingLoads::from_iter([("e1".into(), "m".to_owned())]);
     let loading = [("e2".into(), 9_000), ("e3".into(), 9_000)].into_iter().collect();
     assert_eq!(count_evicting(&pending, &loading), 1);
@@ -316,15 +328,15 @@
 
 /// Guards against a new leader that waits for a whole window before it loads models.
 #[test]
-fn successor_goes_on_from_the_loads_that_were_told() {
+fn new_leader_continues_from_reported_loads() {
     let limits = LoadRateLimits { loads_per_s: 1.0, window: 5_000 };
     let (mut known, mut unknown) = (LoadRateLimiter::default(), LoadRateLimiter::default());
     known.restore(10_000, &[8_000], 2);
     unknown.assume_full(10_000, &limits, 1);
-    let loads = |ceiling: &mut LoadRateLimiter, at| {
+    let loads = |limiter: &mut LoadRateLimiter, at| {
         let mut loads = 0;
-        while ceiling.allows(at, &limits) {
-            ceiling.record_load(at);
+        while limiter.allows(at, &limits) {
+            limiter.record_load(at);
             loads += 1;
         }
         loads
@@ -346,17 +358,17 @@
         ("e5", "a", &["n"]),
         ("e6", "a", &[]),
     ]);
-    let step = step(&engines, &["m", "n"], &[("m", 600.0), ("n", 250.0)]);
-    assert_matches!(step, Some(ModelLoad { model: load, .. }) if load == "n");
+    let step = next_load(&engines, &["m", "n"], &[("m", 600.0), ("n", 250.0)]);
+    assert_matches!(step, Some(ModelLoad { model, .. }) if model == "n");
 }
 
 /// Guards against a slow load that takes the engine on which another urgent model is cached.
 #[test]
 fn of_two_urgent_models_the_quicker_goes_first() {
     let mut engines = engines(&[("e1", "a", &["m", "n"]), ("e2", "a", &[])]);
-    let at_hand = &mut engines.get_mut(&"e2".into()).unwrap().info.cached;
-    at_hand.on_disk = vec!["n".to_owned()];
-    let step = step(&engines, &["m", "n"], &[("m", 120.0), ("n", 100.0)]);
+    let cached = &mut engines.get_mut(&"e2".into()).unwrap().info.cached;
+    cached.on_disk = vec!["n".to_owned()];
+    let step = next_load(&engines, &["m", "n"], &[("m", 120.0), ("n", 100.0)]);
     let expected = (WeightSource::Disk, "n".to_owned());
     assert_eq!(step.map(|s| (s.source, s.model)), Some(expected));
 }
--- a/crates/direct/tests/quota.rs
+++ b/crates/direct/tests/quota.rs
@@ -15,7 +15,7 @@
 const TICK: Millis = 40;
 
 /// Network delay in one direction.
-const WAY: Millis = 5;
+const NETWORK_DELAY: Millis = 5;
 
 const BOUNDS: QuotaBounds =
     QuotaBounds { window: Duration::from_secs(8), overshoot_ratio: 0.1, slack: 7_400.0 };
@@ -36,27 +36,27 @@
 #[derive(Debug, Default)]
 struct Node {
     account: Account,
-    alone: FallbackIssuer,
-    answered: Millis,
+    fallback: FallbackIssuer,
+    last_response: Millis,
     /// Whether it cannot reach nodes of other domains.
-    cut: bool,
-    frozen_until: Millis,
+    isolated: bool,
+    paused_until: Millis,
     dead: bool,
     /// Requests per second.
     load: f64,
     /// Part of the next request.
-    due: f64,
+    pending: f64,
     /// Deadline and cost of waiting requests.
     waiting: VecDeque<(Millis, f64)>,
     /// Number of requests received.
-    came: usize,
+    received: usize,
 }
 
 /// Time for which a request waits for an allowance.
-const PATIENCE: Millis = 250;
+const WAIT_TIMEOUT: Millis = 250;
 
 /// Granted allowances, and the time until more are available if there are none.
-type Answered = (Vec<Grant>, Option<Millis>);
+type GrantResponse = (Vec<Grant>, Option<Millis>);
 
 /// Nodes in domains. The first node of each is its hub; node 0 is the issuer.
 struct World {
@@ -65,13 +65,13 @@
     issuer: Option<(usize, Issuer)>,
     quota: Quota,
     bounds: QuotaBounds,
-    cost: f64,
+    unit_cost: f64,
     /// Costs of successive requests, as multiples of `cost`.
     sizes: Vec<f64>,
     now: Millis,
     used: VecDeque<(Millis, f64)>,
     total: f64,
-    worst: f64,
+    max_usage: f64,
 }
 
 impl World {
@@ -82,16 +82,16 @@
             issuer: Some((0, Issuer::new(0))),
             quota,
             bounds: BOUNDS,
-            cost,
+            unit_cost: cost,
             sizes: vec![1.0],
             now: 0,
             used: VecDeque::new(),
             total: 0.0,
-            worst: 0.0,
+            max_usage: 0.0,
         }
     }
 
-    fn terms(&self) -> IssuanceParams {
+    fn params(&self) -> IssuanceParams {
         IssuanceParams::new(self.quota, &self.bounds)
     }
 
@@ -101,9 +101,9 @@
             node.load = 0.0;
         }
         for (n, node) in on.iter().enumerate() {
-            self.nodes[*node].load = per_s / self.cost / on.len() as f64;
+            self.nodes[*node].load = per_s / self.unit_cost / on.len() as f64;
             // Spreads the arrivals over time.
-            self.nodes[*node].due = n as f64 / on.len() as f64;
+            self.nodes[*node].pending = n as f64 / on.len() as f64;
         }
     }
 
@@ -111,11 +111,11 @@
         (0..self.nodes.len()).collect()
     }
 
-    fn runs(&self, node: usize) -> bool {
-        !self.nodes[node].dead && self.nodes[node].frozen_until <= self.now
+    fn is_running(&self, node: usize) -> bool {
+        !self.nodes[node].dead && self.nodes[node].paused_until <= self.now
     }
 
-    fn head(&self, node: usize) -> usize {
+    fn hub(&self, node: usize) -> usize {
         let first = node - node % self.domain;
         let last = (first + self.domain).min(self.nodes.len());
         let issuer = self.issuer.as_ref().map(|(issuer, _)| *issuer);
@@ -123,89 +123,109 @@
         own.next().unwrap_or(node)
     }
 
-    fn behind(&self, head: usize) -> u32 {
-        let alive = |n: &usize| !self.nodes[*n].dead && self.head(*n) == head;
+    fn nodes_served(&self, hub: usize) -> u32 {
+        let alive = |n: &usize| !self.nodes[*n].dead && self.hub(*n) == hub;
         (0..self.nodes.len()).filter(alive).count() as u32
     }
 
     /// The issuer's response to a node, if it can be reached.
-    fn ask(&mut self, node: usize, want: &AllowanceRequest, nodes: u32) -> Option<Answered> {
-        let (terms, now, all) = (self.terms(), self.now, self.nodes.len() as u32);
+    fn ask(
+        &mut self,
+        node: usize,
+        request: &AllowanceRequest,
+        nodes: u32,
+    ) -> Option<GrantResponse> {
+        let (params, now, all) = (self.params(), self.now, self.nodes.len() as u32);
         let (at, _) = self.issuer.as_ref()?;
         let apart = node / self.domain != at / self.domain;
         let at = *at;
-        if !self.runs(at) || apart && (self.nodes[node].cut || self.nodes[at].cut) {
+        if !self.is_running(at) || apart && (self.nodes[node].isolated || self.nodes[at].isolated) {
             return None;
         }
-        let used = self.nodes[node].alone.take_usage(now);
+        let used = self.nodes[node].fallback.take_usage(now);
         let used: f64 = used.iter().map(|used| used.amount).sum();
-        self.nodes[node].alone.issuer_responded();
-        self.nodes[node].answered = now;
+        self.nodes[node].fallback.issuer_responded();
+        self.nodes[node].last_response = now;
         let (_, issuer) = self.issuer.as_mut()?;
         if nodes > 0 {
             issuer.record_contact(addr(node), nodes, now);
         }
-        let silent = issuer.silent_share(all, now);
-        let part = Issuer::max_share(nodes, all);
-        let answer = issuer.grant(addr(node), &customer(), &terms, want, (used, silent, part), now);
-        let grants = vec![Grant { amount: answer.amount, ttl_ms: terms.allowance_ttl() }];
-        Some((grants, answer.available_in))
+        let silent_share = issuer.silent_share(all, now);
+        let max_share = Issuer::max_share(nodes, all);
+        let issued = issuer.grant(
+            addr(node),
+            &customer(),
+            &params,
+            request,
+            (used, silent_share, max_share),
+            now,
+        );
+        let grants = vec![Grant { amount: issued.amount, ttl_ms: params.allowance_ttl() }];
+        Some((grants, issued.available_in))
     }
 
-    fn fill(&mut self, node: usize) {
-        let issues = self.issuer.as_ref().is_some_and(|(at, _)| *at == node);
-        let (now, asked) = (self.now, self.now.saturating_sub(2 * WAY));
-        let head = self.head(node);
-        let want = self.nodes[node].account.next_request(now);
-        let grants = if issues {
-            self.ask(node, &want, 0)
-        } else if head == node {
-            let nodes = self.behind(node);
-            let given = self.ask(node, &want, nodes);
-            given.or_else(|| self.alone(node, &want, nodes))
-        } else if self.runs(head) && want.max > 0.0 {
-            let account = &mut self.nodes[head].account;
-            account.record_peer_request(now, &want);
-            let waiting = Waiter { max: want.max, min: want.min };
+    fn refill(&mut self, node: usize) {
+        let is_issuer = self.issuer.as_ref().is_some_and(|(at, _)| *at == node);
+        let (now, asked) = (self.now, self.now.saturating_sub(2 * NETWORK_DELAY));
+        let hub = self.hub(node);
+        let request = self.nodes[node].account.next_request(now);
+        let grants = if is_issuer {
+            self.ask(node, &request, 0)
+        } else if hub == node {
+            let nodes = self.nodes_served(node);
+            let granted = self.ask(node, &request, nodes);
+            granted.or_else(|| self.grant_by_fallback(node, &request, nodes))
+        } else if self.is_running(hub) && request.max > 0.0 {
+            let account = &mut self.nodes[hub].account;
+            account.record_peer_request(now, &request);
+            let waiting = Waiter { max: request.max, min: request.min };
             account.add_waiter(waiting);
-            self.fill(head);
-            let account = &mut self.nodes[head].account;
+            self.refill(hub);
+            let account = &mut self.nodes[hub].account;
             account.remove_waiter(waiting);
-            let there = account.allowances.balance(now);
-            let lots = account.allowances.take(now, want.grantable(there));
-            let grant = |lot: Allowance| Grant { amount: lot.amount, ttl_ms: lot.expires_at - now };
-            Some((lots.into_iter().map(grant).collect(), account.available_in(now)))
+            let available = account.allowances.balance(now);
+            let allowances = account.allowances.take(now, request.grantable(available));
+            let grant = |allowance: Allowance| Grant {
+                amount: allowance.amount,
+                ttl_ms: allowance.expires_at - now,
+            };
+            Some((allowances.into_iter().map(grant).collect(), account.available_in(now)))
         } else {
             None
         };
-        let Some((grants, room_in)) = grants else { return };
-        self.nodes[node].account.record_response(now, &want, room_in);
+        let Some((grants, available_in)) = grants else { return };
+        self.nodes[node].account.record_response(now, &request, available_in);
         for grant in grants {
-            let lot = Allowance { amount: grant.amount, expires_at: asked + grant.ttl_ms };
-            self.nodes[node].account.allowances.add(lot);
+            let allowance = Allowance { amount: grant.amount, expires_at: asked + grant.ttl_ms };
+            self.nodes[node].account.allowances.add(allowance);
         }
     }
 
-    fn alone(&mut self, node: usize, want: &AllowanceRequest, nodes: u32) -> Option<Answered> {
-        if self.now < self.nodes[node].answered + 250 {
+    fn grant_by_fallback(
+        &mut self,
+        node: usize,
+        request: &AllowanceRequest,
+        nodes: u32,
+    ) -> Option<GrantResponse> {
+        if self.now < self.nodes[node].last_response + 250 {
             return None;
         }
         let share = f64::from(nodes) / self.nodes.len() as f64;
-        let (terms, now) = (self.terms(), self.now);
-        let answer = self.nodes[node].alone.grant(&customer(), &terms, want, share, now);
-        let grants = vec![Grant { amount: answer.amount, ttl_ms: terms.allowance_ttl() }];
-        Some((grants, answer.available_in))
+        let (params, now) = (self.params(), self.now);
+        let issued = self.nodes[node].fallback.grant(&customer(), &params, request, share, now);
+        let grants = vec![Grant { amount: issued.amount, ttl_ms: params.allowance_ttl() }];
+        Some((grants, issued.available_in))
     }
 
     fn tick(&mut self) {
         self.now += TICK;
         for node in 0..self.nodes.len() {
-            if self.runs(node) {
-                self.fill(node);
+            if self.is_running(node) {
+                self.refill(node);
             }
         }
         for node in 0..self.nodes.len() {
-            if self.runs(node) {
+            if self.is_running(node) {
                 self.serve(node);
             }
         }
@@ -213,20 +233,20 @@
         while self.used.front().is_some_and(|(at, _)| *at + window < self.now) {
             self.used.pop_front();
         }
-        self.worst = self.worst.max(self.used.iter().map(|(_, amount)| amount).sum());
+        self.max_usage = self.max_usage.max(self.used.iter().map(|(_, amount)| amount).sum());
     }
 
     fn serve(&mut self, node: usize) {
         let now = self.now;
         let node = &mut self.nodes[node];
-        node.due += node.load * TICK as f64 / 1_000.0;
-        while node.due >= 1.0 {
-            node.due -= 1.0;
-            node.came += 1;
-            let cost = self.cost * self.sizes[node.came % self.sizes.len()];
+        node.pending += node.load * TICK as f64 / 1_000.0;
+        while node.pending >= 1.0 {
+            node.pending -= 1.0;
+            node.received += 1;
+            let cost = self.unit_cost * self.sizes[node.received % self.sizes.len()];
             node.account.record_request(now, cost);
             node.account.add_waiter(Waiter { max: cost, min: cost });
-            node.waiting.push_back((now + PATIENCE, cost));
+            node.waiting.push_back((now + WAIT_TIMEOUT, cost));
         }
         // Any request that an allowance suffices for is served.
         for (until, cost) in std::mem::take(&mut node.waiting) {
@@ -256,8 +276,8 @@
         limit * (1.0 + self.bounds.overshoot_ratio) + self.bounds.slack
     }
 
-    fn keeps(&self) -> bool {
-        self.worst <= self.allowed()
+    fn is_within_limit(&self) -> bool {
+        self.max_usage <= self.allowed()
     }
 
     /// Usage during the next `ms`, as a part of the quota for that time.
@@ -280,7 +300,12 @@
         world.run(10_000);
         let share = world.share_used(16_000);
         assert!(share >= 0.97, "{nodes} nodes: {share}");
-        assert!(world.keeps(), "{nodes} nodes: {} of {}", world.worst, world.allowed());
+        assert!(
+            world.is_within_limit(),
+            "{nodes} nodes: {} of {}",
+            world.max_usage,
+            world.allowed()
+        );
     }
 }
 
@@ -294,7 +319,7 @@
     world.run(10_000);
     let share = world.share_used(16_000);
     assert!(share >= 0.97, "{share}");
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Guards against a quota that is only available if requests are spread over all nodes.
@@ -308,7 +333,7 @@
         let share = world.share_used(16_000);
         assert!(share >= 0.97, "{on:?}: {share}");
     }
-    assert!(world.keeps());
+    assert!(world.is_within_limit());
 }
 
 /// Guards against refusals below the quota, also for small customers with rare requests.
@@ -321,7 +346,7 @@
         world.run(4_000);
         let share = world.share_used(16_000);
         assert!(share >= 0.48, "{rate}: {share}");
-        assert!(world.keeps());
+        assert!(world.is_within_limit());
     }
 }
 
@@ -333,14 +358,14 @@
     world.load(1_500_000.0, &world.all());
     world.run(5_000);
     for node in 15..30 {
-        world.nodes[node].cut = true;
+        world.nodes[node].isolated = true;
     }
     world.run(8_000);
     for node in 15..30 {
-        world.nodes[node].cut = false;
+        world.nodes[node].isolated = false;
     }
     world.run(10_000);
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Guards against deducting the usage of an isolated domain twice.
@@ -351,14 +376,14 @@
     world.load(300_000.0, &world.all());
     world.run(6_000);
     for cut in [true, false] {
-        (15..30).for_each(|node| world.nodes[node].cut = cut);
+        (15..30).for_each(|node| world.nodes[node].isolated = cut);
         world.run(if cut { 8_000 } else { 600 });
     }
     let share = world.share_used(3_000);
     // Usage of the last second before contact, as a part of the three that are counted.
     let last_second = 0.8 * 15.0 / 62.0 / 3.0;
     assert!(share >= 0.97 - last_second, "{share}");
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Guards against refusals without an issuer, and against exceeding the quota when the next one
@@ -376,7 +401,7 @@
     assert!(share >= 0.7, "{share}");
     world.issuer = Some((16, Issuer::new(world.now)));
     world.run(10_000);
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Guards against paused nodes that use old allowances on top of new ones.
@@ -387,10 +412,10 @@
     world.load(1_500_000.0, &world.all());
     world.run(4_000);
     for node in (1..62).step_by(2) {
-        world.nodes[node].frozen_until = world.now + 5_000;
+        world.nodes[node].paused_until = world.now + 5_000;
     }
     world.run(14_000);
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Guards against a full burst after each restart.
@@ -406,7 +431,7 @@
         world.issuer = Some((1, Issuer::new(world.now)));
     }
     world.run(10_000);
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Guards against usage beyond a lowered quota after one window.
@@ -419,9 +444,9 @@
     world.quota = quota(25_000.0);
     // Until the quota is active everywhere and earlier allowances have expired.
     world.run(8_000 + 1_000);
-    world.worst = 0.0;
+    world.max_usage = 0.0;
     world.run(10_000);
-    assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+    assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
 }
 
 /// Bounds without tolerance, with and without a burst.
@@ -435,10 +460,10 @@
         world.load(1_500_000.0, &world.all());
         world.run(5_000);
         for node in 15..30 {
-            world.nodes[node].cut = true;
+            world.nodes[node].isolated = true;
         }
         world.run(12_000);
-        assert!(world.keeps(), "{burst}: {} of {}", world.worst, world.allowed());
+        assert!(world.is_within_limit(), "{burst}: {} of {}", world.max_usage, world.allowed());
     }
 }
 
@@ -447,16 +472,16 @@
     let mut account = Account::default();
     account.allowances.add(Allowance { amount: 900.0, expires_at: 500 });
     account.allowances.add(Allowance { amount: 900.0, expires_at: 300 });
-    let lots = account.allowances.spend(100, 1_000.0).unwrap();
+    let allowances = account.allowances.spend(100, 1_000.0).unwrap();
     assert_eq!(
-        lots,
+        allowances,
         [
             Allowance { amount: 900.0, expires_at: 300 },
             Allowance { amount: 100.0, expires_at: 500 }
         ]
     );
     assert!(account.allowances.spend(100, 1_000.0).is_none());
-    lots.into_iter().for_each(|lot| account.allowances.add(lot));
+    allowances.into_iter().for_each(|allowance| account.allowances.add(allowance));
     assert_eq!(account.allowances.balance(100), 1_800.0);
     assert_eq!(account.allowances.balance(300), 900.0);
     assert_eq!(account.allowances.balance(500), 0.0);
@@ -464,24 +489,24 @@
 
 /// Guards against a new advance each time that the issuer responds.
 #[test]
-fn share_is_drawn_ahead_once_however_often_the_issuer_is_heard() {
-    let mut alone = FallbackIssuer::default();
+fn advance_is_granted_once_however_often_the_issuer_responds() {
+    let mut fallback = FallbackIssuer::default();
     let customers: [CustomerId; 2] = ["large".into(), "small".into()];
     let rates = [400_000.0, 4_000.0];
     let mut used = [0.0; 2];
     for round in 0..20_u64 {
         for (n, customer) in customers.iter().enumerate() {
-            let terms = IssuanceParams::new(quota(rates[n]), &BOUNDS);
-            let want = AllowanceRequest {
+            let params = IssuanceParams::new(quota(rates[n]), &BOUNDS);
+            let request = AllowanceRequest {
                 max: 1e6,
                 needed: 1e6,
                 min: 100.0,
                 unit_cost: 100.0,
                 new_demand: 0.0,
             };
-            used[n] += alone.grant(customer, &terms, &want, 0.25, 50 * round).amount;
+            used[n] += fallback.grant(customer, &params, &request, 0.25, 50 * round).amount;
         }
-        alone.issuer_responded();
+        fallback.issuer_responded();
     }
     for (used, rate) in used.into_iter().zip(rates) {
         let room = BOUNDS.overshoot_ratio * 9.0 * rate + BOUNDS.slack;
@@ -503,8 +528,8 @@
         world.load(6.0 * rate, &world.all());
         for (what, node, ms) in steps {
             match what {
-                0 => (node..30.min(node + 6)).for_each(|n| world.nodes[n].cut ^= true),
-                1 => world.nodes[node].frozen_until = world.now + 2 * ms,
+                0 => (node..30.min(node + 6)).for_each(|n| world.nodes[n].isolated ^= true),
+                1 => world.nodes[node].paused_until = world.now + 2 * ms,
                 2 => {
                     // A new leader waits until the previous lease has expired.
                     world.issuer = None;
@@ -519,7 +544,7 @@
                 _ => world.load(6.0 * rate, &world.all()),
             }
             world.run(ms);
-            prop_assert!(world.keeps(), "{} of {}", world.worst, world.allowed());
+            prop_assert!(world.is_within_limit(), "{} of {}", world.max_usage, world.allowed());
         }
     }
 }
--- a/crates/direct/tests/support/mod.rs
+++ b/crates/direct/tests/support/mod.rs
@@ -6,19 +6,19 @@
 };
 
 /// Parses `MODEL` or `MODEL/ADAPTER`.
-pub(crate) fn wanted(text: &str) -> ModelRef {
+pub(crate) fn model_ref(text: &str) -> ModelRef {
     text.parse().unwrap()
 }
 
 /// An engine with these models and adapters.
-pub(crate) fn listed(id: &str, domain: &str, holds: &[&str]) -> EngineInfo {
-    let mut held: Vec<LoadedModel> = Vec::new();
-    for one in holds.iter().map(|h| wanted(h)) {
-        let at = held.iter().position(|h| h.model == one.model).unwrap_or_else(|| {
-            held.push(LoadedModel { model: one.model.clone(), adapters: Vec::new() });
-            held.len() - 1
+pub(crate) fn engine_info(id: &str, domain: &str, models: &[&str]) -> EngineInfo {
+    let mut loaded: Vec<LoadedModel> = Vec::new();
+    for parsed in models.iter().map(|m| model_ref(m)) {
+        let index = loaded.iter().position(|l| l.model == parsed.model).unwrap_or_else(|| {
+            loaded.push(LoadedModel { model: parsed.model.clone(), adapters: Vec::new() });
+            loaded.len() - 1
         });
-        held[at].adapters.extend(one.adapter);
+        loaded[index].adapters.extend(parsed.adapter);
     }
     let number = id.bytes().last().unwrap();
     EngineInfo {
@@ -30,7 +30,7 @@
         slots: 64,
         started_at: StartTime::default(),
         state: EngineState::Ready,
-        loaded: held,
+        loaded,
         cached: CachedWeights::default(),
         warmup_ms_left: 0,
     }
@@ -42,8 +42,8 @@
 
 pub(crate) fn engines(all: &[(&str, &str, &[&str])]) -> Engines {
     let mut engines = Engines::default();
-    for (id, domain, holds) in all {
-        engines.upsert(listed(id, domain, holds));
+    for (id, domain, models) in all {
+        engines.upsert(engine_info(id, domain, models));
     }
     engines
 }
