--- a/crates/direct/src/quota/issuance.rs
+++ b/crates/direct/src/quota/issuance.rs
@@ -23,7 +23,7 @@
 /// Part of the slack that a new issuer starts with, so that small customers are served at once, and
 /// the number of new issuers to allow for in one window.
 const START_SHARE: f64 = 0.25;
-const STARTS: f64 = 2.0;
+const STARTS_PER_WINDOW: f64 = 2.0;
 
 /// Parameters with which an issuer grants a quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,7 +48,7 @@
         let advance = ADVANCE_SHARE * tolerance;
         let start = START_SHARE * bounds.slack;
         let available =
-            quota.burst + tolerance - unexpired - unnoticed_usage - advance - STARTS * start;
+            quota.burst + tolerance - unexpired - unnoticed_usage - advance - STARTS_PER_WINDOW * start;
         let min_depth = quota.rate * MIN_DEPTH_S;
         // The slack lets larger requests of a small customer fit.
         let depth = available.clamp(min_depth, (quota.burst + bounds.slack).max(min_depth));
--- a/crates/direct/tests/aggregation.rs
+++ b/crates/direct/tests/aggregation.rs
@@ -195,7 +195,7 @@
     assert_eq!(world.max_believed(), 0);
 }
 
-/// Guards against counting the load of nodes whose hub was replaced twice.
+/// Guards against counting the load of a node at both its former and its new hub.
 #[test]
 fn replaced_hub_leaves_nothing_counted_twice() {
     let mut world = World::new(15, 3);
--- a/crates/direct/tests/quota.rs
+++ b/crates/direct/tests/quota.rs
@@ -66,7 +66,7 @@
     quota: Quota,
     bounds: QuotaBounds,
     unit_cost: f64,
-    /// Costs of successive requests, as multiples of `cost`.
+    /// Costs of successive requests, as multiples of `unit_cost`.
     sizes: Vec<f64>,
     now: Millis,
     used: VecDeque<(Millis, f64)>,
