--- a/crates/direct/src/cursor.rs
+++ b/crates/direct/src/cursor.rs
@@ -33,7 +33,7 @@
 
 /// A text that is not a valid era.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("`{text}`: a whole number up to {MAX_ERA}")]
+#[display("`{text}` is not a store era: expected an integer up to {MAX_ERA}")]
 pub struct BadEra {
     #[error(not(source))]
     pub text: String,
--- a/crates/direct/src/prompt.rs
+++ b/crates/direct/src/prompt.rs
@@ -56,5 +56,5 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-#[display("a model or adapter without a name")]
+#[display("the name of a model or adapter is empty")]
 pub struct EmptyModelName;
