--- a/crates/direct/src/quota/issuance.rs
+++ b/crates/direct/src/quota/issuance.rs
@@ -47,8 +47,11 @@
             quota.rate * FALLBACK_SHARE * ISOLATED_SHARE * ISOLATED_AFTER as f64 / 1_000.0;
         let advance = ADVANCE_SHARE * tolerance;
         let start = START_SHARE * bounds.slack;
-        let available =
-            quota.burst + tolerance - unexpired - unnoticed_usage - advance - STARTS_PER_WINDOW * start;
+        let available = quota.burst + tolerance
+            - unexpired
+            - unnoticed_usage
+            - advance
+            - STARTS_PER_WINDOW * start;
         let min_depth = quota.rate * MIN_DEPTH_S;
         // The slack lets larger requests of a small customer fit.
         let depth = available.clamp(min_depth, (quota.burst + bounds.slack).max(min_depth));
