--- a/crates/direct/src/aggregation.rs
+++ b/crates/direct/src/aggregation.rs
@@ -15,11 +15,11 @@
 };
 
 /// Time without a report after which loads are unknown; longer than two lost complete reports.
-const FRESH_FOR: Millis = 2_200;
+const REPORT_TTL: Millis = 2_200;
 
-/// Minimum part of the other hubs that must be heard; with fewer, engines look less loaded than
-/// they are.
-const HEARD_SHARE: f64 = 0.66;
+/// Minimum part of the other hubs that must have reported; with fewer, engines look less loaded
+/// than they are.
+const MIN_HUBS_RATIO: f64 = 0.66;
 
 /// What a reported load covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -89,14 +89,14 @@
 #[derive(Debug, Default)]
 pub struct Aggregator {
     /// Reports of nodes that ask this one.
-    near: PeerReports,
+    domain: PeerReports,
     /// Reports of the hub of this node's domain, or of other hubs.
-    far: PeerReports,
-    up: UpdateTracker,
-    down: UpdateTracker,
+    remote: PeerReports,
+    upward: UpdateTracker,
+    downward: UpdateTracker,
     fresh: bool,
     /// The hub that this node reported to last.
-    head: Option<SocketAddr>,
+    hub: Option<SocketAddr>,
 }
 
 impl Aggregator {
@@ -111,12 +111,12 @@
         from: SocketAddr,
         relation: Relation,
         scope: ReportScope,
-        told: &InFlightUpdate,
+        update: &InFlightUpdate,
         now: Millis,
     ) -> Vec<EngineKey> {
         match subtotal_for(scope, relation) {
-            Some(Subtotal::Remote) => self.far.apply(from, now, told),
-            Some(Subtotal::Domain) => self.near.apply(from, now, told),
+            Some(Subtotal::Remote) => self.remote.apply(from, now, update),
+            Some(Subtotal::Domain) => self.domain.apply(from, now, update),
             None => Vec::new(),
         }
     }
@@ -126,74 +126,80 @@
         &mut self,
         now: Millis,
         own: IndexMap<EngineKey, InFlightLoad>,
-        circle: &Neighbors,
+        neighbors: &Neighbors,
     ) -> Vec<OutgoingUpdate> {
-        self.near.expire(now, |addr| circle.children.contains(addr));
-        self.far.expire(now, |addr| Some(*addr) == circle.hub || circle.hubs.contains(addr));
-        self.fresh = self.is_heard(circle, now);
-        let mut sayings: Vec<OutgoingUpdate> = self.leave(circle.hub).into_iter().collect();
-        let mut say = |to: &[SocketAddr], scope, words: Vec<InFlightUpdate>| {
-            let all = words.into_iter().map(|told| OutgoingUpdate {
+        self.domain.expire(now, |addr| neighbors.children.contains(addr));
+        self.remote
+            .expire(now, |addr| Some(*addr) == neighbors.hub || neighbors.hubs.contains(addr));
+        self.fresh = self.has_enough_reports(neighbors, now);
+        let mut updates: Vec<OutgoingUpdate> = self.leave_hub(neighbors.hub).into_iter().collect();
+        let mut send = |to: &[SocketAddr], scope, messages: Vec<InFlightUpdate>| {
+            let outgoing = messages.into_iter().map(|update| OutgoingUpdate {
                 to: to.to_vec(),
                 scope,
-                update: told,
+                update,
             });
-            sayings.extend(all.filter(|saying| !saying.to.is_empty()));
+            updates.extend(outgoing.filter(|update| !update.to.is_empty()));
         };
-        if let Some(head) = circle.hub {
-            say(&[head], ReportScope::Node, self.up.next_updates(now, &own));
-            return sayings;
+        if let Some(hub) = neighbors.hub {
+            send(&[hub], ReportScope::Node, self.upward.next_updates(now, &own));
+            return updates;
         }
-        let domain = add(own, &self.near);
-        say(&circle.hubs, ReportScope::Domain, self.up.next_updates(now, &domain));
-        if !circle.children.is_empty() {
-            let all = add(domain, &self.far);
-            say(&circle.children, ReportScope::Global, self.down.next_updates(now, &all));
+        let domain = add_reports(own, &self.domain);
+        send(&neighbors.hubs, ReportScope::Domain, self.upward.next_updates(now, &domain));
+        if !neighbors.children.is_empty() {
+            let global = add_reports(domain, &self.remote);
+            send(
+                &neighbors.children,
+                ReportScope::Global,
+                self.downward.next_updates(now, &global),
+            );
         }
-        sayings
+        updates
     }
 
     /// On a change of hub: clears the load that the previous hub counts for this node.
-    fn leave(&mut self, head: Option<SocketAddr>) -> Option<OutgoingUpdate> {
-        let before = std::mem::replace(&mut self.head, head);
-        if before == head {
+    fn leave_hub(&mut self, hub: Option<SocketAddr>) -> Option<OutgoingUpdate> {
+        let previous = std::mem::replace(&mut self.hub, hub);
+        if previous == hub {
             return None;
         }
-        self.up = UpdateTracker::default();
-        self.down = UpdateTracker::default();
-        let told = InFlightUpdate {
+        self.upward = UpdateTracker::default();
+        self.downward = UpdateTracker::default();
+        let update = InFlightUpdate {
             full_partition: Some(KeyPartition { part: 0, parts: 1 }),
             rows: Vec::new(),
         };
-        before.map(|before| OutgoingUpdate {
-            to: vec![before],
+        previous.map(|previous| OutgoingUpdate {
+            to: vec![previous],
             scope: ReportScope::Node,
-            update: told,
+            update,
         })
     }
 
-    fn is_heard(&self, circle: &Neighbors, now: Millis) -> bool {
-        let heard = self.far.active_within(FRESH_FOR, now) as f64;
-        let all = if circle.hub.is_some() { 1 } else { circle.hubs.len() };
-        all > 0 && heard >= HEARD_SHARE * all as f64
+    fn has_enough_reports(&self, neighbors: &Neighbors, now: Millis) -> bool {
+        let active = self.remote.active_within(REPORT_TTL, now) as f64;
+        let expected = if neighbors.hub.is_some() { 1 } else { neighbors.hubs.len() };
+        expected > 0 && active >= MIN_HUBS_RATIO * expected as f64
     }
 
     /// Load that all other nodes have in flight at an engine.
     pub fn in_flight_elsewhere(&self, key: EngineKey) -> InFlightLoad {
-        let far = self.far.sum(key);
+        let remote = self.remote.sum(key);
         // The hub's sum includes what this node reported to it.
-        let far = if self.head.is_some() { far.minus(self.up.last_sent(key)) } else { far };
-        far.plus(self.near.sum(key))
+        let remote =
+            if self.hub.is_some() { remote.minus(self.upward.last_sent(key)) } else { remote };
+        remote.plus(self.domain.sum(key))
     }
 }
 
-fn add(
-    mut flights: IndexMap<EngineKey, InFlightLoad>,
-    told: &PeerReports,
+fn add_reports(
+    mut loads: IndexMap<EngineKey, InFlightLoad>,
+    reports: &PeerReports,
 ) -> IndexMap<EngineKey, InFlightLoad> {
-    for (key, flight) in told.sums() {
-        let sum = flights.entry(key).or_default();
-        *sum = sum.plus(flight);
+    for (key, load) in reports.sums() {
+        let sum = loads.entry(key).or_default();
+        *sum = sum.plus(load);
     }
-    flights
+    loads
 }
--- a/crates/direct/src/engines.rs
+++ b/crates/direct/src/engines.rs
@@ -9,7 +9,7 @@
 use crate::{Cursor, Engine, EngineId, EngineInfo, EngineState, Era, ServiceId, StartTime};
 
 /// Maximum number of removed engines that are remembered.
-const MOST_GONE: usize = 1_000;
+const MAX_REMOVED: usize = 1_000;
 
 /// All known engines.
 ///
@@ -20,21 +20,21 @@
     by_id: IndexMap<EngineId, Engine>,
     by_key: IndexMap<EngineKey, EngineId>,
     /// Removed engines.
-    gone: IndexMap<EngineId, Gone>,
+    removed: IndexMap<EngineId, Removed>,
     /// Position at which the backup ends that the store was restored from.
     backup_end: Cursor,
     /// Addresses of engines that have restarted.
-    anew: Vec<SocketAddr>,
+    restarted: Vec<SocketAddr>,
 }
 
 /// A removed engine.
 #[derive(Debug, Clone, Copy, Default)]
-struct Gone {
+struct Removed {
     /// Position of the removal, or of the snapshot that it was missing from.
-    at: Cursor,
-    start: StartTime,
+    position: Cursor,
+    started_at: StartTime,
     /// Whether that incarnation had said that it was leaving.
-    left: bool,
+    was_leaving: bool,
 }
 
 impl Engines {
@@ -67,41 +67,43 @@
 
     /// Applies an engine's list entry. An entry of an earlier incarnation or an earlier position is
     /// ignored; one of a later incarnation replaces everything known about the engine.
-    pub fn upsert(&mut self, mut listed: EngineInfo) {
-        let Some(engine) = self.by_id.get_mut(&listed.id) else {
-            self.list_unknown(listed);
+    pub fn upsert(&mut self, mut info: EngineInfo) {
+        let Some(engine) = self.by_id.get_mut(&info.id) else {
+            self.insert_unknown(info);
             return;
         };
-        let known = engine.info.started_at;
-        if listed.started_at.is_before(known) {
+        let known_start = engine.info.started_at;
+        if info.started_at.is_before(known_start) {
             return;
         }
-        if known.is_before(listed.started_at) {
-            self.begin_anew(listed);
-        } else if listed.position >= engine.info.position {
+        if known_start.is_before(info.started_at) {
+            self.replace_incarnation(info);
+        } else if info.position >= engine.info.position {
             // An entry without a start time is taken to be of the known incarnation.
-            listed.started_at = listed.started_at.max(known);
-            if listed.started_at != known {
+            info.started_at = info.started_at.max(known_start);
+            if info.started_at != known_start {
                 self.by_key.swap_remove(&engine.key());
-                self.by_key.insert(EngineKey::of(&listed.id, listed.started_at), listed.id.clone());
+                self.by_key.insert(EngineKey::of(&info.id, info.started_at), info.id.clone());
             }
-            engine.relist(listed);
-        } else if is_leaving(&listed) {
-            engine.leave();
+            engine.set_info(info);
+        } else if is_leaving(&info) {
+            engine.mark_leaving();
         }
     }
 
-    fn list_unknown(&mut self, listed: EngineInfo) {
-        if self.is_gone(&listed) {
-            if let Some(gone) = self.gone.get_mut(&listed.id) {
-                gone.left |= is_leaving(&listed);
+    fn insert_unknown(&mut self, info: EngineInfo) {
+        if self.is_outdated(&info) {
+            if let Some(removed) = self.removed.get_mut(&info.id) {
+                removed.was_leaving |= is_leaving(&info);
             }
             return;
         }
-        let gone = self.gone.shift_remove(&listed.id);
-        let mut engine = Engine::new(listed);
-        if gone.is_some_and(|gone| gone.left && !gone.start.is_before(engine.info.started_at)) {
-            engine.leave();
+        let removed = self.removed.shift_remove(&info.id);
+        let mut engine = Engine::new(info);
+        if removed.is_some_and(|removed| {
+            removed.was_leaving && !removed.started_at.is_before(engine.info.started_at)
+        }) {
+            engine.mark_leaving();
         }
         self.insert(engine);
     }
@@ -109,18 +111,20 @@
     /// Whether the entry belongs to a removed engine and is not newer than the removal. In a later
     /// era only entries written in that era are newer: the backup may contain engines that have
     /// left since.
-    fn is_gone(&self, listed: &EngineInfo) -> bool {
-        let Some(gone) = self.gone.get(&listed.id) else { return false };
-        if gone.start.is_before(listed.started_at) {
+    fn is_outdated(&self, info: &EngineInfo) -> bool {
+        let Some(removed) = self.removed.get(&info.id) else { return false };
+        if removed.started_at.is_before(info.started_at) {
             return false;
         }
-        listed.position <= gone.at
-            || (listed.position.era > gone.at.era && self.is_from_backup(listed.position))
+        info.position <= removed.position
+            || (info.position.era > removed.position.era && self.is_from_backup(info.position))
     }
 
     /// Whether an entry at this position may come from the backup that the store was restored from.
-    pub fn is_from_backup(&self, at: Cursor) -> bool {
-        at.era > Era::FIRST && at.era == self.backup_end.era && at < self.backup_end
+    pub fn is_from_backup(&self, position: Cursor) -> bool {
+        position.era > Era::FIRST
+            && position.era == self.backup_end.era
+            && position < self.backup_end
     }
 
     /// Position at which that backup ends, as far as known.
@@ -140,7 +144,7 @@
 
     /// Position at which a removed engine was removed.
     pub fn removed_at(&self, id: &EngineId) -> Option<Cursor> {
-        self.gone.get(id).map(|gone| gone.at)
+        self.removed.get(id).map(|removed| removed.position)
     }
 
     fn insert(&mut self, engine: Engine) {
@@ -149,74 +153,79 @@
         self.by_id.insert(id, engine);
     }
 
-    fn begin_anew(&mut self, listed: EngineInfo) {
-        if let Some(before) = self.by_id.get(&listed.id) {
-            self.anew.push(before.info.addr);
-            self.by_key.swap_remove(&before.key());
+    fn replace_incarnation(&mut self, info: EngineInfo) {
+        if let Some(previous) = self.by_id.get(&info.id) {
+            self.restarted.push(previous.info.addr);
+            self.by_key.swap_remove(&previous.key());
         }
-        self.insert(Engine::new(listed));
+        self.insert(Engine::new(info));
     }
 
     /// Returns the engine if a report about this start time applies to its current incarnation. A
     /// later start time discards everything known about the earlier incarnation.
     pub fn observe_start(&mut self, id: &EngineId, start: StartTime) -> Option<&mut Engine> {
         let engine = self.by_id.get(id)?;
-        let known = engine.info.started_at;
-        if start.is_before(known) {
+        let known_start = engine.info.started_at;
+        if start.is_before(known_start) {
             return None;
         }
-        if known.is_before(start) {
-            let listed =
-                EngineInfo { started_at: start, loaded: Vec::new(), ..engine.info.clone() };
-            self.begin_anew(listed);
+        if known_start.is_before(start) {
+            let info = EngineInfo { started_at: start, loaded: Vec::new(), ..engine.info.clone() };
+            self.replace_incarnation(info);
         }
         self.by_id.get_mut(id)
     }
 
     /// Addresses of engines that have restarted since the last call.
     pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.anew)
+        std::mem::take(&mut self.restarted)
     }
 
     /// Marks an engine whose entry cannot be parsed.
-    pub fn mark_unreadable(&mut self, id: &EngineId, at: Cursor) {
-        if let Some(engine) = self.by_id.get_mut(id).filter(|engine| at >= engine.info.position) {
+    pub fn mark_unreadable(&mut self, id: &EngineId, position: Cursor) {
+        if let Some(engine) =
+            self.by_id.get_mut(id).filter(|engine| position >= engine.info.position)
+        {
             engine.info.state = EngineState::Unreadable;
-            engine.info.position = at;
+            engine.info.position = position;
         }
     }
 
     /// Removes an engine whose entry was removed at this position.
-    pub fn remove(&mut self, id: &EngineId, at: Cursor) {
-        if self.by_id.get(id).is_some_and(|engine| engine.info.position > at) {
+    pub fn remove(&mut self, id: &EngineId, position: Cursor) {
+        if self.by_id.get(id).is_some_and(|engine| engine.info.position > position) {
             return;
         }
-        let known = self.gone.get(id).copied().unwrap_or_default();
-        let mut gone = Gone { at: known.at.max(at), ..known };
+        let previous = self.removed.get(id).copied().unwrap_or_default();
+        let mut removed = Removed { position: previous.position.max(position), ..previous };
         if let Some(engine) = self.by_id.shift_remove(id) {
             self.by_key.swap_remove(&engine.key());
-            gone = Gone { start: engine.info.started_at, left: engine.leaves(), ..gone };
+            removed = Removed {
+                started_at: engine.info.started_at,
+                was_leaving: engine.is_leaving(),
+                ..removed
+            };
         }
-        self.gone.insert(id.clone(), gone);
-        if self.gone.len() > MOST_GONE {
-            self.gone.drain(..MOST_GONE / 2);
+        self.removed.insert(id.clone(), removed);
+        if self.removed.len() > MAX_REMOVED {
+            self.removed.drain(..MAX_REMOVED / 2);
         }
     }
 
     /// Applies a complete list that extends to `end`. Engines that it does not contain are removed,
-    /// unless `keep` is set: entries that expired during a store outage return with the next
+    /// unless `keep_missing` is set: entries that expired during a store outage return with the next
     /// heartbeat.
-    pub fn apply_snapshot(&mut self, listed: Vec<EngineInfo>, end: Cursor, keep: bool) {
-        if !keep {
-            let named: IndexSet<&EngineId> = listed.iter().map(|l| &l.id).collect();
-            let missing = self.by_id.keys().filter(|id| !named.contains(id));
+    pub fn apply_snapshot(&mut self, infos: Vec<EngineInfo>, end: Cursor, keep_missing: bool) {
+        if !keep_missing {
+            let listed_ids: IndexSet<&EngineId> = infos.iter().map(|info| &info.id).collect();
+            let missing = self.by_id.keys().filter(|id| !listed_ids.contains(id));
             let missing: Vec<EngineId> = missing.cloned().collect();
             for id in missing {
                 self.remove(&id, end);
             }
         }
-        for listed in listed {
-            self.upsert(listed);
+        for info in infos {
+            self.upsert(info);
         }
     }
 }
--- a/crates/direct/src/freshness.rs
+++ b/crates/direct/src/freshness.rs
@@ -8,13 +8,13 @@
 
 /// Maximum number of versions that are kept; a node may hear of versions that it has not fetched
 /// yet.
-const MOST_KEPT: usize = 4;
+const MAX_CHECKS: usize = 4;
 
 /// An observation that no newer version than this one existed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionCheck {
     pub newest: u64,
-    /// When the store was asked, on the clock that includes suspension. The answer holds for this
+    /// When the store was asked, on the clock that includes suspension. The response holds for this
     /// time, however late it arrives.
     pub asked_at: Duration,
 }
@@ -22,29 +22,29 @@
 /// Latest observations, by this node or reported by others.
 #[derive(Debug, Clone, Default)]
 pub struct FreshnessProof {
-    seen: Vec<VersionCheck>,
+    checks: Vec<VersionCheck>,
 }
 
 impl FreshnessProof {
-    pub fn record(&mut self, seen: VersionCheck) {
-        self.seen.retain(|known| known.newest != seen.newest || known.asked_at > seen.asked_at);
-        if !self.seen.iter().any(|known| known.newest == seen.newest) {
-            self.seen.push(seen);
+    pub fn record(&mut self, check: VersionCheck) {
+        self.checks.retain(|other| other.newest != check.newest || other.asked_at > check.asked_at);
+        if !self.checks.iter().any(|other| other.newest == check.newest) {
+            self.checks.push(check);
         }
-        if self.seen.len() > MOST_KEPT {
-            self.seen.sort_unstable_by_key(|seen| seen.newest);
-            self.seen.remove(0);
+        if self.checks.len() > MAX_CHECKS {
+            self.checks.sort_unstable_by_key(|check| check.newest);
+            self.checks.remove(0);
         }
     }
 
     /// The latest observation that `version` was the newest.
     pub fn latest_check(&self, version: u64) -> Option<VersionCheck> {
-        let known = self.seen.iter().filter(|seen| seen.newest <= version);
-        known.max_by_key(|seen| seen.asked_at).copied()
+        let checks = self.checks.iter().filter(|check| check.newest <= version);
+        checks.max_by_key(|check| check.asked_at).copied()
     }
 
     /// Time since `version` was last known to be the newest.
     pub fn age(&self, version: u64, now: Duration) -> Option<Duration> {
-        self.latest_check(version).map(|seen| now.saturating_sub(seen.asked_at))
+        self.latest_check(version).map(|check| now.saturating_sub(check.asked_at))
     }
 }
--- a/crates/direct/src/hubs.rs
+++ b/crates/direct/src/hubs.rs
@@ -13,30 +13,30 @@
 
 /// Minimum number of nodes in a domain that uses a hub; for fewer the additional hop costs more
 /// than it saves.
-const FEWEST: usize = 5;
+const MIN_NODES: usize = 5;
 
-/// Maximum number of hub candidates per domain. If none of them answers, each node asks the leader.
-const CANDIDATES: usize = 3;
+/// Maximum number of hub candidates per domain. If none of them responds, each node asks the leader.
+const MAX_CANDIDATES: usize = 3;
 
 /// Minimum CPU share of a candidate, as a part of the largest in its domain. Small VMs would
 /// saturate their links and delay requests.
-const AS_LARGE: f64 = 0.5;
+const MIN_CPU_RATIO: f64 = 0.5;
 
 /// Number of nodes that may poll the same node at the full rate.
-const FEW_CHILDREN: u32 = 10;
+const CHILDREN_PER_STEP: u32 = 10;
 
 /// Maximum poll interval factor; with longer intervals updates would be outdated on arrival.
-const MOST_CROWD: u32 = 12;
+const MAX_INTERVAL_FACTOR: u32 = 12;
 
 /// Maximum poll interval factor due to the total number of nodes. With many nodes engines change
 /// often, and each change is sent to each hub.
-const CROWD_OF_MANY: u32 = 4;
+const MAX_FACTOR_BY_NODES: u32 = 4;
 
 /// Time for which an unresponsive node is skipped.
-const SILENT_FOR: Millis = 3_000;
+const UNRESPONSIVE_SKIP: Millis = 3_000;
 
-/// Time for which a node that answers with outdated data is skipped.
-const STALE_FOR: Millis = 2_000;
+/// Time for which a node that responds with outdated data is skipped.
+const STALE_SKIP: Millis = 2_000;
 
 /// A node as known to the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -55,15 +55,16 @@
 ///
 /// The order depends on the list of members only, so that all nodes agree without communication.
 pub fn candidates(members: &[Member], domain: &str) -> Vec<Member> {
-    let mut own: Vec<&Member> = members.iter().filter(|m| m.domain == domain).collect();
-    if own.len() < FEWEST {
+    let mut in_domain: Vec<&Member> = members.iter().filter(|m| m.domain == domain).collect();
+    if in_domain.len() < MIN_NODES {
         return Vec::new();
     }
-    let largest = own.iter().map(|m| m.cpu_share).fold(0.0, f64::max);
-    own.retain(|m| m.cpu_share >= AS_LARGE * largest);
-    let key = |m: &Member| xxh3_64(m.node.as_bytes());
-    own.sort_by(|a, b| b.cpu_share.total_cmp(&a.cpu_share).then(key(a).cmp(&key(b))));
-    own.into_iter().take(CANDIDATES).cloned().collect()
+    let largest = in_domain.iter().map(|m| m.cpu_share).fold(0.0, f64::max);
+    in_domain.retain(|m| m.cpu_share >= MIN_CPU_RATIO * largest);
+    let name_hash = |m: &Member| xxh3_64(m.node.as_bytes());
+    in_domain
+        .sort_by(|a, b| b.cpu_share.total_cmp(&a.cpu_share).then(name_hash(a).cmp(&name_hash(b))));
+    in_domain.into_iter().take(MAX_CANDIDATES).cloned().collect()
 }
 
 /// The node that is asked for updates.
@@ -77,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SkipReason {
     Unresponsive,
-    /// It answers, but has not received anything new itself.
+    /// It responds, but has not received anything new itself.
     Stale,
 }
 
@@ -85,7 +86,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Hubs {
     candidates: Vec<Member>,
-    passed_over: IndexMap<SocketAddr, (SkipReason, Millis)>,
+    skipped: IndexMap<SocketAddr, (SkipReason, Millis)>,
 }
 
 impl Hubs {
@@ -98,31 +99,32 @@
     }
 
     /// Skips a candidate or the leader for a while.
-    pub fn skip(&mut self, addr: SocketAddr, why: SkipReason, now: Millis) {
-        self.passed_over.retain(|_, (_, until)| now < *until);
-        let time = match why {
-            SkipReason::Unresponsive => SILENT_FOR,
-            SkipReason::Stale => STALE_FOR,
+    pub fn skip(&mut self, addr: SocketAddr, reason: SkipReason, now: Millis) {
+        self.skipped.retain(|_, (_, until)| now < *until);
+        let time = match reason {
+            SkipReason::Unresponsive => UNRESPONSIVE_SKIP,
+            SkipReason::Stale => STALE_SKIP,
         };
-        self.passed_over.insert(addr, (why, now + time));
+        self.skipped.insert(addr, (reason, now + time));
     }
 
-    /// The node that the node at `me` asks, with the leader at `holder`.
+    /// The node that the node at `me` asks, with the leader at `leader`.
     ///
     /// If all candidates are outdated the leader is asked, as the store may refuse a whole domain.
     /// If the leader is outdated too, the store is down for all nodes, and the first candidate that
-    /// answers is asked.
-    pub fn parent(&self, me: SocketAddr, holder: Option<SocketAddr>, now: Millis) -> Parent {
-        let others = || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != holder);
+    /// responds is asked.
+    pub fn parent(&self, me: SocketAddr, leader: Option<SocketAddr>, now: Millis) -> Parent {
+        let candidates =
+            || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != leader);
         let state = |addr: &SocketAddr| {
-            let (why, until) = self.passed_over.get(addr)?;
-            (now < *until).then_some(*why)
+            let (reason, until) = self.skipped.get(addr)?;
+            (now < *until).then_some(*reason)
         };
-        let first = others().find(|addr| *addr == me || state(addr).is_none());
-        let holder_knows = holder.is_some_and(|holder| state(&holder).is_none());
-        let answers = || others().find(|addr| state(addr) == Some(SkipReason::Stale));
-        let asked = first.or_else(|| if holder_knows { None } else { answers() });
-        match asked {
+        let first = candidates().find(|addr| *addr == me || state(addr).is_none());
+        let leader_is_current = leader.is_some_and(|leader| state(&leader).is_none());
+        let stale = || candidates().find(|addr| state(addr) == Some(SkipReason::Stale));
+        let hub = first.or_else(|| if leader_is_current { None } else { stale() });
+        match hub {
             Some(addr) if addr != me => Parent::Hub(addr),
             _ => Parent::Leader,
         }
@@ -132,8 +134,8 @@
 /// Factor by which a node extends its poll interval if its parent has this many children, with this
 /// many nodes in total.
 pub fn poll_interval_factor(children: u32, nodes: u32) -> u32 {
-    let of_all = nodes.div_ceil(FEW_CHILDREN).min(CROWD_OF_MANY);
-    children.div_ceil(FEW_CHILDREN).max(of_all).clamp(1, MOST_CROWD)
+    let by_nodes = nodes.div_ceil(CHILDREN_PER_STEP).min(MAX_FACTOR_BY_NODES);
+    children.div_ceil(CHILDREN_PER_STEP).max(by_nodes).clamp(1, MAX_INTERVAL_FACTOR)
 }
 
 /// Hash by which two nodes detect that they know the same candidates.
--- a/crates/direct/src/list_changes.rs
+++ b/crates/direct/src/list_changes.rs
@@ -27,31 +27,31 @@
     }
 
     /// The next version, for a change that was learned without reading on.
-    fn found(self) -> ListVersion {
+    fn next(self) -> ListVersion {
         ListVersion(self.0, self.1.saturating_add(1))
     }
 }
 
 /// Maximum number of removed engines that are remembered; a node that is further behind gets the
 /// complete list.
-const MOST_GONE: usize = 1_000;
+const MAX_REMOVED: usize = 1_000;
 
 /// Maximum length of a list that is sent in full to a node that is behind. Longer lists take too
 /// much bandwidth, so that node reads it from the store.
-const MOST_WHOLE: usize = 400;
+const MAX_FULL_LIST: usize = 400;
 
-/// Whether a node polls the store while there is no leader. `draw` is a random number of the node,
-/// `crowd` the poll interval factor.
+/// Whether a node polls the store while there is no leader. `random` is a random number of the
+/// node, `interval_factor` the poll interval factor.
 ///
 /// Prevents many nodes from overloading the store with reads of a long list, which would also delay
 /// the next leader.
-pub fn polls_store(engines: &Engines, crowd: u32, draw: u32) -> bool {
-    !is_large_list(engines) || draw.is_multiple_of(crowd.max(1))
+pub fn polls_store(engines: &Engines, interval_factor: u32, random: u32) -> bool {
+    !is_large_list(engines) || random.is_multiple_of(interval_factor.max(1))
 }
 
 /// Whether the list is too long to be sent to each node in full.
 pub fn is_large_list(engines: &Engines) -> bool {
-    engines.iter().count() > MOST_WHOLE
+    engines.iter().count() > MAX_FULL_LIST
 }
 
 /// Wire form of an engine's list entry.
@@ -115,45 +115,45 @@
 #[derive(Debug, Default)]
 pub struct ListChanges {
     /// Version from which on all changes are known.
-    begun: Option<ListVersion>,
+    first_version: Option<ListVersion>,
     /// Version of the list.
-    at: ListVersion,
+    version: ListVersion,
     /// Version of the latest change.
     changed_at: ListVersion,
     /// Version of the latest change by engine.
-    known: IndexMap<EngineId, (ListVersion, Signature)>,
-    gone: Vec<(ListVersion, EngineId)>,
+    entries: IndexMap<EngineId, (ListVersion, Fingerprint)>,
+    removed: Vec<(ListVersion, EngineId)>,
 }
 
 /// The parts of an entry whose changes are distributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Signature {
-    start: StartTime,
-    leaves: bool,
+struct Fingerprint {
+    started_at: StartTime,
+    is_leaving: bool,
     unreadable: bool,
-    cold: bool,
+    warming_up: bool,
     slots: u32,
     addr: SocketAddr,
     /// Whether the entry may come from a backup that the store was restored from.
-    copied: bool,
+    from_backup: bool,
 }
 
-impl Signature {
-    fn stands_as(&self, other: &Signature) -> bool {
-        (self.leaves, self.unreadable) == (other.leaves, other.unreadable)
+impl Fingerprint {
+    fn has_same_state(&self, other: &Fingerprint) -> bool {
+        (self.is_leaving, self.unreadable) == (other.is_leaving, other.unreadable)
     }
 }
 
-fn signature(engines: &Engines, engine: &Engine) -> Signature {
-    let listed = &engine.info;
-    Signature {
-        start: listed.started_at,
-        leaves: matches!(listed.state, EngineState::Leaving { .. }),
-        unreadable: listed.state == EngineState::Unreadable,
-        cold: listed.warmup_ms_left > 0,
-        slots: listed.slots,
-        addr: listed.addr,
-        copied: engines.is_from_backup(listed.position),
+fn fingerprint(engines: &Engines, engine: &Engine) -> Fingerprint {
+    let info = &engine.info;
+    Fingerprint {
+        started_at: info.started_at,
+        is_leaving: matches!(info.state, EngineState::Leaving { .. }),
+        unreadable: info.state == EngineState::Unreadable,
+        warming_up: info.warmup_ms_left > 0,
+        slots: info.slots,
+        addr: info.addr,
+        from_backup: engines.is_from_backup(info.position),
     }
 }
 
@@ -170,46 +170,46 @@
     /// Compares the list, read up to `cursor`, with the known one. Returns the changes of state;
     /// none for the first list.
     pub fn update(&mut self, engines: &Engines, cursor: Cursor) -> Vec<EngineStateChange> {
-        let is_first = self.begun.is_none();
+        let is_first = self.first_version.is_none();
         let mut changed = Vec::new();
         let mut changes = Vec::new();
         for engine in engines.iter() {
-            let (id, now) = (&engine.info.id, signature(engines, engine));
-            let then = self.known.get(id).map(|(_, then)| *then);
-            if then != Some(now) {
-                changed.push((id.clone(), now));
+            let (id, current) = (&engine.info.id, fingerprint(engines, engine));
+            let previous = self.entries.get(id).map(|(_, previous)| *previous);
+            if previous != Some(current) {
+                changed.push((id.clone(), current));
             }
-            if !is_first && then.is_none_or(|then| !then.stands_as(&now)) {
-                let standing = Some(engine.info.state);
-                changes.push(EngineStateChange { engine: id.clone(), state: standing });
+            if !is_first && previous.is_none_or(|previous| !previous.has_same_state(&current)) {
+                let state = Some(engine.info.state);
+                changes.push(EngineStateChange { engine: id.clone(), state });
             }
         }
-        let lost: Vec<EngineId> =
-            self.known.keys().filter(|id| engines.get(id).is_none()).cloned().collect();
-        let news = !changed.is_empty() || !lost.is_empty();
-        let read = ListVersion::at_position(cursor);
-        if read > self.at || self.begun.is_none() {
-            self.at = read;
-        } else if news {
+        let removed: Vec<EngineId> =
+            self.entries.keys().filter(|id| engines.get(id).is_none()).cloned().collect();
+        let has_changes = !changed.is_empty() || !removed.is_empty();
+        let read_version = ListVersion::at_position(cursor);
+        if read_version > self.version || self.first_version.is_none() {
+            self.version = read_version;
+        } else if has_changes {
             // A change that was learned without reading on gets a later version.
-            self.at = self.at.found();
+            self.version = self.version.next();
         }
-        self.begun.get_or_insert(self.at);
-        if news {
-            self.changed_at = self.at;
+        self.first_version.get_or_insert(self.version);
+        if has_changes {
+            self.changed_at = self.version;
         }
-        for (id, signature) in changed {
-            self.gone.retain(|(_, gone)| *gone != id);
-            self.known.insert(id, (self.at, signature));
+        for (id, fingerprint) in changed {
+            self.removed.retain(|(_, other)| *other != id);
+            self.entries.insert(id, (self.version, fingerprint));
         }
-        for id in lost {
+        for id in removed {
             changes.push(EngineStateChange { engine: id.clone(), state: None });
-            self.known.shift_remove(&id);
-            self.gone.push((self.at, id));
+            self.entries.shift_remove(&id);
+            self.removed.push((self.version, id));
         }
-        if self.gone.len() > MOST_GONE {
-            let dropped = self.gone.drain(..MOST_GONE / 2).next_back();
-            self.begun = dropped.map(|(at, _)| at).or(self.begun);
+        if self.removed.len() > MAX_REMOVED {
+            let dropped = self.removed.drain(..MAX_REMOVED / 2).next_back();
+            self.first_version = dropped.map(|(at, _)| at).or(self.first_version);
         }
         changes
     }
@@ -219,58 +219,54 @@
     }
 
     /// Whether a node with this version needs no update.
-    pub fn is_up_to_date(&self, since: Option<ListVersion>) -> bool {
-        let is_known = |since| self.begun.is_some_and(|begun| since >= begun);
-        self.begun.is_none()
-            || since.is_none_or(|since| is_known(since) && self.changed_at <= since)
+    pub fn is_up_to_date(&self, version: Option<ListVersion>) -> bool {
+        let is_known = |version| self.first_version.is_some_and(|first| version >= first);
+        self.first_version.is_none()
+            || version.is_none_or(|version| is_known(version) && self.changed_at <= version)
     }
 
     /// The update for a node with this version; empty for a node without a list.
-    pub fn changes_since(&self, engines: &Engines, since: Option<ListVersion>) -> ListUpdate {
-        if self.begun.is_none() {
+    pub fn changes_since(&self, engines: &Engines, version: Option<ListVersion>) -> ListUpdate {
+        if self.first_version.is_none() {
             return ListUpdate { kind: ListUpdateKind::Unknown, ..ListUpdate::default() };
         }
-        let Some(since) = since else {
-            return ListUpdate { version: self.at, ..ListUpdate::default() };
+        let Some(version) = version else {
+            return ListUpdate { version: self.version, ..ListUpdate::default() };
         };
-        let is_known = self.begun.is_some_and(|begun| since >= begun);
-        let part = match is_known {
+        let is_known = self.first_version.is_some_and(|first| version >= first);
+        let kind = match is_known {
             true => ListUpdateKind::Changes,
-            false if self.known.len() <= MOST_WHOLE => ListUpdateKind::Full,
+            false if self.entries.len() <= MAX_FULL_LIST => ListUpdateKind::Full,
             false => {
                 return ListUpdate { kind: ListUpdateKind::RereadStore, ..ListUpdate::default() };
             }
         };
-        let newer =
-            self.known.iter().filter(|(_, (at, _))| part == ListUpdateKind::Full || *at > since);
-        let told = newer.filter_map(|(id, _)| engines.get(id).map(passed)).collect();
-        let gone = self.gone.iter().filter(|(at, _)| *at > since);
-        let gone =
-            gone.map(|(at, id)| (id.clone(), engines.removed_at(id).unwrap_or(at.position())));
-        let (gone, copy_end) = (gone.collect(), engines.backup_end());
-        ListUpdate {
-            version: self.at,
-            backup_end: copy_end,
-            kind: part,
-            engines: told,
-            removed: gone,
-        }
+        let changed = self
+            .entries
+            .iter()
+            .filter(|(_, (at, _))| kind == ListUpdateKind::Full || *at > version);
+        let records = changed.filter_map(|(id, _)| engines.get(id).map(engine_record)).collect();
+        let removed = self.removed.iter().filter(|(at, _)| *at > version);
+        let removed =
+            removed.map(|(at, id)| (id.clone(), engines.removed_at(id).unwrap_or(at.position())));
+        let (removed, backup_end) = (removed.collect(), engines.backup_end());
+        ListUpdate { version: self.version, backup_end, kind, engines: records, removed }
     }
 }
 
-fn passed(engine: &Engine) -> EngineRecord {
-    let listed = &engine.info;
+fn engine_record(engine: &Engine) -> EngineRecord {
+    let info = &engine.info;
     EngineRecord {
-        engine: listed.id.clone(),
-        position: listed.position,
-        started_at: listed.started_at,
-        service: listed.service.0.clone(),
-        addr: listed.addr,
-        domain: listed.domain.clone(),
-        slots: listed.slots,
-        leaving: matches!(listed.state, EngineState::Leaving { .. }),
-        unreadable: listed.state == EngineState::Unreadable,
-        warming_up: listed.warmup_ms_left > 0,
-        loaded: listed.loaded.clone(),
+        engine: info.id.clone(),
+        position: info.position,
+        started_at: info.started_at,
+        service: info.service.0.clone(),
+        addr: info.addr,
+        domain: info.domain.clone(),
+        slots: info.slots,
+        leaving: matches!(info.state, EngineState::Leaving { .. }),
+        unreadable: info.state == EngineState::Unreadable,
+        warming_up: info.warmup_ms_left > 0,
+        loaded: info.loaded.clone(),
     }
 }
--- /dev/null
+++ b/crates/direct/src/placement/load_distribution.rs
@@ -0,0 +1,92 @@
+//! Estimates how demand distributes over the copies of models.
+
+use indexmap::IndexMap;
+
+use super::models::PendingLoads;
+use crate::{Engine, Rates};
+
+/// Number of parts in which the demand for a model is distributed over its copies.
+const PARTS: u32 = 16;
+
+/// Rounds of distribution; in the second, each model takes all others into account.
+const ROUNDS: u32 = 2;
+
+/// Distribution of the demand for all models, if each request goes to the least loaded copy.
+///
+/// The number of copies alone does not show that copies of busy models share an engine while others
+/// are idle.
+#[derive(Debug)]
+pub(super) struct LoadDistribution<'a> {
+    /// Requests per second at each engine, in the order of the engines.
+    loads: Vec<f64>,
+    /// Indices of the engines that have, or are loading, each model.
+    copies: IndexMap<&'a str, Vec<usize>>,
+}
+
+impl<'a> LoadDistribution<'a> {
+    pub(super) fn of(
+        engines: &[&'a Engine],
+        pending: &'a PendingLoads,
+        rates: &Rates,
+    ) -> LoadDistribution<'a> {
+        let mut copies: IndexMap<&str, Vec<usize>> = IndexMap::new();
+        for (index, engine) in engines.iter().enumerate() {
+            for loaded in &engine.info.loaded {
+                copies.entry(&loaded.model).or_default().push(index);
+            }
+            let loading = pending.get(&engine.info.id).filter(|m| !engine.has_model(m));
+            if let Some(model) = loading {
+                copies.entry(model).or_default().push(index);
+            }
+        }
+        let mut distribution = LoadDistribution { loads: vec![0.0; engines.len()], copies };
+        distribution.distribute(rates);
+        distribution
+    }
+
+    fn distribute(&mut self, rates: &Rates) {
+        // Models with the fewest copies have the least choice and go first.
+        self.copies.sort_by(|_, a, _, b| a.len().cmp(&b.len()));
+        let mut assigned: Vec<Vec<f64>> =
+            self.copies.values().map(|h| vec![0.0; h.len()]).collect();
+        for _ in 0..ROUNDS {
+            for ((model, copies), assigned) in self.copies.iter().zip(&mut assigned) {
+                let part = rates.of_model(model) / f64::from(PARTS);
+                if part == 0.0 {
+                    continue;
+                }
+                for (index, share) in copies.iter().zip(assigned.iter_mut()) {
+                    self.loads[*index] -= std::mem::take(share);
+                }
+                for _ in 0..PARTS {
+                    let loads = &self.loads;
+                    let min = (0..copies.len())
+                        .min_by(|a, b| loads[copies[*a]].total_cmp(&loads[copies[*b]]));
+                    let Some(min) = min else { break };
+                    self.loads[copies[min]] += part;
+                    assigned[min] += part;
+                }
+            }
+        }
+    }
+
+    /// Requests per second at the engine with this index.
+    pub(super) fn load(&self, index: usize) -> f64 {
+        self.loads[index]
+    }
+
+    /// Requests per second at the least loaded copy of a model.
+    pub(super) fn min_copy_load(&self, model: &str) -> Option<f64> {
+        let copies = self.copies.get(model)?;
+        copies.iter().map(|index| self.loads[*index]).min_by(f64::total_cmp)
+    }
+
+    /// Requests per second at the most loaded engine.
+    pub(super) fn max(&self) -> f64 {
+        self.loads.iter().copied().fold(0.0, f64::max)
+    }
+
+    pub(super) fn mean(&self) -> f64 {
+        self.loads.iter().sum::<f64>() / self.loads.len().max(1) as f64
+    }
+}
