--- a/crates/hibiscusgw/src/check.rs
+++ b/crates/hibiscusgw/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a configuration document and finds its faults, without a platform.
+//! `check`: validates a configuration document offline.
 
 use std::fs;
 
@@ -20,7 +20,6 @@
     Ok(())
 }
 
-/// Reads the bytes of a document.
 pub(crate) fn read_document(file: &str) -> Result<Vec<u8>> {
     fs::read(file).map_err(|source| Error::File { file: file.to_owned(), source })
 }
--- a/crates/hibiscusgw/src/client/framing.rs
+++ b/crates/hibiscusgw/src/client/framing.rs
@@ -1,4 +1,4 @@
-//! gRPC's frame around a message: a flag for compression, the length, the message.
+//! The gRPC message frame: a compression flag, the length and the message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
@@ -25,7 +25,7 @@
     M::decode(message).map_err(|_| Error::Malformed)
 }
 
-/// Undoes the percent encoding of a status message; what is not encoded well stays as it is.
+/// Decodes the percent encoding of a status message; invalid sequences are kept as they are.
 pub(super) fn percent_decode(text: &str) -> String {
     let mut out = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/hibiscusgw/src/client/mod.rs
+++ b/crates/hibiscusgw/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to a node as an operator makes them.
+//! Client for the operator API of a node.
 
 mod error;
 mod framing;
@@ -20,20 +20,19 @@
 
 pub use error::{Error, Result};
 
-/// Longest wait for the answer to a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Largest answer, in bytes: the state of a large node.
+/// The state dump of a large node is the largest response.
 const MAX_ANSWER: usize = 64 << 20;
 
-/// HTTP/2's own default. With a larger window, answers of more than that break off with
-/// `FLOW_CONTROL_ERROR`: the server (xitca-http 0.9.6) then sends more than the window allows.
+/// The HTTP/2 default. With a larger window, longer responses fail with `FLOW_CONTROL_ERROR`, because
+/// the server (xitca-http 0.9.6) sends more than the window allows.
 const STREAM_WINDOW: u32 = 65_535;
 
 const GRPC_STATUS: &str = "grpc-status";
 const GRPC_MESSAGE: &str = "grpc-message";
 
-/// Calls one node.
+/// Client for one node.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: HttpClient<HttpConnector, Full<Bytes>>,
@@ -42,7 +41,7 @@
 }
 
 impl Client {
-    /// Calls the node whose listener for operators is at `addr`; connects at the first call.
+    /// Creates a client for the operator listener at `addr`; the first call connects.
     pub fn new(addr: SocketAddr, token: &str) -> Client {
         let mut http = HttpClient::builder(TokioExecutor::new());
         http.http2_only(true).http2_initial_stream_window_size(STREAM_WINDOW);
@@ -50,27 +49,27 @@
         Client { http, addr, token: token.to_owned() }
     }
 
-    /// Publishes a configuration.
+    /// Publishes a configuration document.
     pub async fn apply(&self, req: &ApplyRequest) -> Result<ApplyReply> {
         self.call(path::APPLY, req).await
     }
 
-    /// Asks what became of a change.
+    /// Queries the outcome of the change with this id.
     pub async fn outcome(&self, id: &str) -> Result<ApplyReply> {
         self.call(path::OUTCOME, &OutcomeRequest { id: id.to_owned() }).await
     }
 
-    /// Asks for the configuration in force.
+    /// Gets the configuration in force.
     pub async fn get(&self) -> Result<GetReply> {
         self.call(path::GET, &GetRequest {}).await
     }
 
-    /// Asks which nodes are at which version.
+    /// Lists the nodes that the node knows, with their configuration versions.
     pub async fn status(&self) -> Result<StatusReply> {
         self.call(path::STATUS, &StatusRequest {}).await
     }
 
-    /// Asks for the whole state of the process.
+    /// Gets a dump of the node's state, as JSON.
     pub async fn state(&self) -> Result<StateReply> {
         self.call(path::STATE, &StateRequest {}).await
     }
@@ -82,7 +81,7 @@
     ) -> Result<Reply> {
         let answer = tokio::time::timeout(CALL_TIMEOUT, self.send(path, req)).await;
         let (head, body) = answer.map_err(|_| Error::NoAnswer { addr: self.addr })??;
-        // A refusal has its status in the head, or behind an empty body.
+        // A refusal carries its status in the headers, or in the trailers of an empty body.
         let trailers = body.trailers().cloned().unwrap_or_default();
         let status = [&trailers, &head].into_iter().find_map(status).ok_or(Error::NoStatus)?;
         if status != 0 {
--- a/crates/hibiscusgw/src/command.rs
+++ b/crates/hibiscusgw/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line and runs the command.
 
 use std::io::Write;
 use std::path::Path;
@@ -23,32 +23,32 @@
 }
 
 #[derive(Debug, Options)]
-#[expect(clippy::large_enum_variant, reason = "there is one, and only at start")]
+#[expect(clippy::large_enum_variant, reason = "one value exists, at startup")]
 enum Command {
     #[options(help = "run a node until SIGTERM or SIGINT")]
     Serve(ServeFlags),
-    #[options(help = "find the faults of a configuration document, without a platform")]
+    #[options(help = "validate a configuration document offline")]
     Check(CheckFlags),
     #[options(help = "publish a configuration document through a node")]
     Apply(ApplyFlags),
-    #[options(help = "tell what became of a change")]
+    #[options(help = "print the outcome of a change")]
     Outcome(OutcomeFlags),
     #[options(help = "print the configuration in force at a node")]
     Get(NodeFlags),
-    #[options(help = "print which nodes a node knows, and their versions")]
+    #[options(help = "print the nodes that a node knows and their configuration versions")]
     Status(NodeFlags),
     #[options(help = "print the whole state of a node as JSON")]
     State(NodeFlags),
-    #[options(help = "tell the story of a request from log lines on standard input")]
+    #[options(help = "print the events of one request from log lines on standard input")]
     Explain(ExplainFlags),
     #[options(
-        help = "tell how requests fared and engines were loaded, from log lines on standard input"
+        help = "summarize request outcomes and engine load from log lines on standard input"
     )]
     Report(ReportFlags),
 }
 
-/// Flags of `serve`. Each one may be given by the environment variable HIBISCUSGW_NAME instead, with
-/// `_` for `-`.
+/// Runs a node. Each option can also be set by an environment variable: HIBISCUSGW_ and the name of the
+/// option in upper case, with `_` for `-`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct ServeFlags {
     /// Print this help
@@ -62,55 +62,55 @@
     /// Failure domain of this node (required)
     #[options(no_short, meta = "ID")]
     pub(crate) domain: Option<String>,
-    /// Listener for callers (127.0.0.1:8080)
+    /// Address to listen on for callers (default: 127.0.0.1:8080)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) callers: Option<String>,
-    /// Listener for peers (127.0.0.1:8081)
+    /// Address to listen on for peers (default: 127.0.0.1:8081)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) peers: Option<String>,
-    /// Listener for operators (127.0.0.1:8082)
+    /// Address to listen on for operators (default: 127.0.0.1:8082)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) operators: Option<String>,
-    /// Address at which peers reach this node (that of --peers)
+    /// Address at which peers reach this node (default: that of --peers)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) advertise: Option<String>,
-    /// Address of the platform's log and list of VMs (127.0.0.1:7070)
+    /// Address of the platform's log and list of VMs (default: 127.0.0.1:7070)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) platform: Option<String>,
-    /// Secret that all nodes share (required; better by its variable)
+    /// Secret shared by all nodes (required; prefer the environment variable)
     #[options(no_short, meta = "TEXT")]
     pub(crate) secret: Option<String>,
-    /// Token that operators' calls must carry (required; better by its variable)
+    /// Token that operator calls must carry (required; prefer the environment variable)
     #[options(no_short, meta = "TEXT")]
     pub(crate) operator_token: Option<String>,
-    /// Token for engines that ask for one with orders
+    /// Token sent with orders, for engines that require one
     #[options(no_short, meta = "TEXT")]
     pub(crate) order_token: Option<String>,
-    /// Listener for readers of the metrics, on the users' platform only (port 9464 of the node)
+    /// Address to serve metrics on, only with a settings file (default: port 9464 of the node)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) metrics: Option<String>,
-    /// Shards of idempotency keys, the same on all nodes (8)
+    /// Number of idempotency-key shards, the same on all nodes (default: 8)
     #[options(no_short, meta = "N")]
     pub(crate) key_shards: Option<String>,
-    /// Threads that serve callers (1)
+    /// Number of threads that serve callers (default: 1)
     #[options(no_short, meta = "N")]
     pub(crate) caller_threads: Option<String>,
-    /// Open connections of callers (8192)
+    /// Maximum number of open caller connections (default: 8192)
     #[options(no_short, meta = "N")]
     pub(crate) max_connections: Option<String>,
-    /// Open requests of callers (8192)
+    /// Maximum number of open caller requests (default: 8192)
     #[options(no_short, meta = "N")]
     pub(crate) max_requests: Option<String>,
-    /// Bytes of a request body (4194304)
+    /// Maximum size of a request body in bytes (default: 4194304)
     #[options(no_short, meta = "N")]
     pub(crate) max_body: Option<String>,
-    /// Tokens that a caller may ask for (8192)
+    /// Maximum number of tokens that a caller may request (default: 8192)
     #[options(no_short, meta = "N")]
     pub(crate) max_tokens: Option<String>,
-    /// Log lines as plain text or json (plain)
+    /// Log format, plain or json (default: plain; json with a settings file)
     #[options(no_short, meta = "FORMAT")]
     pub(crate) log_format: Option<String>,
-    /// Least level that is logged (info)
+    /// Minimum log level (default: info)
     #[options(no_short, meta = "LEVEL")]
     pub(crate) log_level: Option<String>,
 }
@@ -146,16 +146,16 @@
     /// Print the version
     #[options(short = "V")]
     version: bool,
-    /// Longest pause of a stream that is on time, in milliseconds
+    /// Longest pause between stream events that is not reported as late, in milliseconds
     #[options(no_short, meta = "MS", default = "250")]
     pause: f64,
-    /// Write a plot there, as SVG
+    /// Write a plot to this file, as SVG
     #[options(no_short, meta = "FILE")]
     svg: Option<String>,
 }
 
-/// Flags of `get`, `status` and `state`. Each one may be given by the environment variable
-/// HIBISCUSGW_NAME instead, with `_` for `-`.
+/// Queries a node. Each option can also be set by an environment variable: HIBISCUSGW_ and the name of
+/// the option in upper case, with `_` for `-`.
 #[derive(Debug, Default, Options)]
 pub(crate) struct NodeFlags {
     /// Print this help
@@ -163,23 +163,23 @@
     /// Print the version
     #[options(short = "V")]
     version: bool,
-    /// Listener for operators of the node to ask (127.0.0.1:8082)
+    /// Operator listener of the node to call (default: 127.0.0.1:8082)
     #[options(no_short, meta = "IP:PORT")]
     pub(crate) operators: Option<String>,
-    /// Token of operators (required; better by its variable)
+    /// Operator token (required; prefer the environment variable)
     #[options(no_short, meta = "TEXT")]
     pub(crate) operator_token: Option<String>,
 }
 
 impl NodeFlags {
-    /// The flags that name a node, as another command has them among its own.
     fn new(operators: &Option<String>, operator_token: &Option<String>) -> Self {
         let (operators, operator_token) = (operators.clone(), operator_token.clone());
         NodeFlags { operators, operator_token, ..NodeFlags::default() }
     }
 }
 
-/// Flags of `apply`. The listener and the token may be given by environment variables instead.
+/// Publishes a configuration document. The listener and the token can also be set by environment
+/// variables.
 #[derive(Debug, Options)]
 pub(crate) struct ApplyFlags {
     /// Print this help
@@ -190,28 +190,27 @@
     /// The document, as JSON
     #[options(free, required)]
     pub(crate) file: String,
-    /// Version that the document was made from; 0 where none is in force
+    /// Version that the document was edited from; 0 if none is in force
     #[options(no_short, required, meta = "N")]
     pub(crate) base: u64,
-    /// Name of the change, to ask again by; the node chooses one if not given
+    /// Id of the change, to query its outcome later; generated by the node if not given
     #[options(no_short, meta = "ID")]
     pub(crate) id: Option<String>,
-    /// Listener for operators of the node to ask (127.0.0.1:8082)
+    /// Operator listener of the node to call (default: 127.0.0.1:8082)
     #[options(no_short, meta = "IP:PORT")]
     operators: Option<String>,
-    /// Token of operators (required; better by its variable)
+    /// Operator token (required; prefer the environment variable)
     #[options(no_short, meta = "TEXT")]
     operator_token: Option<String>,
 }
 
 impl ApplyFlags {
-    /// Which node to ask.
     pub(crate) fn node(&self) -> NodeFlags {
         NodeFlags::new(&self.operators, &self.operator_token)
     }
 }
 
-/// Flags of `outcome`. The listener and the token may be given by environment variables instead.
+/// Prints the outcome of a change. The listener and the token can also be set by environment variables.
 #[derive(Debug, Options)]
 struct OutcomeFlags {
     /// Print this help
@@ -219,19 +218,18 @@
     /// Print the version
     #[options(short = "V")]
     version: bool,
-    /// The change, as `apply` named it
+    /// Id of the change, as printed by `apply`
     #[options(free, required)]
     id: String,
-    /// Listener for operators of the node to ask (127.0.0.1:8082)
+    /// Operator listener of the node to call (default: 127.0.0.1:8082)
     #[options(no_short, meta = "IP:PORT")]
     operators: Option<String>,
-    /// Token of operators (required; better by its variable)
+    /// Operator token (required; prefer the environment variable)
     #[options(no_short, meta = "TEXT")]
     operator_token: Option<String>,
 }
 
 impl OutcomeFlags {
-    /// Which node to ask.
     fn node(&self) -> NodeFlags {
         NodeFlags::new(&self.operators, &self.operator_token)
     }
@@ -243,7 +241,7 @@
     match dispatch(args, env, &mut console) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Nothing can be said where standard error is closed.
+            // If standard error is closed, there is nowhere to report the error.
             let _ = writeln!(console.err, "hibiscusgw: {error}");
             exit_code(&error)
         }
--- a/crates/hibiscusgw/src/error.rs
+++ b/crates/hibiscusgw/src/error.rs
@@ -1,88 +1,63 @@
+//! Errors of the commands, with the messages that users see.
+
 use derive_more::{Display, From};
 
 use crate::settings::Fault;
 
-/// Outcome of a command.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a command failed, with a message for its user.
 #[derive(Debug, Display, From)]
 pub enum Error {
-    /// The command line does not parse.
     #[display("{_0}\ntry `hibiscusgw --help`")]
     Usage(String),
-    /// Settings are not valid; all that were found.
+    /// Every invalid setting, so that all can be corrected at once.
     #[display("{}", faults(_0))]
     Settings(Vec<Fault>),
-    /// A configuration document is not valid.
+    /// A document with every error found in it, each with its place in the document.
     #[display("{file}: {}", faults.join(&format!("\n{file}: ")))]
     #[from(skip)]
-    Document {
-        /// The file.
-        file: String,
-        /// What is wrong, each with its place.
-        faults: Vec<String>,
-    },
-    /// A file cannot be read.
+    Document { file: String, faults: Vec<String> },
     #[display("{file}: {source}")]
     #[from(skip)]
-    File {
-        /// The file.
-        file: String,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// The process cannot start.
+    File { file: String, source: std::io::Error },
     #[display("{_0}")]
     Net(hgw_net::Error),
-    /// The platform's settings file cannot be used.
+    /// The settings file of the platform cannot be read or is invalid.
     #[display("{_0}")]
     Platform(hgw_platform::SettingsError),
-    /// A node on the platform cannot listen.
     #[display("cannot listen: {_0}")]
     #[from(skip)]
     Listen(std::io::Error),
-    /// Signals cannot be waited for.
-    #[display("cannot wait for signals: {_0}")]
+    #[display("cannot install the signal handlers: {_0}")]
     #[from(skip)]
     Signals(std::io::Error),
-    /// A node did not answer an operator's call.
     #[display("{_0}")]
     #[from(skip)]
     Call(crate::client::Error),
-    /// A change is not in force, or that is not known.
+    /// A change was not applied, or its outcome is unknown.
     #[display("{subject}: {message}")]
     #[from(skip)]
-    NotInForce {
-        /// What was to be in force.
-        subject: String,
-        /// Why it is not, and what to do.
-        message: String,
-    },
-    /// Calls cannot be made.
-    #[display("cannot make calls: {_0}")]
+    NotInForce { subject: String, message: String },
+    #[display("cannot start the runtime: {_0}")]
     #[from(skip)]
     Runtime(std::io::Error),
-    /// The process ended before its planned stop was done.
-    #[display("the process ended early: {}", match _0 {
+    /// The process ended before its graceful shutdown was complete.
+    #[display("the process ended before its shutdown was complete: {}", match _0 {
         hgw_net::Exit::Broken => "a thread broke an invariant",
-        _ => "it was told to end at once",
+        _ => "it was forced to stop",
     })]
     #[from(skip)]
     NotFinished(hgw_net::Exit),
-    /// No log line names a request.
-    #[display("no line names the request {_0}")]
+    #[display("no log line has the request id {_0}")]
     #[from(skip)]
     NotLogged(String),
-    /// A plot cannot be written.
+    /// The path of the plot, and the reason.
     #[display("cannot write the plot {_0}: {_1}")]
     #[from(skip)]
     Plot(String, String),
-    /// Results cannot be printed.
-    #[display("cannot print: {_0}")]
+    #[display("cannot read the input or write the output: {_0}")]
     Print(std::io::Error),
-    /// The log of the process cannot be set up.
-    #[display("cannot log: {_0}")]
+    #[display("cannot install the logger: {_0}")]
     Log(log::SetLoggerError),
 }
 
@@ -91,7 +66,7 @@
 }
 
 impl Error {
-    /// Whether what the user gave is at fault, and not the surroundings.
+    /// Whether the error is in the user's input (exit code 2), not in the environment (exit code 1).
     pub fn is_invalid_input(&self) -> bool {
         matches!(
             self,
--- a/crates/hibiscusgw/src/explain.rs
+++ b/crates/hibiscusgw/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of one request, from the log lines of any number of nodes.
+//! `explain`: prints the events of one request from the log lines of any number of nodes.
 
 use std::io::BufRead;
 
@@ -8,13 +8,14 @@
 use crate::lines::{Line, read};
 use crate::{Console, Error, Result};
 
-/// Events that say what a node believed of engines and the configuration, before a request.
+/// Events on the node's view of engines, peers and the configuration, printed as context of a request.
 const BELIEFS: [u64; 11] = [1004, 1008, 2004, 2006, 3001, 3101, 4001, 4002, 4006, 4007, 4008];
 
-/// Beliefs of a node that are told before a line of it: the newest few since its last one.
+/// Most context events printed before an event of the request; older ones are skipped.
 const MOST_BELIEFS: usize = 4;
 
-/// Prints what the lines say of a request, in the order of time, with what each node believed before.
+/// Prints the events of a request in order of time, each after the context events of its node since the
+/// previous one.
 pub(crate) fn explain(id: &str, input: &mut dyn BufRead, console: &mut Console<'_>) -> Result<()> {
     let lines = read(input)?;
     let of_request: Vec<usize> = (0..lines.len()).filter(|at| lines[*at].is_of(id)).collect();
@@ -22,7 +23,7 @@
         return Err(Error::NotLogged(id.to_owned()));
     };
     writeln!(console.out, "request {id}")?;
-    // Up to which line each node's beliefs were told.
+    // The line up to which the context events of each node have been printed.
     let mut told: IndexMap<&str, usize> = IndexMap::new();
     for at in of_request {
         let line = &lines[at];
--- a/crates/hibiscusgw/src/lib.rs
+++ b/crates/hibiscusgw/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway as a library: command line, settings, logs and assembly.
+//! The gateway as a library: command line, settings, logging and startup.
 
 mod check;
 pub mod client;
@@ -22,16 +22,16 @@
 pub use serve::{Assembled, assemble};
 pub use settings::{Fault, ServeSettings};
 
-/// Where a value of an environment variable comes from.
+/// Looks up an environment variable.
 pub type Env<'a> = dyn Fn(&str) -> Option<String> + 'a;
 
-/// Where a command prints its results and its errors.
+/// Output streams of a command: results and errors.
 pub(crate) struct Console<'a> {
     pub(crate) out: &'a mut dyn Write,
     pub(crate) err: &'a mut dyn Write,
 }
 
-/// Exit code for settings, arguments or documents that are not valid.
+/// Exit code for invalid settings, arguments or documents.
 pub(crate) const EXIT_INVALID: u8 = 2;
 
 pub(crate) fn exit_code(error: &Error) -> ExitCode {
--- a/crates/hibiscusgw/src/lines.rs
+++ b/crates/hibiscusgw/src/lines.rs
@@ -1,4 +1,4 @@
-//! Log lines of any number of nodes, as programs read them.
+//! Reads the JSON log lines of any number of nodes.
 
 use std::io::BufRead;
 
@@ -7,10 +7,9 @@
 
 use crate::Result;
 
-/// A log line.
 #[derive(Debug, Clone)]
 pub(crate) struct Line {
-    /// Seconds since 1970.
+    /// Seconds since the Unix epoch.
     pub(crate) time: f64,
     pub(crate) event: u64,
     pub(crate) text: String,
@@ -18,11 +17,11 @@
     pub(crate) fields: Map<String, Value>,
 }
 
-/// Reads lines in the order of time; those of other programs are passed over.
+/// Reads log lines and sorts them by time; lines of other programs are skipped.
 pub(crate) fn read(input: &mut dyn BufRead) -> Result<Vec<Line>> {
     let mut lines = Vec::new();
     for text in input.lines() {
-        // What comes before the object is passed over too.
+        // Text before the JSON object, such as a prefix of a log collector, is skipped.
         let text = text?;
         let Some(start) = text.find('{') else { continue };
         if let Ok(Value::Object(fields)) = serde_json::from_str(&text[start..]) {
@@ -44,17 +43,16 @@
         Some(Line { time, event, text, node, fields })
     }
 
-    /// Whether it tells of this event.
     pub(crate) fn is(&self, event: Event) -> bool {
         self.event == u64::from(event.number())
     }
 
-    /// A field as text; empty where the line has none.
+    /// A field as text; empty if it is missing or not a string.
     pub(crate) fn field(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// A field as a number; none where it is missing or no number.
+    /// A field as a number; none if it is missing or not a number.
     pub(crate) fn number(&self, name: &str) -> Option<f64> {
         self.field(name).parse().ok()
     }
--- a/crates/hibiscusgw/src/logs.rs
+++ b/crates/hibiscusgw/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: one an event, in words or as JSON.
+//! Log output: one line per event, as plain text or JSON.
 
 use std::fmt;
 use std::io::Write;
@@ -15,12 +15,10 @@
 
 use crate::{Error, Result};
 
-/// What log lines look like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// In words, for people.
     Plain,
-    /// One JSON object a line, for programs.
+    /// One JSON object per line.
     Json,
 }
 
@@ -45,8 +43,7 @@
     }
 }
 
-/// Starts logging to standard error. Only the product's own events are logged, and what libraries
-/// report from level `warn` up.
+/// Starts logging to standard error: the gateway's own events, and those of libraries from level `warn`.
 pub fn start_logs(format: LogFormat, level: LevelFilter) -> Result<()> {
     fern::Dispatch::new()
         .level(level.min(LevelFilter::Warn))
@@ -60,14 +57,14 @@
     Ok(())
 }
 
-/// Lines that may wait to be written. What does not fit is counted and left out: a standard output that
-/// nobody reads must not hold requests up.
+/// Lines that fit in the queue of the writer thread. Further ones are counted and dropped, so that a
+/// standard output that nobody reads does not block requests.
 const WAITING: usize = 4_096;
 
-/// Time between two words on lines that were left out.
+/// Interval between two reports of dropped lines.
 const LEFT_OUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for the last lines at the end of the process.
+/// Longest wait for queued lines at the end of the process.
 const FLUSH: Duration = Duration::from_millis(200);
 
 static LINES: OnceLock<SyncSender<Line>> = OnceLock::new();
@@ -75,11 +72,11 @@
 
 enum Line {
     Text(String),
-    /// All before it is to be written, then this is answered.
+    /// Acknowledged after all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Starts logging to standard output by a thread of its own, so that a request never waits for it.
+/// Starts logging to standard output on a separate thread, so that requests never wait for output.
 pub(crate) fn start_buffered_logs(format: LogFormat, level: LevelFilter) -> Result<()> {
     let (lines, waiting) = sync_channel(WAITING);
     let _ = LINES.set(lines);
@@ -103,11 +100,11 @@
     Ok(())
 }
 
-/// Waits a moment until what was logged is written.
+/// Waits until the queued lines are written, for at most [`FLUSH`].
 pub(crate) fn flush() {
     let (done, waits) = sync_channel(1);
     if LINES.get().is_some_and(|lines| lines.try_send(Line::Flush(done)).is_ok()) {
-        // Where nobody reads, the end of the process does not wait either.
+        // After a timeout nobody reads the output, and the process ends without the last lines.
         let _ = waits.recv_timeout(FLUSH);
     }
 }
@@ -121,7 +118,7 @@
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        // A standard output that is closed takes no lines, and there is nowhere else to say so.
+        // Errors are ignored: if standard output is closed, there is nowhere to report it.
         match line {
             Some(Line::Text(text)) => drop(writeln!(out, "{text}")),
             Some(Line::Flush(done)) => drop(done.try_send(())),
@@ -147,7 +144,7 @@
     line
 }
 
-/// Written straight into one buffer: there is a line for each request.
+/// Writes into one buffer, since there is a line for each request.
 fn json(record: &Record<'_>) -> String {
     let mut line = JsonLine(Vec::with_capacity(LINE));
     line.0.push(b'{');
@@ -160,7 +157,7 @@
     String::from_utf8_lossy(&line.0).into_owned()
 }
 
-/// Room for a usual line.
+/// Initial capacity, enough for a typical line.
 const LINE: usize = 384;
 
 struct JsonLine(Vec<u8>);
@@ -201,13 +198,13 @@
     }
 }
 
-/// Seconds since the Unix epoch, with milliseconds.
+/// Seconds since the Unix epoch, with three decimals.
 fn unix_time() -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{}.{:03}", since.as_secs(), since.subsec_millis())
 }
 
-/// The fields of a record, with the event's number apart.
+/// The fields of a record, with the event number separated.
 #[derive(Debug, Default)]
 struct Fields {
     number: Option<u64>,
--- a/crates/hibiscusgw/src/main.rs
+++ b/crates/hibiscusgw/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line entry point: parses, runs, and turns the outcome into an exit code.
+//! Entry point of the `hibiscusgw` binary.
 
 use std::process::ExitCode;
 
--- a/crates/hibiscusgw/src/on_platform.rs
+++ b/crates/hibiscusgw/src/on_platform.rs
@@ -1,4 +1,4 @@
-//! `serve` on the users' platform, where the settings come from the platform's file.
+//! `serve` on the platform of the users, with settings from the platform's settings file.
 
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -15,10 +15,10 @@
 use crate::settings::PlatformOverrides;
 use crate::{Env, Error, Result, logs};
 
-/// Time between two looks whether the file has changed without a signal.
+/// Interval at which the settings file is checked for changes that come without SIGHUP.
 const FILE_CHECK: Duration = Duration::from_secs(1);
 
-/// Runs a node until its planned stop: the first signal begins it, a second one ends it at once.
+/// Runs a node until it stops: the first signal starts a graceful shutdown, a second one forces the end.
 pub(crate) fn serve(path: &Path, flags: &ServeFlags, env: &Env<'_>) -> Result<()> {
     let overrides = PlatformOverrides::read(flags, env)?;
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(Error::Signals)?;
@@ -71,7 +71,7 @@
     }
 }
 
-/// The settings file, and what it said last.
+/// The settings file and its last valid content.
 struct Watched {
     path: PathBuf,
     overrides: PlatformOverrides,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Reads the file; what it says that is not allowed leaves the settings as they are.
+    /// Reads the file and sends changed settings to the node; an invalid file changes nothing.
     fn look(&mut self, to_node: &UnboundedSender<Signal>) {
         match hgw_platform::read_settings(&self.path) {
             Ok(file) => {
@@ -99,7 +99,7 @@
                 if settings != self.known {
                     emit(Event::SettingsChanged, &[("node", &settings.node)]);
                     self.known = settings.clone();
-                    // A node that has ended needs no settings.
+                    // The send fails only if the node has ended.
                     let _ = to_node.send(Signal::Settings(Box::new(settings)));
                 }
             }
--- a/crates/hibiscusgw/src/operate.rs
+++ b/crates/hibiscusgw/src/operate.rs
@@ -1,4 +1,4 @@
-//! `apply`, `outcome`, `get`, `status` and `state`: an operator's calls to a node.
+//! `apply`, `outcome`, `get`, `status` and `state`: operator calls to a node.
 
 use hgw_wire::operator::apply_reply::Outcome;
 use hgw_wire::operator::{ApplyReply, ApplyRequest};
@@ -10,7 +10,7 @@
 use crate::settings::NodeSettings;
 use crate::{Console, Env, Error, Result};
 
-/// Calls one node and waits for its answers.
+/// Blocking wrapper of the operator [`Client`].
 struct Operator {
     runtime: Runtime,
     client: Client,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Publishes a document and tells what became of it.
+/// Publishes a document and prints the outcome.
 pub(crate) fn apply(flags: &ApplyFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
     let file = &flags.file;
     let document = read_document(file)?;
@@ -40,7 +40,7 @@
     tell(file, reply, console)
 }
 
-/// Tells what became of a change.
+/// Prints the outcome of a change.
 pub(crate) fn outcome(
     id: &str,
     flags: &NodeFlags,
@@ -67,21 +67,21 @@
             return Err(Error::Document { file: subject.to_owned(), faults: invalid.faults });
         }
         Some(Outcome::Superseded(superseded)) => format!(
-            "another change came first: version {} is in force; make the change anew from it",
+            "another change was accepted first and version {} is in force; redo the change from it",
             superseded.current
         ),
         Some(Outcome::NotPublished(_)) => {
-            "the log cannot be reached: nothing was published".to_owned()
+            "the log cannot be reached: nothing was published; try again later".to_owned()
         }
         Some(Outcome::Unknown(_)) | None => {
-            format!("not known yet; ask again by `hibiscusgw outcome {id}`")
+            format!("the outcome is not known yet; query it with `hibiscusgw outcome {id}`")
         }
     };
     Err(Error::NotInForce { subject: subject.to_owned(), message })
 }
 
-/// Prints the document in force to standard output and its version to standard error, so that the
-/// output can be edited and applied.
+/// Prints the document in force to standard output and its version to standard error, so that the output
+/// can be edited and applied again.
 pub(crate) fn get(flags: &NodeFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
     let operator = Operator::new(flags, env)?;
     let reply = operator.wait(operator.client.get())?;
@@ -90,14 +90,14 @@
     Ok(())
 }
 
-/// The document with indents, or as it came where it is no JSON.
+/// The document with indentation, or unchanged if it is not JSON.
 fn pretty(document: &[u8]) -> String {
     let value: Option<serde_json::Value> = serde_json::from_slice(document).ok();
     let text = value.and_then(|v| serde_json::to_string_pretty(&v).ok());
     text.unwrap_or_else(|| String::from_utf8_lossy(document).into_owned())
 }
 
-/// Prints the node's view of all nodes, a line each.
+/// Prints the members that the node knows, one per line.
 pub(crate) fn status(flags: &NodeFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
     let operator = Operator::new(flags, env)?;
     let reply = operator.wait(operator.client.status())?;
@@ -124,7 +124,6 @@
     if value { "yes" } else { "no" }
 }
 
-/// Prints the whole state of the process.
 pub(crate) fn state(flags: &NodeFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
     let operator = Operator::new(flags, env)?;
     let reply = operator.wait(operator.client.state())?;
--- a/crates/hibiscusgw/src/report/mod.rs
+++ b/crates/hibiscusgw/src/report/mod.rs
@@ -1,5 +1,4 @@
-//! `report`: what became of requests, how streams paused and what engines had to do, from the log lines of any
-//! number of nodes.
+//! `report`: summarizes request outcomes, stream pauses and engine load from the log lines of nodes.
 
 mod plot;
 
@@ -14,34 +13,32 @@
 
 use plot::Plot;
 
-/// Width of a bar of the pauses, in milliseconds.
+/// Width of a histogram bin.
 const BAR_MS: u64 = 20;
 
-/// Pauses from here on stand in one bar, in milliseconds.
+/// Longer pauses are counted in one bin.
 const LAST_BAR_MS: u64 = 1_000;
 
-/// Longest bar, in characters.
 const BAR_CHARS: usize = 50;
 
-/// Time for which the load of engines is averaged, in seconds.
+/// Window over which the load of an engine is averaged.
 const WINDOW_S: f64 = 2.0;
 
-/// Requests at an engine from which its streams are expected to pause for long.
+/// Requests at an engine above which long pauses of its streams are expected.
 const MANY: f64 = 32.0;
 
-/// Most kinds of failure that are told.
+/// Most reasons of refusals and failures that are printed.
 const MOST_KINDS: usize = 12;
 
-/// What a report is made of.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ReportSettings {
-    /// Longest pause of a stream that is on time, in milliseconds.
+    /// Longest pause of a stream that is not reported as late.
     pub(crate) pause_ms: f64,
-    /// Where the plot is written, if anywhere.
+    /// Path of the plot.
     pub(crate) svg: Option<String>,
 }
 
-/// Prints the report, and writes the plot where one is wanted.
+/// Prints the report, and writes the plot if a path is set.
 pub(crate) fn report(
     settings: &ReportSettings,
     input: &mut dyn BufRead,
@@ -67,7 +64,7 @@
     Ok(())
 }
 
-/// Lines that tell how a request ended, by a field.
+/// Final events of requests, grouped by the value of a field.
 fn ends_by<'a>(lines: &'a [Line], field: &str) -> IndexMap<&'a str, Vec<&'a Line>> {
     let mut by: IndexMap<&str, Vec<&Line>> = IndexMap::new();
     let ends =
@@ -79,7 +76,7 @@
     by
 }
 
-/// What became of the requests of each customer, where there are customers.
+/// Request outcomes by customer; prints nothing if no line names a customer.
 fn print_customers(lines: &[Line], console: &mut Console<'_>) -> Result<()> {
     let mut customers = ends_by(lines, "customer");
     customers.shift_remove("");
@@ -106,7 +103,7 @@
     Ok(())
 }
 
-/// What became of the requests of each route.
+/// Request outcomes and response times by route.
 fn print_routes(lines: &[Line], console: &mut Console<'_>) -> Result<()> {
     let routes = ends_by(lines, "route");
     writeln!(console.out, "route            served refused  failed    left  p50 ms  p99 ms")?;
@@ -128,7 +125,7 @@
     Ok(())
 }
 
-/// Streams that paused for too long, by what is known of their engine.
+/// Streams with a pause above the limit, by likely cause.
 fn print_late(streams: &[&Line], pause_ms: f64, console: &mut Console<'_>) -> Result<()> {
     let late = streams.iter().filter(|l| l.number("longest_pause_ms").unwrap_or(0.0) > pause_ms);
     let mut causes: IndexMap<&str, usize> = IndexMap::new();
@@ -155,7 +152,7 @@
     Ok(())
 }
 
-/// Streams by their longest pause, by the start of each bar.
+/// Histogram of the longest pause of each stream, by the lower bound of the bin.
 fn pauses(streams: &[&Line]) -> IndexMap<u64, usize> {
     let mut bars = IndexMap::new();
     for pause in streams.iter().filter_map(|l| l.number("longest_pause_ms")) {
@@ -176,7 +173,7 @@
     Ok(())
 }
 
-/// Mean requests at each engine by window, as answers that ended then told them.
+/// Mean number of requests at each engine by window, from the streams that ended in the window.
 fn loads(streams: &[&Line], began: f64) -> IndexMap<u64, IndexMap<String, f64>> {
     let mut sums: IndexMap<u64, IndexMap<String, (f64, f64)>> = IndexMap::new();
     for line in streams {
@@ -213,8 +210,8 @@
     Ok(())
 }
 
-/// Refusals and failures by their reason. Each attempt of a caller has an id of its own, so that what became of one
-/// that came back is not known here.
+/// Refusals and failures by reason. Each retry of a caller has its own request id, so its result is not
+/// matched to the refusal before it.
 fn print_kinds(lines: &[Line], console: &mut Console<'_>) -> Result<()> {
     let mut kinds: IndexMap<(&str, &str), usize> = IndexMap::new();
     for line in lines {
@@ -233,7 +230,7 @@
     Ok(())
 }
 
-/// The value below which this part of them lies.
+/// The value below which the fraction `part` of the values lies.
 fn part_of(values: &[f64], part: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/hibiscusgw/src/report/plot.rs
+++ b/crates/hibiscusgw/src/report/plot.rs
@@ -1,3 +1,5 @@
+//! Draws the pauses and loads of a report as SVG.
+
 use std::error::Error as StdError;
 
 use indexmap::IndexMap;
@@ -5,10 +7,9 @@
 
 use crate::{Error, Result};
 
-/// Size of the picture, in pixels.
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (1_000, 800);
 
-/// Pauses and loads as a picture.
 pub(super) struct Plot<'a> {
     pub(super) pauses: &'a IndexMap<u64, usize>,
     pub(super) loads: &'a IndexMap<u64, IndexMap<String, f64>>,
@@ -16,7 +17,6 @@
 }
 
 impl Plot<'_> {
-    /// Writes it as SVG.
     pub(super) fn write(&self, path: &str) -> Result<()> {
         self.draw(path).map_err(|e| Error::Plot(path.to_owned(), e.to_string()))
     }
--- a/crates/hibiscusgw/src/serve.rs
+++ b/crates/hibiscusgw/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: puts a process together and runs it until its planned stop.
+//! `serve`: starts a node from flags and environment variables and runs it until it stops.
 
 use std::thread;
 
@@ -10,18 +10,16 @@
 
 use crate::{Error, Result, ServeSettings, start_logs};
 
-/// A process that is at work.
+/// A started node.
 pub struct Assembled {
-    /// Its threads.
     pub running: Running,
-    /// The addresses that it listens on.
+    /// The addresses that the node listens on.
     pub addrs: Addrs,
-    /// The thread that answers operators.
     operators: Operators,
 }
 
 impl Assembled {
-    /// Waits for the end of the process.
+    /// Waits until the node has ended.
     pub fn wait(self) -> Exit {
         let exit = self.running.wait();
         self.operators.stop();
@@ -29,7 +27,7 @@
     }
 }
 
-/// Starts a node with these settings; it runs until it is told to stop.
+/// Starts a node; it runs until it is stopped through its [`Running`].
 pub fn assemble(settings: &ServeSettings) -> Result<Assembled> {
     let bound = hgw_net::bind(net_settings(settings))?;
     let addrs = bound.addrs();
@@ -73,7 +71,7 @@
     }
 }
 
-/// Runs a process until its planned stop: the first signal begins it, a second one ends it at once.
+/// Runs a node until it stops: the first signal starts a graceful shutdown, a second one forces the end.
 pub(crate) fn serve(settings: &ServeSettings) -> Result<()> {
     start_logs(settings.log_format, settings.log_level)?;
     let signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Signals)?;
--- a/crates/hibiscusgw/src/settings.rs
+++ b/crates/hibiscusgw/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `serve`: from flags, else environment variables, else defaults; each one checked.
+//! Reads and validates settings from flags, environment variables and defaults, in this order.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,21 +12,20 @@
 use crate::logs::LogFormat;
 use crate::{Env, Error, Result};
 
-/// Listener for operators where none is given.
 const DEFAULT_OPERATORS: &str = "127.0.0.1:8082";
 
-/// Shortest secret or token, in characters; shorter ones can be guessed.
+/// Shorter secrets and tokens can be guessed.
 const MIN_SECRET: usize = 16;
 
-/// Most shards of idempotency keys: each is a stream of the log that three nodes read.
+/// Each shard is a stream of the log that three nodes read.
 const MAX_KEY_SHARDS: u32 = 256;
 
-/// Settings of a process.
+/// Settings of a node.
 #[derive(Debug, Clone)]
 pub struct ServeSettings {
-    /// This node's id, unique among running nodes.
+    /// Unique among running nodes.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: DomainId,
     /// Listener for callers.
     pub callers: SocketAddr,
@@ -34,43 +33,41 @@
     pub peers: SocketAddr,
     /// Listener for operators.
     pub operators: SocketAddr,
-    /// Address at which peers reach this node; the listener's if not given.
+    /// Address at which peers reach this node; that of the listener by default.
     pub advertise: Option<SocketAddr>,
     /// Address of the platform's log and list of VMs.
     pub platform: SocketAddr,
-    /// Secret that all nodes share.
+    /// Secret shared by all nodes.
     pub secret: String,
-    /// Token that operators' calls carry.
+    /// Token that operator calls must carry.
     pub operator_token: String,
-    /// Token for engines that ask for one with orders.
+    /// Token sent with orders, for engines that require one.
     pub order_token: String,
-    /// Number of shards of idempotency keys; the same on all nodes.
+    /// Number of idempotency-key shards; the same on all nodes.
     pub key_shards: u32,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub caller_threads: usize,
-    /// Open connections of callers.
+    /// Limit of open caller connections.
     pub max_connections: usize,
-    /// Open requests of callers.
+    /// Limit of open caller requests.
     pub max_requests: usize,
-    /// Bytes of a caller's request body.
+    /// Largest request body of a caller, in bytes.
     pub max_body: usize,
-    /// Tokens that a caller may ask for.
+    /// Most tokens that a caller may request.
     pub max_tokens: u32,
-    /// What log lines look like.
     pub log_format: LogFormat,
-    /// Least level that is logged.
     pub log_level: LevelFilter,
 }
 
-/// A setting that is not valid.
+/// An invalid or missing setting.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-#[display("setting --{name} (or {}): `{value}` is not allowed: {allowed}", variable(name))]
+#[display("invalid value `{value}` for --{name} (or {}): expected {allowed}", variable(name))]
 pub struct Fault {
     /// The flag, without its dashes.
     pub name: &'static str,
-    /// The value as given; empty where there is none.
+    /// The value as given; empty if there is none, and hidden if it is a secret.
     pub value: String,
-    /// What is allowed.
+    /// The values that are allowed.
     pub allowed: String,
 }
 
@@ -80,7 +77,7 @@
 }
 
 impl ServeSettings {
-    /// Reads all settings and gives every fault at once.
+    /// Reads all settings and returns every invalid one.
     pub(crate) fn read(flags: &ServeFlags, env: &Env<'_>) -> Result<ServeSettings> {
         let mut input = Input { env, faults: Vec::new() };
         let settings = ServeSettings {
@@ -118,25 +115,19 @@
     }
 }
 
-/// Settings that go before those of the platform's file.
+/// Flags and variables that override the platform's settings file.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlatformOverrides {
-    /// What log lines look like.
     pub(crate) log_format: LogFormat,
-    /// Least level that is logged.
     pub(crate) log_level: LevelFilter,
-    /// Listener for callers.
     callers: Option<SocketAddr>,
-    /// Listener for other nodes.
     peers: Option<SocketAddr>,
-    /// Listener for readers of the metrics.
     metrics: Option<SocketAddr>,
-    /// Open connections of callers.
     max_connections: Option<usize>,
 }
 
 impl PlatformOverrides {
-    /// Reads the settings and gives every fault at once.
+    /// Reads the settings and returns every invalid one.
     pub(crate) fn read(flags: &ServeFlags, env: &Env<'_>) -> Result<PlatformOverrides> {
         let mut input = Input { env, faults: Vec::new() };
         let connections = &flags.max_connections;
@@ -154,7 +145,6 @@
         if input.faults.is_empty() { Ok(overrides) } else { Err(Error::Settings(input.faults)) }
     }
 
-    /// Puts them in place of what the file says.
     pub(crate) fn apply(&self, settings: hgw_gateway::Settings) -> hgw_gateway::Settings {
         hgw_gateway::Settings {
             callers: self.callers.unwrap_or(settings.callers),
@@ -166,17 +156,15 @@
     }
 }
 
-/// Which node an operator's call goes to.
+/// Address and token for an operator call.
 #[derive(Debug, Clone)]
 pub(crate) struct NodeSettings {
-    /// The node's listener for operators.
     pub(crate) operators: SocketAddr,
-    /// Token that the call carries.
     pub(crate) operator_token: String,
 }
 
 impl NodeSettings {
-    /// Reads the settings and gives every fault at once.
+    /// Reads the settings and returns every invalid one.
     pub(crate) fn read(flags: &NodeFlags, env: &Env<'_>) -> Result<NodeSettings> {
         let mut input = Input { env, faults: Vec::new() };
         let settings = NodeSettings {
@@ -187,7 +175,7 @@
     }
 }
 
-/// Reads settings one by one and collects the faults.
+/// Reads settings one by one and collects the invalid ones.
 struct Input<'a> {
     env: &'a Env<'a>,
     faults: Vec<Fault>,
@@ -202,7 +190,8 @@
         self.faults.push(Fault { name, value: value.to_owned(), allowed: allowed.to_owned() });
     }
 
-    /// A required id. What stands in for a faulty one is never used, as the fault ends the reading.
+    /// Reads a required id. An invalid one is replaced by a placeholder that is never used, since the
+    /// recorded error fails the whole read.
     fn name<T: FromStr<Err = hgw_types::ParseError>>(
         &mut self,
         name: &'static str,
@@ -232,11 +221,11 @@
         addr
     }
 
-    /// A secret, which no message repeats.
+    /// Reads a required secret; its value is not repeated in error messages.
     fn secret(&mut self, name: &'static str, flag: &Option<String>) -> String {
         let text = self.text(name, flag).unwrap_or_default();
         if text.chars().count() < MIN_SECRET {
-            let allowed = format!("a text of at least {MIN_SECRET} characters");
+            let allowed = format!("at least {MIN_SECRET} characters");
             self.fault(name, "(hidden)", &allowed);
         }
         text
