--- a/crates/hibiscusgw/src/client/error.rs
+++ b/crates/hibiscusgw/src/client/error.rs
@@ -12,7 +12,7 @@
     Unreachable { addr: SocketAddr, source: hyper_util::client::legacy::Error },
     /// The node may have carried the call out.
     #[display(
-        "{addr} did not answer before the timeout; a change may still have been applied: query it \
+        "{addr} did not respond before the timeout; a change may still have been applied: query it \
          with `hibiscusgw outcome ID`"
     )]
     NoAnswer { addr: SocketAddr },
--- a/crates/hibiscusgw/tests/platform/apart.rs
+++ b/crates/hibiscusgw/tests/platform/apart.rs
@@ -1,4 +1,4 @@
-//! Nodes that parts of the platform cannot be reached from.
+//! Nodes that are cut off from parts of the platform.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::fleet_of;
 
-/// The store turns one node away and serves the others, and the configuration changes. The node hears of it from
-/// the one that reads for all; callers who are sent to it must not be refused on a route that there is.
+/// A node without a connection to the store must get configuration changes from the leader; otherwise it
+/// refuses callers on a new route.
 #[test]
 fn node_that_the_store_turns_away_takes_the_configuration_from_another() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
@@ -35,8 +35,8 @@
     }
 }
 
-/// The store turns one node away, and an engine begins to leave. The node hears of it from the one that reads for
-/// all: work that it sent there would be cut.
+/// A node without a connection to the store must learn from the leader that an engine is draining;
+/// otherwise the engine cuts off the work that the node sends.
 #[test]
 fn node_that_loses_the_store_goes_on_with_the_keepers_word() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
@@ -46,8 +46,7 @@
     let other = fleet.start("b");
     fleet.nodes[other].to_store.set(Condition::Cut);
     fleet.list(fleet.engine("desk-1"), "draining");
-    // The engine that leaves gets no work from the node that hears of it only from the keeper.
-    wait("calls go to the other engine alone", || {
+    wait("calls go only to the other engine", || {
         let before = fleet.engine("desk-1").record().runs.len();
         for call in 0..10 {
             let id = format!("call-{before}-{call}");
@@ -58,9 +57,8 @@
     });
 }
 
-/// The keeper stands still, another node asks the store itself, and its call gets no answer. The keeper goes on and tells of
-/// a new configuration. The node must not wait for its call to end first: callers were refused on a new route for two
-/// seconds.
+/// A node reads the store itself while the leader is paused, and its read gets no response. When the leader
+/// continues, the node must take a new configuration from it without waiting for its own read to time out.
 #[test]
 fn node_that_waits_for_the_store_takes_a_configuration_from_another() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
@@ -69,12 +67,12 @@
     wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
     let (other, path) = fleet.start_logged("b");
     std::thread::sleep(Duration::from_secs(1));
-    // Connections that are open end; new ones carry nothing.
+    // Closes open connections; new ones are accepted and carry no data.
     fleet.nodes[other].to_store.set(Condition::Cut);
     std::thread::sleep(Duration::from_millis(200));
     fleet.nodes[other].to_store.set(Condition::Silent);
     fleet.nodes[keeper].signal(Signal::STOP);
-    wait("the other hears nothing of the keeper", || !fleet.lines(&path, 2004).is_empty());
+    wait("the other node cannot reach the leader", || !fleet.lines(&path, 2004).is_empty());
     std::thread::sleep(Duration::from_millis(600));
     fleet.nodes[keeper].signal(Signal::CONT);
     fleet.store.put("keyed.op", "config", configuration(2).to_string().as_bytes());
--- a/crates/hibiscusgw/tests/platform/calls.rs
+++ b/crates/hibiscusgw/tests/platform/calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls.
+//! Plain (non-streamed) calls.
 
 use hgw_standins::Faults;
 use http::{Method, StatusCode};
@@ -26,8 +26,8 @@
     assert_eq!(answer.body, r#"{"error":"X-Request-Id is ``: a name of this attempt"}"#);
 }
 
-/// An engine runs a call that may not be repeated, and its answer is lost on the way. The caller gets a
-/// failure that does not promise that it has not run, and no second engine runs it.
+/// A call that is not idempotent must not be retried after its response was lost, and its caller must not
+/// be told that it has not run.
 #[test]
 fn call_that_may_have_run_is_not_sent_again() {
     let mut fleet = fleet_of(Vec::new());
@@ -40,7 +40,7 @@
     assert_eq!(fleet.runs("call-1"), 1);
 }
 
-/// The same for a call that may be repeated: another engine answers it.
+/// An idempotent call whose response was lost is retried at another engine.
 #[test]
 fn call_that_may_be_repeated_goes_to_another_engine() {
     let mut fleet = fleet_of(Vec::new());
@@ -58,8 +58,8 @@
     assert_eq!(fleet.nodes[node].plain("/look/", "call-2").unwrap().status, StatusCode::OK);
 }
 
-/// An engine says that it is full and has not run the call: another may run it, also where it may not be
-/// repeated. Where all are full the caller is told when to come back.
+/// A call that an engine rejected unrun may run at another engine, even if it is not idempotent. If all
+/// engines are full, the caller gets a `Retry-After`.
 #[test]
 fn rejected_call_goes_to_another_engine_or_comes_back() {
     let mut fleet = fleet_of(Vec::new());
@@ -76,7 +76,7 @@
     assert_eq!(fleet.nodes[node].plain("/print/", "call-2").unwrap().status, StatusCode::OK);
 }
 
-/// An engine's own failure is its answer, with its seal, where no other engine can be asked.
+/// An error response of an engine is passed on, with its seal, if no other engine may be tried.
 #[test]
 fn failure_of_an_engine_is_passed_on_with_its_seal() {
     let mut fleet = fleet_of(Vec::new());
@@ -90,7 +90,7 @@
     assert_eq!(fleet.runs("call-1"), 1);
 }
 
-/// An answer bears the id of another request: it belongs to nobody here, and nobody gets it.
+/// A response with the id of another request must not reach any caller.
 #[test]
 fn answer_to_another_request_is_given_to_nobody() {
     let mut fleet = fleet_of(Vec::new());
@@ -104,8 +104,7 @@
     assert_eq!(fleet.runs("call-1"), 1);
 }
 
-/// An engine ended and another service took its address: the identity that the list names is expected,
-/// so that the other one does not run the call.
+/// If another service took over the address of an engine that ended, it must not run the engine's calls.
 #[test]
 fn call_is_not_run_by_an_engine_with_another_identity() {
     let mut fleet = fleet_of(Vec::new());
@@ -120,8 +119,8 @@
     assert_eq!(fleet.runs("call-1"), 0);
 }
 
-/// A request comes to a choice of an engine with a few milliseconds left: it was rejected before, or its machine stood
-/// still. The engine would begin after its caller has left. It is refused unrun, with a time to come back.
+/// A request whose deadline is a few milliseconds away must be refused unrun, with a `Retry-After`: an
+/// engine would start it after its caller has left.
 #[test]
 fn call_with_no_time_left_is_not_sent() {
     let mut fleet = fleet_of(vec![]);
--- a/crates/hibiscusgw/tests/platform/era_mixes.rs
+++ b/crates/hibiscusgw/tests/platform/era_mixes.rs
@@ -1,4 +1,4 @@
-//! Copies of the store, nodes that die, stand still or are cut off, in any order, from a seed.
+//! Random sequences, from a seed, of store restores and of killed, paused and disconnected nodes.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 
 use crate::fleet_of;
 
-/// Faults of a mix.
+/// Faults per run.
 const STEPS: u32 = 9;
 
-/// Nodes at a time.
+/// Nodes that run at a time.
 const NODES: usize = 3;
 
 macro_rules! mixes {
     ($($name:ident: $seed:literal;)*) => {$(
-        /// Whatever befalls nodes and the store: no two holders give orders under one number, engines see no number fall, and
-        /// an engine that has said that it leaves gets nothing more from nodes that have heard it.
+        /// No two leaders send orders with the same fencing token, no engine receives a lower token after a
+        /// higher one, and nodes that know that an engine is draining send nothing to it.
         #[test]
         fn $name() {
             Mix::new($seed).play();
@@ -37,7 +37,7 @@
     mix_2: 2;
 }
 
-/// Mixes of other seeds, by hand: `HGW_MIXES=FROM..TO`.
+/// Runs the seeds of `HGW_MIXES=FROM..TO`, for manual runs.
 #[test]
 fn mixes_that_were_asked_for() {
     let Ok(asked) = std::env::var("HGW_MIXES") else { return };
@@ -51,7 +51,7 @@
     rng: StdRng,
     fleet: Fleet,
     backups: Vec<Backup>,
-    /// Nodes that live, and whether each stands still.
+    /// Nodes that run, and whether each is paused.
     live: Vec<(usize, bool)>,
     story: Vec<String>,
     calls: u32,
@@ -129,7 +129,7 @@
         std::thread::sleep(Duration::from_millis(pause));
     }
 
-    /// Asks nodes that run for adapters that must be ordered, without waiting for the end of any fault.
+    /// Requests adapters that have to be loaded from all nodes that are not paused.
     fn press(&mut self) {
         for (node, stands) in self.live.clone() {
             if stands {
@@ -137,7 +137,7 @@
             }
             self.calls += 1;
             let model = format!("{}/a{}", ["m", "n"][self.calls as usize % 2], 1 + self.calls % 4);
-            // Whether it is served is not asked here: the holder may be away.
+            // The result is ignored: the leader may be down.
             let _ = self.fleet.nodes[node].stream("/ask/", &format!("s-{}", self.calls), &model);
         }
     }
@@ -160,7 +160,7 @@
         }
     }
 
-    /// All faults end: callers are served, and an engine that leaves just then is left alone by all.
+    /// Ends all faults and checks that callers are served and that nodes stop using a draining engine.
     fn end(mut self) {
         for (node, stands) in self.live.clone() {
             if stands {
@@ -183,7 +183,7 @@
         self.fleet.list(self.fleet.engine("desk-1"), "draining");
         for (node, _) in &self.live {
             let mut round = 0;
-            wait(&format!("nothing goes to the engine that leaves, {:?}", self.story), || {
+            wait(&format!("nothing goes to the draining engine, {:?}", self.story), || {
                 round += 1;
                 let before = self.fleet.engine("desk-1").record().runs.len();
                 for n in 0..10 {
--- a/crates/hibiscusgw/tests/platform/eras.rs
+++ b/crates/hibiscusgw/tests/platform/eras.rs
@@ -1,5 +1,4 @@
-//! The store comes back from a copy some seconds old: what was written there since is lost, and offsets are given out
-//! again.
+//! The store is restored from a backup: records written since are lost, and their offsets are assigned again.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +13,8 @@
 
 use crate::fleet_of;
 
-/// The store is away for a moment and comes back from this; meanwhile, so much is written again.
+/// Restores the store from a backup during a short outage; `written` writes to it before it is reachable
+/// again.
 fn come_back(fleet: &Fleet, backup: &Backup, written: impl FnOnce(&Fleet)) {
     fleet.store.fault(&Faults { down: true, ..Faults::default() });
     fleet.store.come_back(backup);
@@ -23,14 +23,14 @@
     fleet.store.fault(&Faults::default());
 }
 
-/// Heartbeats of an engine that stays.
+/// Writes heartbeats of an engine that is not draining.
 fn heartbeats(fleet: &Fleet, count: u32) {
     for _ in 0..count {
         fleet.list(fleet.engine("desk-2"), "ready");
     }
 }
 
-/// Calls through a node while nothing else happens; how many reached the engine that leaves.
+/// Sends calls through a node and returns how many reached the engine `desk-1`.
 fn reached_desk_1(fleet: &Fleet, node: usize, name: &str) -> usize {
     let before = fleet.engine("desk-1").record().runs.len();
     for n in 0..30 {
@@ -41,10 +41,10 @@
     fleet.engine("desk-1").record().runs.len() - before
 }
 
-/// The node hears that the engine leaves: nothing reaches it any more.
+/// Waits until the node sends nothing to the draining engine.
 fn is_left_alone(fleet: &Fleet, node: usize) {
     let mut round = 0;
-    wait("nothing reaches the engine that leaves", || {
+    wait("nothing reaches the draining engine", || {
         round += 1;
         reached_desk_1(fleet, node, &format!("left-{node}-{round}")) == 0
     });
@@ -52,7 +52,8 @@
 
 macro_rules! lengths {
     ($($name:ident: $run:ident($records:literal);)*) => {$(
-        /// Whatever the length of the log that the store comes back with, beside the one that nodes had read.
+        /// Holds for a restored log that is shorter than, as long as, or longer than the one that nodes had
+        /// read.
         #[test]
         fn $name() {
             $run($records);
@@ -69,7 +70,7 @@
     engine_that_leaves_then_is_seen_in_a_longer_log: engine_that_leaves_in_the_new_era_is_seen(8);
 }
 
-/// An engine says that it leaves, and the store loses that. It must get no more work before it has said so again.
+/// An engine whose record of draining is lost by a restore must get no work before it repeats the record.
 fn engine_that_left_stays_out(written: u32) {
     let mut fleet = fleet_of(Vec::new());
     let (node, lines) = fleet.start_logged("a");
@@ -77,9 +78,9 @@
     heartbeats(&fleet, 3);
     fleet.list(fleet.engine("desk-1"), "draining");
     let read = |of: &Fleet| of.lines(&lines, 4010).iter().any(|l| l["upstream"] == "desk-1");
-    wait("the node has read that it leaves", || read(&fleet));
+    wait("the node has read that it is draining", || read(&fleet));
     come_back(&fleet, &backup, |fleet| heartbeats(fleet, written));
-    // Longer than what was lost may be missing.
+    // Longer than lost records may stay missing after a restore.
     for round in 0..4 {
         assert_eq!(reached_desk_1(&fleet, node, &format!("lost-{round}")), 0);
     }
@@ -87,8 +88,8 @@
     assert_eq!(reached_desk_1(&fleet, node, "again"), 0);
 }
 
-/// An engine says that it leaves just after the store's return. A node that read on in the middle of what is now another
-/// log would never hear of it.
+/// A node must see that an engine starts to drain just after a restore; reading on from its old offset in
+/// the new log would miss the record.
 fn engine_that_leaves_in_the_new_era_is_seen(written: u32) {
     let mut fleet = fleet_of(Vec::new());
     let node = fleet.start("a");
@@ -105,7 +106,7 @@
     is_left_alone(&fleet, other);
 }
 
-/// Two copies within a second, and a node that reaches the store no more and hears of it only through another.
+/// A node without a connection to the store follows two restores within a second through another node.
 #[test]
 fn node_that_hears_through_another_follows_over_two_eras() {
     let mut fleet = fleet_of(Vec::new());
@@ -127,8 +128,8 @@
     assert!(told.iter().any(|l| l["era"] == "2" && l["by"] == "peer"), "{told:?}");
 }
 
-/// Something that stands before the store answers with an era that cannot be read. Nothing is believed from it, and what
-/// is known stays in use.
+/// A response with an invalid `Store-Era` header, for example from a proxy, must be ignored, and the known
+/// state stays in use. The era increases by one each time the store is restored from a backup.
 #[test]
 fn answer_whose_era_cannot_be_read_is_not_believed() {
     let mut fleet = fleet_of(Vec::new());
@@ -145,7 +146,7 @@
         assert_eq!(answer.status, StatusCode::OK);
     }
     let runs = fleet.engine("desk-2").record().runs.len();
-    assert!(runs > 0, "its end was not believed");
+    assert!(runs > 0, "the removal of desk-2 was ignored");
     fleet.store.tell_era("1");
     fleet.list(fleet.engine("desk-2"), "ready");
     fleet.list(fleet.engine("desk-1"), "draining");
@@ -161,7 +162,8 @@
     }
 }
 
-/// An engine with fewer places for adapters than are asked for in turn.
+/// A platform whose engine has fewer adapter slots than there are adapters in use, so that orders are
+/// necessary.
 fn fleet() -> Fleet {
     let fleet = fleet_of(vec![engine("i-1")]);
     let mut config = configuration(2);
@@ -170,7 +172,7 @@
     fleet
 }
 
-/// An order that an engine has accepted.
+/// An order that an engine accepted.
 #[derive(Debug)]
 struct Given {
     holder: String,
@@ -186,7 +188,7 @@
     fleet.engine(id).record().orders.iter().map(one).collect()
 }
 
-/// Asks for more adapters than there are places for, until all were served.
+/// Requests more adapters than there are slots, until each was served once.
 fn has_orders_given(fleet: &Fleet, node: usize, name: &str) {
     for adapter in ["a1", "a2", "a3", "a4"] {
         let model = format!("m/{adapter}");
@@ -200,7 +202,7 @@
     }
 }
 
-/// How the holder misses that the store comes back.
+/// Why the leader does not see that the store was restored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Misses {
     StandsStill,
@@ -209,8 +211,9 @@
 
 macro_rules! earlier_holders {
     ($($name:ident: $misses:ident;)*) => {$(
-        /// The holder misses that the store comes back without its claim. Another claims at the same offset: engines must be
-        /// able to tell their orders apart, and refuse those of the first when it goes on.
+        /// A leader that misses a restore which lost its lease must not get orders accepted after a second
+        /// node acquired the lease at the same offset: engines must be able to tell the two fencing tokens
+        /// apart.
         #[test]
         fn $name() {
             earlier_holder_is_replaced(Misses::$misses);
@@ -257,8 +260,8 @@
     }
 }
 
-/// The holder is stopped as planned and gives its claim up, another takes it at once, and the store loses both. The first
-/// is gone, and the second goes on without waiting for it.
+/// If a restore loses both the release of the lease by a stopped leader and its acquisition by the
+/// successor, the successor must continue without waiting for the old lease to expire.
 #[test]
 fn successor_of_a_planned_stop_goes_on_where_that_is_lost() {
     let mut fleet = fleet();
@@ -271,13 +274,13 @@
     wait("the second node gives orders", || !fleet.lines(&lines, 4001).is_empty());
     fleet.store.come_back(&backup);
     has_orders_given(&fleet, second, "after");
-    wait("its claim counts in the new era", || fleet.lines(&lines, 4001).len() == 2);
+    wait("it holds the lease in the new era", || fleet.lines(&lines, 4001).len() == 2);
     has_orders_given(&fleet, second, "last");
     assert_eq!(fleet.lines(&lines, 4002).len(), 0);
     assert_eq!(fleet.engine("i-1").record().old_fences, 0);
 }
 
-/// Nodes had made themselves known, and the store loses that: those that start later would not find them.
+/// Nodes must register again after a restore lost their entries; nodes that start later would not find them.
 #[test]
 fn nodes_make_themselves_known_again() {
     let mut fleet = fleet_of(Vec::new());
@@ -291,15 +294,16 @@
             records.iter().map(|r| String::from_utf8_lossy(r).into_owned()).collect();
         fleet.nodes.iter().all(|n| all.iter().any(|entry| entry.contains(&n.name)))
     };
-    wait("both are known", || known(&fleet));
+    wait("both are registered", || known(&fleet));
     fleet.store.come_back(&empty);
     assert!(!known(&fleet));
-    wait("both are known again", || known(&fleet));
+    wait("both are registered again", || known(&fleet));
 }
 
 macro_rules! holders {
     ($($name:ident: $claim_is_lost:literal, $times:literal;)*) => {$(
-        /// The store comes back while a node gives orders, with or without its claim: it goes on, and nobody beside it.
+        /// After a restore, with or without the loss of its lease, the leader continues and no other node
+        /// sends orders.
         #[test]
         fn $name() {
             holder_goes_on($claim_is_lost, $times);
@@ -323,12 +327,12 @@
     let late = fleet.store.backup();
     std::thread::sleep(Duration::from_millis(700));
     for _ in 0..times {
-        // Without an outage, which would use up most of the short lease of these tests.
+        // No outage here: it would use up most of the short lease of these tests.
         fleet.store.come_back(if claim_is_lost { &empty } else { &late });
         std::thread::sleep(Duration::from_millis(500));
     }
     let before = given(&fleet, "i-1").len();
-    // Longer than a lease of these tests, in which another could take its place.
+    // Longer than a lease of these tests, so that another node could take over.
     for round in 0..4 {
         has_orders_given(&fleet, second, &format!("after-{round}"));
         std::thread::sleep(Duration::from_millis(400));
@@ -338,13 +342,13 @@
     assert!(orders.iter().all(|o| o.holder == fleet.nodes[first].name), "{orders:?}");
     assert!(orders[before..].iter().all(|o| o.fence > orders[0].fence), "{orders:?}");
     assert!(orders.windows(2).all(|o| o[0].fence <= o[1].fence), "{orders:?}");
-    assert_eq!(fleet.lines(&lines, 4002).len(), 0, "its claim counts all the while");
+    assert_eq!(fleet.lines(&lines, 4002).len(), 0, "the leader never lost its lease");
     let gained = fleet.lines(&lines, 4001);
     assert_eq!(gained.len(), 1 + times as usize, "{gained:?}");
 }
 
-/// The holder is killed while the store is away, and its claim is lost with what it wrote: another takes its place, with a
-/// number that engines take for newer.
+/// The successor of a leader that was killed during a restore which lost its lease must use a fencing token
+/// that engines accept as newer.
 #[test]
 fn successor_in_a_new_era_is_obeyed() {
     let mut fleet = fleet();
@@ -376,8 +380,8 @@
     fleet.nodes[node].call(Method::POST, "/look/", &headers).unwrap().status
 }
 
-/// A key is taken away, one node is cut off and does not hear of it, and the store loses that change. The node reads the
-/// configuration before it as the newest there is: that shows nothing, and the key must not be of use again.
+/// A revoked key must stay unusable at a node that missed the revocation, even if a restore lost that
+/// change and the node reads the older configuration as the newest one.
 #[test]
 fn key_that_was_taken_away_stays_so_over_an_era() {
     let mut fleet = fleet_of(Vec::new());
@@ -388,18 +392,18 @@
     for node in [first, second] {
         fleet.nodes[node].set("bounds.strictRevoke=false", "bounds.strictRevoke=true");
     }
-    wait("the key is of use", || status_with(&fleet, second, "c", "k-1") == StatusCode::OK);
+    wait("the key is accepted", || status_with(&fleet, second, "c", "k-1") == StatusCode::OK);
     let backup = fleet.store.backup();
     fleet.nodes[first].kill();
     fleet.nodes[second].to_store.set(Condition::Cut);
     fleet.store.put("keyed.op", "config", &keyed(3, &["k-2"]));
-    // As long as a key may be of use after that in the settings of these tests.
+    // The time for which a revoked key may still be accepted in the settings of these tests.
     std::thread::sleep(Duration::from_millis(2_000));
     come_back(&fleet, &backup, |_| {});
     fleet.nodes[second].to_store.set(Condition::Open);
     let opened = Instant::now();
     let mut sent = 0;
-    // What the operators wrote is there again within two seconds.
+    // Operators repeat their lost changes within two seconds.
     while opened.elapsed() < Duration::from_millis(1_200) {
         let status = status_with(&fleet, second, &format!("taken-{sent}"), "k-1");
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "call {sent}");
@@ -407,15 +411,15 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     fleet.store.put("keyed.op", "config", &keyed(3, &["k-2"]));
-    wait("the key is nobody's", || {
+    wait("the key is unknown", || {
         status_with(&fleet, second, "gone", "k-1") == StatusCode::UNAUTHORIZED
     });
-    wait("others are served", || status_with(&fleet, second, "other", "k-2") == StatusCode::OK);
+    wait("other keys are accepted", || status_with(&fleet, second, "other", "k-2") == StatusCode::OK);
     assert_eq!((0..sent).map(|n| fleet.runs(&format!("taken-{n}"))).sum::<u32>(), 0);
 }
 
-/// The store loses the newest configuration, and the node that reads for all starts only then: it takes from another, which
-/// still has that, what the operators had been told is in force.
+/// A leader that starts after a restore lost the newest configuration must take it from a node that still
+/// has it, since operators were told that it is in force.
 #[test]
 fn configuration_that_the_store_lost_is_taken_from_a_node_that_has_it() {
     let mut fleet = fleet_of(Vec::new());
@@ -438,7 +442,7 @@
     come_back(&fleet, &backup, |_| {});
     let (third, lines) = fleet.start_logged("c");
     wait("the third node gives orders", || !fleet.lines(&lines, 4001).is_empty());
-    assert!(!serves(&fleet, third, "lost"), "nobody has told it yet");
+    assert!(!serves(&fleet, third, "lost"), "no node has sent it the configuration yet");
     fleet.nodes[second].signal(Signal::CONT);
     wait("the new route is served by the third", || serves(&fleet, third, "after"));
     assert!(serves(&fleet, second, "still"));
--- a/crates/hibiscusgw/tests/platform/heads.rs
+++ b/crates/hibiscusgw/tests/platform/heads.rs
@@ -1,4 +1,4 @@
-//! Domains with so many nodes that one of them passes on to the others.
+//! Failure domains with so many nodes that one of them, the hub, forwards the leader's updates to the others.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 
 use crate::{fleet_of, long_prompt};
 
-/// An engine that reads each prompt for so long that the next request comes meanwhile.
+/// An engine whose prefill takes so long that the next request arrives meanwhile.
 fn reads(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
@@ -23,19 +23,19 @@
     }
 }
 
-/// So many nodes of one domain, which all take callers and know their head.
+/// Starts `nodes` nodes of one domain, and waits until they are ready and know their hub.
 fn domain_of(nodes: usize) -> Fleet {
     let mut fleet = fleet_of(["i-3", "i-4"].map(reads).to_vec());
     let nodes: Vec<usize> = (0..nodes).map(|_| fleet.spawn("a")).collect();
     for node in nodes {
         wait("the node is ready", || fleet.nodes[node].is_ready());
     }
-    // The keeper counts the nodes anew in the first seconds; those that have a head ask it from then on.
+    // The leader counts the nodes again in the first seconds; from then on nodes with a hub poll the hub.
     std::thread::sleep(Duration::from_secs(3));
     fleet
 }
 
-/// The nodes of the domain that may pass on, the first first.
+/// The nodes of the domain that may be its hub, in order of preference.
 fn heads(fleet: &Fleet) -> Vec<usize> {
     let member = |n: &Node| Member {
         node: n.name.clone(),
@@ -48,7 +48,7 @@
     found.filter_map(|head| fleet.nodes.iter().position(|n| n.name == head.node)).collect()
 }
 
-/// Calls that the store has been asked for since it was last looked at, a second.
+/// Calls to the store per second, measured over `during`.
 fn calls_a_second(fleet: &Fleet, during: Duration) -> f64 {
     let calls = || fleet.store.calls().values().sum::<u64>();
     let (before, began) = (calls(), Instant::now());
@@ -56,13 +56,13 @@
     (calls() - before) as f64 / began.elapsed().as_secs_f64()
 }
 
-/// The store refuses every call for some seconds. Each of twelve nodes called three times in every half second, 80 calls
-/// a second; the keeper and the head alone make some ten.
+/// While the store refuses every call, only the leader and the hub may retry; otherwise the load on the
+/// store grows with the number of nodes.
 #[test]
 fn store_that_refuses_is_called_by_few() {
     let fleet = domain_of(12);
     fleet.store.fault(&Faults { refuse: true, ..Faults::default() });
-    // Every node finds out once that nobody tells it anything any more.
+    // Every node calls the store itself once, when the hub has no updates.
     std::thread::sleep(Duration::from_secs(3));
     let calls = calls_a_second(&fleet, Duration::from_secs(4));
     assert!(calls < 30.0, "{calls} calls a second");
@@ -85,8 +85,8 @@
     config
 }
 
-/// Both nodes of a domain that would pass on are killed at once, and an engine begins to leave. The others must hear of
-/// it all the same: work that they sent there would be cut.
+/// Nodes must learn that an engine is draining even if both hubs of their domain are killed at once;
+/// otherwise the engine cuts off the work that they send.
 #[test]
 fn nodes_hear_of_a_leaving_engine_after_their_heads_have_ended() {
     let mut fleet = domain_of(8);
@@ -97,7 +97,7 @@
     fleet.list(fleet.engine("desk-1"), "draining");
     let left: Vec<usize> = (0..8).filter(|node| !heads[..2].contains(node)).collect();
     for node in left {
-        wait("calls go to the other engine alone", || {
+        wait("calls go only to the other engine", || {
             let before = fleet.engine("desk-1").record().runs.len();
             for call in 0..10 {
                 let id = format!("call-{node}-{before}-{call}");
@@ -109,9 +109,9 @@
     }
 }
 
-/// With fourteen nodes nobody tells all others of each request. Two callers of one session come to two of them within a
-/// fifth of a second; the second node would send to the engine that keeps the session's prompt, and the request would
-/// wait there for the first while another engine is idle. The sums that the head tells show it.
+/// In a large domain, nodes learn the load of engines only from the sums that the hub reports. Two requests
+/// of one session through two nodes must not queue at the engine with the cached prompt while another
+/// engine is idle.
 #[test]
 fn node_passes_over_an_engine_that_others_are_known_to_use() {
     let fleet = domain_of(14);
@@ -136,7 +136,7 @@
     assert_eq!(parted, pairs.len());
 }
 
-/// Tries of a node that found no connection.
+/// Attempts of a node that could not connect to an engine.
 fn unreached(node: &Node) -> f64 {
     let metrics = Caller::new(node.metrics).unwrap();
     let text = metrics.call(Method::GET, "/metrics", &[], "").unwrap().body;
@@ -145,14 +145,14 @@
     line.and_then(|l| l.split_whitespace().next_back()?.parse().ok()).unwrap_or(0.0)
 }
 
-/// Sends calls to a node; gives whether all were answered.
+/// Sends calls to a node; returns whether all were answered.
 fn calls(node: &Node, name: &str) -> bool {
     let call = |n| node.plain("/look/", &format!("{name}-{}-{n}", node.name));
     (0..8).all(|n| call(n).is_ok_and(|a| a.status == StatusCode::OK))
 }
 
-/// An engine's process is lost, and thirteen nodes send to it. The first finds no connection; on its word the others
-/// leave the engine alone, and the head alone looks whether it is back.
+/// When one node reports an engine unreachable, the other nodes of the domain must stop using it without
+/// trying it themselves, and the hub probes whether it is back.
 #[test]
 fn engine_that_one_node_cannot_reach_is_left_alone_by_all() {
     let fleet = domain_of(14);
@@ -163,11 +163,11 @@
     entry["id"] = "desk-3".into();
     entry["addr"] = addr.to_string().into();
     fleet.store.put("keyed.servers", "desk-3", entry.to_string().as_bytes());
-    wait("the first node meets the lost engine", || {
+    wait("the first node fails to connect to the lost engine", || {
         assert!(calls(others[0], "first"));
         unreached(others[0]) > 0.0
     });
-    // A node may read of the engine after the first word on it; the head says it again.
+    // A node may read the engine's entry after the first report about it; the hub repeats the report.
     std::thread::sleep(Duration::from_secs(1));
     assert!(others[1..].iter().all(|node| calls(node, "other")));
     let tried = others[1..].iter().filter(|node| unreached(node) > 0.0).count();
@@ -180,7 +180,7 @@
             let mut call = TcpStream::connect(node.callers).unwrap();
             let text = "GET /look/ HTTP/1.1\r\nhost: HOST\r\nx-request-id: back\r\n\r\n";
             call.write_all(text.replace("HOST", HOST).as_bytes()).unwrap();
-            // A caller that left would take its call with it.
+            // The connection is kept open: closing it would cancel the call.
             calls.push(call);
         }
         while let Ok((stream, _)) = back.accept() {
--- a/crates/hibiscusgw/tests/platform/keys.rs
+++ b/crates/hibiscusgw/tests/platform/keys.rs
@@ -1,4 +1,4 @@
-//! Customers, the keys that they show, and keys that are taken away.
+//! Customers, their API keys, and the revocation of keys.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 
 use crate::fleet_of;
 
-/// A configuration with customers, and an open route.
+/// A configuration with customers and one public route.
 fn guarded(version: u64, customers: &[(&str, &[&str])]) -> Value {
     let mut config = configuration(version);
     let one =
@@ -42,7 +42,7 @@
     fleet
 }
 
-/// A call with these values of `Authorization`.
+/// Sends a call with these values of `Authorization`.
 fn call(node: &Node, path: &str, id: &str, shown: &[&str]) -> Whole {
     let mut headers = vec![("x-request-id", id), ("x-deadline-ms", "5000"), ("x-tenant", "mill")];
     headers.extend(shown.iter().map(|value| ("authorization", *value)));
@@ -58,8 +58,8 @@
     fleet.engines.iter().map(|e| e.record().keys).sum()
 }
 
-/// The engine learns whose request it is, whatever the caller says, and never the key: on the first try, the second
-/// one, and where a stream goes on elsewhere.
+/// Engines must get the customer that the gateway authenticated, not one that the caller claims, and never
+/// the key: on first attempts, retries and resumed streams.
 #[test]
 fn engine_is_told_the_customer_and_not_the_key() {
     let mut fleet = fleet();
@@ -110,7 +110,7 @@
     assert_eq!(call(node, "/nowhere/", "call-1", &[]).status, StatusCode::NOT_FOUND);
 }
 
-/// An open route needs no key. A key that nobody has is refused there too, as it may have been taken away.
+/// A public route needs no key, but an unknown key is refused there as well, since it may be a revoked one.
 #[test]
 fn open_route_needs_no_key() {
     let mut fleet = fleet();
@@ -124,7 +124,7 @@
     assert_eq!(keys_at_engines(&fleet), 0);
 }
 
-/// Without customers in the configuration a key is the caller's and the engine's affair.
+/// Without customers in the configuration, `Authorization` is passed on to the engine.
 #[test]
 fn key_is_passed_on_where_no_customers_are_configured() {
     let mut fleet = fleet_of(Vec::new());
@@ -133,13 +133,13 @@
     assert_eq!((keys_at_engines(&fleet), customers(&fleet, "call-1")), (1, Vec::new()));
 }
 
-/// A key moves to another customer, and one customer loses its last.
+/// A key moves to another customer, and a customer loses its last key.
 #[test]
 fn keys_follow_the_configuration() {
     let mut fleet = fleet();
     let node = fleet.start("a");
     put(&fleet, &guarded(3, &[("bakery", &["k-3"]), ("mill", &[])]));
-    wait("the key that was taken away is refused", || {
+    wait("the revoked key is refused", || {
         call(&fleet.nodes[node], "/look/", "call-1", &["Token k-1"]).status
             == StatusCode::UNAUTHORIZED
     });
@@ -147,7 +147,7 @@
     assert_eq!(customers(&fleet, "call-2"), ["bakery"]);
 }
 
-/// Each call that shows this is served for so long.
+/// Checks that every call with this key is served for `time`.
 fn serves_all(node: &Node, shown: &str, time: Duration) {
     let until = Instant::now() + time;
     for n in 0.. {
@@ -160,7 +160,7 @@
     }
 }
 
-/// All nodes hold to the time after which a key that was taken away is of no use.
+/// Makes these nodes enforce the time after which a revoked key must be refused.
 fn strict(fleet: &Fleet, nodes: &[usize]) {
     for node in nodes {
         fleet.nodes[*node].set("bounds.strictRevoke=false", "bounds.strictRevoke=true");
@@ -168,8 +168,9 @@
     std::thread::sleep(Duration::from_millis(300));
 }
 
-/// A node is cut off from the store and from the others, and a key is taken away. It cannot know, and stops serving
-/// whoever shows a key before that would break the promise; callers without one are served on open routes.
+/// A node that is cut off from the store and its peers cannot learn of a revocation, so it must refuse
+/// requests with keys before the revocation time is over. It serves requests without a key on public
+/// routes.
 #[test]
 fn node_that_cannot_show_the_newest_keys_refuses_those_who_show_one() {
     let mut fleet = fleet();
@@ -191,7 +192,7 @@
             && answer.headers.contains_key("retry-after")
     });
     assert!(last_run - taken < Duration::from_millis(2_000), "{:?}", last_run - taken);
-    // Nor does it know that a key is nobody's.
+    // The node cannot know either that a key is unknown: 503, not 401.
     assert_eq!(
         call(node, "/look/", "call-3", &["Token k-9"]).status,
         StatusCode::SERVICE_UNAVAILABLE
@@ -199,15 +200,16 @@
     assert_eq!(call(node, "/open/", "call-4", &[]).status, StatusCode::OK);
     assert!(!node.is_ready());
     node.to_store.set(Condition::Open);
-    wait("the key is known to be taken away", || {
+    wait("the node has learnt of the revocation", || {
         call(node, "/look/", "call-5", &["Token k-1"]).status == StatusCode::UNAUTHORIZED
     });
-    wait("others are served again", || {
+    wait("other keys are accepted again", || {
         call(node, "/look/", "call-6", &["Token k-2"]).status == StatusCode::OK
     });
 }
 
-/// A process stands still for longer than a key that was taken away may be of use, with the request that comes first.
+/// A node that was paused for longer than the revocation time must not run the first requests with its old
+/// configuration.
 #[test]
 fn node_that_stood_still_runs_nothing_on_what_it_knew() {
     let mut fleet = fleet();
@@ -230,8 +232,8 @@
     assert_eq!((0..8).map(|n| fleet.runs(&format!("late-{n}"))).sum::<u32>(), 0);
 }
 
-/// The store turns one node away and serves the others. Their word is as good as its own, and its callers are served for
-/// as long as that lasts.
+/// A node without a connection to the store must keep serving requests with keys while the leader confirms
+/// the configuration.
 #[test]
 fn node_that_the_store_turns_away_goes_on_with_the_keepers_word() {
     let mut fleet = fleet();
@@ -242,15 +244,15 @@
     fleet.nodes[other].to_store.set(Condition::Cut);
     serves_all(&fleet.nodes[other], "Token k-1", Duration::from_secs(5));
     put(&fleet, &guarded(3, &[("bakery", &["k-2"]), ("mill", &["k-3"])]));
-    wait("the key that was taken away is refused", || {
+    wait("the revoked key is refused", || {
         call(&fleet.nodes[other], "/look/", "last", &["Token k-1"]).status
             == StatusCode::UNAUTHORIZED
     });
 }
 
-/// The keeper stands still, and the other node asks the store itself whether what it was told is still the newest. With
-/// hundreds of nodes the store could not give each of them the whole text for that: it reads on from where the keeper's
-/// word ended.
+/// While the leader is paused, a node must confirm that its configuration is the newest by reading on from
+/// the offset that the leader sent; with hundreds of nodes, the store could not send each of them the whole
+/// document.
 #[test]
 fn node_proves_what_it_was_told_without_reading_it_again() {
     let mut fleet = fleet();
@@ -260,7 +262,7 @@
     strict(&fleet, &[keeper, other]);
     fleet.nodes[other].to_store.set(Condition::Cut);
     put(&fleet, &guarded(3, &[("bakery", &["k-1", "k-4"])]));
-    wait("the other node is told of the new key", || {
+    wait("the other node has the new key", || {
         call(&fleet.nodes[other], "/look/", "new", &["Token k-4"]).status == StatusCode::OK
     });
     fleet.nodes[other].to_store.set(Condition::Open);
@@ -270,5 +272,5 @@
     serves_all(&fleet.nodes[other], "Token k-4", Duration::from_secs(4));
     let given = fleet.store.given("keyed.op") - before;
     fleet.nodes[keeper].signal(Signal::CONT);
-    assert_eq!(given, 0, "times that the text was read again");
+    assert_eq!(given, 0, "configuration records that were read again");
 }
--- a/crates/hibiscusgw/tests/platform/limits.rs
+++ b/crates/hibiscusgw/tests/platform/limits.rs
@@ -1,4 +1,4 @@
-//! What customers may use, over all nodes.
+//! Rate limits of customers across all nodes.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,13 @@
 
 use crate::fleet_of;
 
-/// The window, the share and the slack of the settings that the nodes are given.
+/// Window, tolerance and slack of the limit in the settings of these nodes.
 const WINDOW: Duration = Duration::from_secs(4);
 const OVER: f64 = 0.1;
 const SLACK: f64 = 6.0;
 
-/// One customer with so many requests a second and as many at once, and one without a limit.
+/// A configuration with one customer limited to `rate` requests per second, with a burst of as many, and
+/// one customer without a limit.
 fn limited(version: u64, rate: f64) -> Value {
     let mut config = configuration(version);
     config["tenants"] = json!([
@@ -41,12 +42,12 @@
         [("x-request-id", id), ("x-deadline-ms", "2000"), ("authorization", key.as_str())];
     match node.call(Method::POST, "/look/", &headers) {
         Ok(answer) => (answer.status, answer.headers.contains_key("retry-after")),
-        // A node that is killed answers nothing.
+        // The node was killed.
         Err(_) => (StatusCode::BAD_GATEWAY, false),
     }
 }
 
-/// When requests of a customer ran that came as fast as nodes answered, and how many were refused.
+/// Send times of the requests that ran, and the numbers of those that did not.
 #[derive(Default)]
 struct Came {
     ran: Vec<Instant>,
@@ -54,7 +55,7 @@
     other: u32,
 }
 
-/// Callers send through each of these nodes, one after the other, for a time.
+/// Sends requests through each of these nodes in parallel, one at a time per node, for `time`.
 fn press(nodes: &[&Node], name: &str, time: Duration) -> Came {
     let until = Instant::now() + time;
     let mut all = Came::default();
@@ -91,7 +92,7 @@
     all
 }
 
-/// The most that ran within one window.
+/// The highest number of requests that ran within one window.
 fn worst(ran: &[Instant]) -> usize {
     let within =
         |first: Instant| ran.iter().filter(|at| **at >= first && **at < first + WINDOW).count();
@@ -102,8 +103,8 @@
     (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVER) + SLACK
 }
 
-/// Three nodes, and callers who send many times what their customer may use. Together they get what is allowed, the rest
-/// is told when to come back, and another customer does not notice.
+/// Under overload through three nodes, a customer gets its limit and no more, the excess is refused with a
+/// `Retry-After`, and other customers are not affected.
 #[test]
 fn customer_uses_its_limit_over_all_nodes() {
     const RATE: f64 = 40.0;
@@ -111,7 +112,7 @@
     for zone in ["a", "b", "b"] {
         fleet.start(zone);
     }
-    wait("allowances come", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
+    wait("allowances are granted", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
     std::thread::sleep(Duration::from_secs(2));
     let nodes: Vec<&Node> = fleet.nodes.iter().collect();
     let came = press(&nodes, "press", Duration::from_secs(8));
@@ -119,12 +120,12 @@
     assert!(worst <= allowed, "{worst} of {allowed}");
     assert!(came.ran.len() as f64 >= 0.9 * RATE * 8.0, "{} ran", came.ran.len());
     assert!(came.over > 0);
-    assert_eq!(came.other, 0, "each is told that its customer is over the limit");
+    assert_eq!(came.other, 0, "every refusal is a 429 with Retry-After");
     assert_eq!(call(nodes[0], "other", "k-2").0, StatusCode::OK);
 }
 
-/// The node that gives allowances is killed. Nodes go on with their share; what all use stays within the limit also
-/// while the next one takes over.
+/// Total use must stay within the limit while a new issuer takes over from one that was killed, and nodes
+/// must continue with their allowances meanwhile.
 #[test]
 fn limit_holds_while_the_node_that_gives_allowances_is_replaced() {
     const RATE: f64 = 60.0;
@@ -134,7 +135,7 @@
     for zone in ["a", "b"] {
         fleet.start(zone);
     }
-    wait("allowances come", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
+    wait("allowances are granted", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
     std::thread::sleep(Duration::from_secs(3));
     let (first, rest) = fleet.nodes.split_at_mut(1);
     let others: Vec<&Node> = rest.iter().collect();
@@ -151,8 +152,8 @@
     assert!(late as f64 >= 0.5 * 3.0 * RATE, "{late} in the last three seconds");
 }
 
-/// The store comes back from a copy without the claim of the node that gives allowances. What it gave before still counts:
-/// the same customer is not given it twice, and gets on with what it may.
+/// After a restore that lost the lease of the issuer, allowances that it had granted must not be granted a
+/// second time.
 #[test]
 fn limit_holds_while_the_store_comes_back_from_a_copy() {
     const RATE: f64 = 60.0;
@@ -163,7 +164,7 @@
     for zone in ["a", "b"] {
         fleet.start(zone);
     }
-    wait("allowances come", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
+    wait("allowances are granted", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
     std::thread::sleep(Duration::from_secs(3));
     let nodes: Vec<&Node> = fleet.nodes.iter().collect();
     let came = std::thread::scope(|scope| {
@@ -177,13 +178,13 @@
     assert!(came.ran.len() as f64 >= 0.8 * RATE * 9.0, "{} ran", came.ran.len());
 }
 
-/// A request that no engine takes has used nothing of its customer's limit.
+/// A request that no engine accepts must not count against the customer's limit.
 #[test]
 fn request_that_does_not_run_uses_nothing() {
     let mut fleet = fleet(2.0);
     let node = fleet.start("a");
     let node = &fleet.nodes[node];
-    wait("allowances come", || call(node, "first", "k-1").0 == StatusCode::OK);
+    wait("allowances are granted", || call(node, "first", "k-1").0 == StatusCode::OK);
     for engine in ["desk-1", "desk-2"] {
         fleet.engine(engine).refuse(1_000);
     }
@@ -198,7 +199,7 @@
     assert_eq!(call(node, "last", "k-1").0, StatusCode::OK);
 }
 
-/// A limit is taken away from a customer and given to another.
+/// A limit that is removed by a new configuration no longer applies.
 #[test]
 fn limits_follow_the_configuration() {
     let mut fleet = fleet(1.0);
@@ -210,12 +211,12 @@
     let mut config = limited(3, 1.0);
     config["tenants"][0]["ratePerS"] = 0.into();
     put(&fleet, &config);
-    wait("there is no limit any more", || {
+    wait("the limit no longer applies", || {
         (0..8).all(|n| call(node, &format!("d-{n}"), "k-1").0 == StatusCode::OK)
     });
 }
 
-/// A node that reaches no other uses its part of the limit, and not more.
+/// A node that cannot reach any other node must use its share of the limit and no more.
 #[test]
 fn node_that_is_cut_off_uses_its_part() {
     const RATE: f64 = 60.0;
@@ -225,7 +226,7 @@
     for zone in ["b", "b"] {
         fleet.start(zone);
     }
-    wait("allowances come", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
+    wait("allowances are granted", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
     std::thread::sleep(Duration::from_secs(3));
     fleet.nodes[0].kill();
     for node in &fleet.nodes[1..] {
--- a/crates/hibiscusgw/tests/platform/lines.rs
+++ b/crates/hibiscusgw/tests/platform/lines.rs
@@ -1,4 +1,4 @@
-//! What a node logs of what it decides and believes.
+//! Log lines on the decisions and the view of a node.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     assert!(text.contains("hgw_second_tries_left"), "{text}");
 }
 
-/// An engine cannot be reached, and then it can: both are said, with what was seen of it.
+/// Both the loss and the return of an engine must be logged.
 #[test]
 fn engine_that_is_judged_anew_is_named() {
     let mut fleet = fleet_of(Vec::new());
@@ -59,7 +59,7 @@
     let mut until = |well: bool| {
         wait("it is logged", || {
             call += 1;
-            // Whether this one is served does not matter here.
+            // The call only makes the node try the engine; its result does not matter.
             let _ = fleet.nodes[node].plain("/look/", &format!("c-{call}"));
             let judged = fleet.lines(&path, 4007);
             judged.iter().any(|l| l["upstream"] == "desk-1" && (l["opinion"] == "well") == well)
@@ -70,8 +70,8 @@
     until(true);
 }
 
-/// One node gives the orders and stands still for a while: the other says that it is silent, that it answers again,
-/// and before that, which adapter is to go where.
+/// The leader must log which adapter it places where, and another node must log that the paused leader is
+/// unresponsive.
 #[test]
 fn silent_peer_and_placed_adapter_are_named() {
     let mut fleet = fleet_of(vec![slow("i-1")]);
@@ -84,13 +84,13 @@
     let placed = &fleet.lines(&first_lines, 4008)[0];
     assert_eq!((&placed["load"], &placed["upstream"]), (&"m/a1".into(), &"i-1".into()));
     fleet.nodes[first].signal(Signal::STOP);
-    wait("its silence is logged", || !fleet.lines(&second_lines, 2004).is_empty());
+    wait("the unresponsive leader is logged", || !fleet.lines(&second_lines, 2004).is_empty());
     fleet.nodes[first].signal(Signal::CONT);
     let name = fleet.nodes[first].name.clone();
     assert_eq!(fleet.lines(&second_lines, 2004)[0]["peer"], name.as_str());
 }
 
-/// A request reached an engine long after it had said that it leaves, and no line told which node believed what of it.
+/// Each node must log that an engine is draining and whether it learnt this from the store or from a peer.
 #[test]
 fn engine_that_leaves_is_named_with_who_said_so() {
     let mut fleet = fleet_of(Vec::new());
--- a/crates/hibiscusgw/tests/platform/main.rs
+++ b/crates/hibiscusgw/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! Nodes as real processes on the users' platform, which small stand-ins play: what must always hold.
+//! Invariants of real node processes on a platform of stand-ins: store, engines and network links.
 
 mod apart;
 mod calls;
@@ -19,12 +19,12 @@
 use hgw_standins::fleet::{EngineSettings, Fleet};
 use http::{Method, StatusCode};
 
-/// The platform with these engines of models, before the program that is tested.
+/// A platform with these model engines and no node yet; nodes run the binary under test.
 fn fleet_of(models: Vec<EngineSettings>) -> Fleet {
     Fleet::new(env!("CARGO_BIN_EXE_hibiscusgw"), models)
 }
 
-/// Sends a long prompt of a session, and waits for the whole stream.
+/// Sends a long prompt that shares a prefix with earlier ones, and waits for the end of the stream.
 fn long_prompt(fleet: &Fleet, node: usize, id: &str) -> StatusCode {
     let headers = [
         ("x-request-id", id),
--- a/crates/hibiscusgw/tests/platform/orders.rs
+++ b/crates/hibiscusgw/tests/platform/orders.rs
@@ -1,4 +1,4 @@
-//! Who gives orders, and what they are counted against.
+//! Orders to engines: which node sends them, and their limits.
 
 use std::time::Duration;
 
@@ -51,8 +51,8 @@
     names
 }
 
-/// More adapters are asked for than there are places, through all nodes: one node gives all orders, and no
-/// engine is ordered to hold more than it has places for.
+/// With more adapters in use than slots, one node sends all orders, and no engine must be ordered to load
+/// more adapters than it has slots.
 #[test]
 fn one_node_gives_orders_within_the_places_that_there_are() {
     let fleet = fleet();
@@ -66,8 +66,8 @@
     assert!(records(&fleet).iter().all(|r| r.too_much == 0), "{:?}", records(&fleet));
 }
 
-/// The node that gives orders is killed. Another claims the duty with a higher fencing number once the
-/// lease is over, and no engine sees an older number after a newer one.
+/// When the leader is killed, another node takes over after the lease with a higher fencing token, and no
+/// engine must receive a lower token after a higher one.
 #[test]
 fn another_node_takes_the_orders_over() {
     let mut fleet = fleet();
@@ -81,9 +81,8 @@
     assert!(records(&fleet).iter().all(|r| r.old_fences == 0), "{:?}", records(&fleet));
 }
 
-/// Engines carry orders out and their answers are lost. What may have come takes its place all the same:
-/// a keeper that counted only what it knows would order more than there is room for, and the engine
-/// would crash.
+/// Orders whose responses were lost must count as carried out; otherwise the leader orders more than an
+/// engine has room for, and the engine would crash.
 #[test]
 fn lost_answers_to_orders_do_not_overfill_an_engine() {
     let fleet = fleet();
@@ -99,9 +98,8 @@
     assert!(records(&fleet).iter().all(|r| r.too_much == 0), "{:?}", records(&fleet));
 }
 
-/// Engines ignore fences, and the holder is cut off from the store: its lease is out, and it may give no order. The
-/// only engine with a model has started anew and holds nothing. Planned all the same, an order takes what makes way
-/// for the model out of the books, and nobody would be sent to a copy that is there.
+/// A leader whose lease has expired must not plan orders that it may not send: the plan would mark the
+/// model to be evicted as gone, and requests would not be sent to a copy that still exists.
 #[test]
 fn holder_that_may_give_no_order_plans_none() {
     let one = |id: &str, model: &str| EngineSettings {
@@ -116,7 +114,7 @@
         served(&fleet, node, "s-m", "m") && served(&fleet, node, "s-n", "n")
     });
     fleet.nodes[node].to_store.set(Condition::Cut);
-    // Longer than the lease, which is a second in the settings of these tests.
+    // Longer than the lease, which is one second in the settings of these tests.
     std::thread::sleep(Duration::from_millis(2_000));
     let planned = fleet.lines(&lines, 4006).len();
     fleet.engine("i-2").start_anew();
@@ -125,14 +123,14 @@
         assert!(served(&fleet, node, &format!("s-m-{round}"), "m"));
     }
     let after = fleet.lines(&lines, 4006);
-    assert_eq!(after.len(), planned, "an order is planned that may not be given: {after:?}");
+    assert_eq!(after.len(), planned, "an order was planned that may not be sent: {after:?}");
 }
 
 macro_rules! wakes_up {
     ($($name:ident: $connections_end:literal;)*) => {$(
-        /// The node that gives orders stands still for longer than its lease, and another takes its place. When it wakes up
-        /// it finds out first whether it still may: an order by its old number would come beside the other's. That its
-        /// connections to the store have ended meanwhile is no answer.
+        /// A leader that was paused for longer than its lease must check the lease before it sends an order
+        /// with its old fencing token. An error on a closed connection to the store must not count as a
+        /// confirmed lease.
         #[test]
         fn $name() {
             holder_wakes_up($connections_end);
--- a/crates/hibiscusgw/tests/platform/session.rs
+++ b/crates/hibiscusgw/tests/platform/session.rs
@@ -1,4 +1,5 @@
-//! A whole session, from the start of a node to its planned stop, as a golden file.
+//! A session from the start of a node to its graceful shutdown, compared with a snapshot; metrics and log
+//! output.
 
 use hgw_standins::client::{Caller, Whole};
 use hgw_standins::fleet::EngineSettings;
@@ -45,7 +46,7 @@
     insta::assert_snapshot!(told_all);
 }
 
-/// What was served, refused and failed is counted, with the reason, on the address of the metrics.
+/// Requests must be counted by outcome and reason in the metrics.
 #[test]
 fn metrics_count_what_became_of_requests() {
     let mut fleet = fleet_of(Vec::new());
@@ -70,8 +71,8 @@
     }
 }
 
-/// Nobody reads the lines. What the pipe and the ring before it do not take is left out; a process that waited
-/// would serve nobody after some two hundred requests.
+/// If nobody reads the log lines, the process must drop those that do not fit in the pipe and its queue;
+/// blocking on output would stop it from serving.
 #[test]
 fn unread_lines_hold_no_request_up() {
     let mut fleet = fleet_of(Vec::new());
--- a/crates/hibiscusgw/tests/platform/settings.rs
+++ b/crates/hibiscusgw/tests/platform/settings.rs
@@ -58,7 +58,7 @@
     wait("the node is ready", || fleet.nodes[node].is_ready());
 }
 
-/// A configuration that cannot be read, and then an older one: the newest good one stays in force.
+/// An invalid configuration and an older one must not replace the newest valid one.
 #[test]
 fn bad_and_old_configurations_change_nothing() {
     let mut fleet = fleet_of(Vec::new());
@@ -83,7 +83,7 @@
     });
 }
 
-/// The file changes without a signal to something that is not allowed, and back: the node serves on.
+/// An invalid settings file must not stop a running node.
 #[test]
 fn bad_settings_leave_the_last_ones_in_force() {
     let mut fleet = fleet_of(Vec::new());
--- a/crates/hibiscusgw/tests/platform/starts.rs
+++ b/crates/hibiscusgw/tests/platform/starts.rs
@@ -1,4 +1,4 @@
-//! Engines that start anew under their identity, and entries of the list that another writer made.
+//! Engines that restart under the same identity, and invalid entries in the list of engines.
 
 use std::time::Duration;
 
@@ -12,21 +12,20 @@
     EngineSettings { id: id.into(), holds: holds(&[("m", &[])]), reading, ..Default::default() }
 }
 
-/// An engine that reads a prompt for so long that its answer does not come within a test.
+/// A prefill time so long that no response comes within a test.
 const NEVER: Duration = Duration::from_secs(60);
 
 fn status(fleet: &Fleet, node: usize, path: &str, id: &str) -> StatusCode {
     fleet.nodes[node].stream(path, id, "m").unwrap().status
 }
 
-/// Whether a stream is served. Its node may not have seen yet what the test has done.
+/// Whether a stream is served; it may fail while the node has not seen the last change of the test.
 fn served(fleet: &Fleet, node: usize, id: &str) -> bool {
     fleet.nodes[node].stream("/ask/", id, "m").is_ok_and(|a| a.status == StatusCode::OK)
 }
 
-/// An engine crashes behind a cut and starts again under its identity. A stream that it ran may not be resumed, and no
-/// connection ends. Its run has ended with the earlier start, so its caller is told at once that it failed; waited
-/// for, it would be told after the whole of its time.
+/// When an engine restarts without closing its connections, the caller of a stream that may not be resumed
+/// must get an error at once, not after its deadline.
 #[test]
 fn request_at_an_earlier_start_gets_its_final_answer() {
     let mut fleet = fleet_of(vec![engine("i-1", NEVER)]);
@@ -42,7 +41,8 @@
     assert_eq!(fleet.runs("s-1"), 1);
 }
 
-/// The same for a stream that may be resumed, where no other engine can go on with it. The new start serves.
+/// The caller of a resumable stream must get an error at once as well if no other engine has the model. The
+/// restarted engine serves new requests.
 #[test]
 fn stream_at_an_earlier_start_is_not_waited_for() {
     let mut fleet = fleet_of(vec![engine("i-1", NEVER)]);
@@ -55,14 +55,14 @@
         fleet.engine("i-1").read_for(Duration::ZERO);
         fleet.engine("i-1").hold(holds(&[("m", &[])]));
         fleet.list_all();
-        // The only engine is the one that was tried: the caller is told, and its next attempt is served.
+        // The only engine was tried already, so the request fails, and the caller's next one is served.
         assert_eq!(waiting.join().unwrap(), StatusCode::BAD_GATEWAY);
-        wait("the new start serves", || served(fleet, node, "s-2"));
+        wait("the restarted engine serves", || served(fleet, node, "s-2"));
     });
 }
 
-/// An engine starts anew and holds nothing. Its keeper believes nothing of what the earlier start held, and has the
-/// model loaded again; an entry of the earlier start that comes late changes nothing.
+/// The leader must have models loaded again by an engine that restarted with empty memory, and must ignore
+/// a late entry from before the restart.
 #[test]
 fn engine_that_started_anew_gets_its_model_again() {
     let mut fleet = fleet_of(vec![engine("i-1", Duration::ZERO)]);
@@ -85,8 +85,7 @@
 
 macro_rules! unreadable {
     ($($name:ident: $field:literal => $value:expr;)*) => {$(
-        /// Another writer spoils an engine's entry. It names no engine to use: requests go to the others of the same
-        /// page, and to this one again once its entry can be read.
+        /// An invalid entry must exclude only its own engine, until the entry is valid again.
         #[test]
         fn $name() {
             entry_is_passed_over($field, $value);
@@ -115,14 +114,14 @@
     let mut goes_to = |id: &str| {
         sent += 1;
         let name = format!("s-{sent}");
-        assert!(served(&fleet, node, &name), "an engine is there");
+        assert!(served(&fleet, node, &name), "one of the engines serves");
         fleet.engine(id).record().runs.contains_key(&name)
     };
     let mut in_a_row = 0;
-    wait("nothing goes there any more", || {
+    wait("nothing is sent to i-1", || {
         in_a_row = if goes_to("i-2") { in_a_row + 1 } else { 0 };
         in_a_row == 60
     });
     fleet.list_all();
-    wait("it is used again", || goes_to("i-1"));
+    wait("i-1 is used again", || goes_to("i-1"));
 }
--- a/crates/hibiscusgw/tests/platform/stopping.rs
+++ b/crates/hibiscusgw/tests/platform/stopping.rs
@@ -1,4 +1,4 @@
-//! The planned stop, and engines that leave.
+//! Graceful shutdown of nodes, draining engines, and outages of the store.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// A node is told to stop while it gives an answer, and callers are still sent to it for a moment: the
-/// answer is given to its end, new calls are served, and the process ends with success.
+/// A node that is told to stop must complete open responses, serve calls that still arrive for a moment,
+/// and exit with success.
 #[test]
 fn planned_stop_cuts_nothing() {
     let mut fleet = fleet_of(vec![slow("i-1")]);
@@ -41,8 +41,8 @@
     wait("the process ends", || fleet.nodes[node].ended() == Some(true));
 }
 
-/// A request comes long after the signal to stop, too late to be sure of its end: it is refused with a time
-/// and goes to another node. Begun and cut, it would be lost.
+/// A stopping node must refuse calls unrun, with a `Retry-After`, once they might not complete before the
+/// process ends.
 #[test]
 fn late_call_to_a_stopping_node_is_refused_unrun() {
     let mut fleet = fleet_of(vec![EngineSettings { events: 200, ..slow("i-1") }]);
@@ -63,7 +63,7 @@
     });
 }
 
-/// An engine says that it leaves. Once a node has read that, no request reaches it.
+/// A node that has read that an engine is draining must not send requests to it.
 #[test]
 fn engine_that_leaves_gets_no_more_work() {
     let mut fleet = fleet_of(Vec::new());
@@ -71,7 +71,7 @@
     fleet.list(fleet.engine("desk-1"), "draining");
     let calls = |fleet: &Fleet| fleet.store.calls().get("/api/log-read").copied().unwrap_or(0);
     let seen = calls(&fleet);
-    // Two reads of the list, and those of the other topics between them.
+    // Enough calls for two reads of the list of engines, with those of other topics between them.
     wait("the node has read the list", || calls(&fleet) > seen + 10);
     for n in 0..20 {
         fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
@@ -80,14 +80,14 @@
     assert_eq!(fleet.engine("desk-2").record().runs.len(), 20);
 }
 
-/// The store goes down and engines go on: callers are served all the while, also when it comes back
-/// without the entries that lapsed meanwhile.
+/// Callers must be served during an outage of the store, and after it while the store lacks the entries
+/// that expired.
 #[test]
 fn outage_of_the_store_stops_no_calls() {
     let mut fleet = fleet_of(Vec::new());
     let node = fleet.start("a");
     fleet.store.fault(&Faults { down: true, ..Faults::default() });
-    // Longer than two of the engines' heartbeats: entries may lapse.
+    // Longer than two heartbeats of engines, so that entries may expire.
     for n in 0..25 {
         let answer = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
         assert_eq!(answer.status, StatusCode::OK);
@@ -105,8 +105,8 @@
     }
 }
 
-/// Three nodes, of which one reads the store for all. It is cut off from the store, and then an engine says
-/// that it leaves: the others read for themselves before the engine must get no more work.
+/// Only the leader reads the store. When it is paused, the other nodes must read the store themselves, in
+/// time to learn that an engine is draining.
 #[test]
 fn nodes_read_for_themselves_when_the_keeper_cannot() {
     let mut fleet = fleet_of(Vec::new());
@@ -118,9 +118,10 @@
     let before = reads(&fleet);
     std::thread::sleep(Duration::from_millis(2_000));
     let for_all = reads(&fleet) - before;
-    // One node's calls: four reads of the list a second, and one each of the configuration and the claim.
+    // Calls of one node per second: four reads of the list, one of the configuration and one of the lease
+    // log.
     assert!(for_all < 30, "{for_all} calls in two seconds");
-    // The keeper stands still: it answers no node, and reads nothing.
+    // The paused leader responds to no node and reads nothing.
     let claims = fleet.store.records("hgw-claims");
     let newest = String::from_utf8_lossy(claims.last().expect("there is a claim")).into_owned();
     let keeper = fleet.nodes.iter().position(|n| newest.contains(&format!("\"{}\"", n.name)));
@@ -129,7 +130,7 @@
     fleet.list(fleet.engine("desk-1"), "draining");
     let left = (keeper + 1) % 3;
     let mut round = 0;
-    wait("no call reaches the engine any more", || {
+    wait("no call reaches the draining engine", || {
         round += 1;
         let before = fleet.engine("desk-1").record().runs.len();
         for n in 0..10 {
--- a/crates/hibiscusgw/tests/platform/streams.rs
+++ b/crates/hibiscusgw/tests/platform/streams.rs
@@ -1,4 +1,4 @@
-//! Streams.
+//! Streamed responses, and the placement of models and adapters for them.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     Faults { fail_streams: StreamFault { after_tokens: after, streams: 1 }, ..Faults::default() }
 }
 
-/// An engine breaks off in the middle of its eighth event. The caller sees one whole stream: it goes on at
-/// another engine after the seventh, and the half event is dropped.
+/// A stream that breaks in the middle of an event must be resumed at another engine after the last complete
+/// event, without the partial one.
 #[test]
 fn stream_goes_on_elsewhere_after_the_last_whole_event() {
     let both = [engine("i-1", &[("m", &[])]), engine("i-2", &[("m", &[])])];
@@ -41,7 +41,7 @@
     assert_eq!(answer.body, whole(20));
 }
 
-/// The same for a stream that no other engine can go on with: it ends without looking complete.
+/// A broken stream that may not be resumed must not look complete to the caller.
 #[test]
 fn stream_that_may_not_be_resumed_ends_broken() {
     let mut fleet = fleet_of(vec![engine("i-1", &[("m", &[])]), engine("i-2", &[("m", &[])])]);
@@ -52,8 +52,8 @@
     assert_eq!(fleet.runs("s-1"), 1);
 }
 
-/// An engine's machine goes dark in the middle of a stream: nothing comes, and no connection ends. The
-/// stream goes on elsewhere long before its caller gives it up.
+/// A stream must be resumed at another engine if its engine becomes unresponsive without closing the
+/// connection.
 #[test]
 fn stream_leaves_an_engine_that_went_dark() {
     let slow = |id: &str| EngineSettings {
@@ -78,8 +78,7 @@
     assert_eq!(fleet.runs("s-1"), 2);
 }
 
-/// The only engine with the model pauses for a second in the middle of a stream. Taken from it, the stream
-/// could go on nowhere and would be cut: it is waited for.
+/// A stream must not be taken from a slow engine if no other engine has the model.
 #[test]
 fn stream_waits_for_its_only_engine() {
     let one = EngineSettings {
@@ -102,8 +101,7 @@
     assert_eq!(fleet.runs("s-1"), 1);
 }
 
-/// Nobody holds the adapter when the request comes. The keeper has it loaded, and the request is sent when
-/// the order holds: never in hope.
+/// A request for an adapter that no engine has loaded must be sent only after the leader had it loaded.
 #[test]
 fn adapter_that_is_nowhere_is_placed_for_the_request() {
     let mut fleet = fleet_of(vec![engine("i-1", &[("m", &[]), ("n", &[])])]);
@@ -116,15 +114,15 @@
     assert_eq!(fleet.engine("i-1").holds()["m"], ["a1"]);
 }
 
-/// A rare model was dropped everywhere. Its caller is refused at once with the time that the load takes,
-/// and is served when it comes back.
+/// A request for a model that no engine has loaded is refused at once with the expected load time in
+/// `Retry-After`; a retry is served.
 #[test]
 fn model_that_is_nowhere_is_loaded_and_its_caller_told_when() {
     let slow =
         EngineSettings { load: Duration::from_millis(1_500), ..engine("i-1", &[("m", &[])]) };
     let mut fleet = fleet_of(vec![slow]);
     let node = fleet.start("a");
-    wait("the model has come", || {
+    wait("the model is loaded", || {
         let answer = fleet.nodes[node].stream("/ask/", "s-1", "n").unwrap();
         if answer.status == StatusCode::SERVICE_UNAVAILABLE {
             assert!(answer.headers.contains_key("retry-after"));
--- a/crates/hibiscusgw/tests/platform/words.rs
+++ b/crates/hibiscusgw/tests/platform/words.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the requests that they send.
+//! Datagrams by which nodes tell each other of the requests that they send.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::{fleet_of, long_prompt};
 
-/// An engine that reads each prompt for so long that the next request comes meanwhile.
+/// An engine whose prefill takes so long that the next request arrives meanwhile.
 fn reads(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
@@ -22,9 +22,9 @@
     engines.iter().find(|e| fleet.engine(e).record().runs.contains_key(id)).copied()
 }
 
-/// Two callers of one session come to two nodes within a tenth of a second. Both nodes would send to the engine that
-/// keeps the session's prompt, and the second would wait for the first there while another engine is idle. The first
-/// node says at once what it sends, so the second chooses the other engine.
+/// Two requests of one session through two nodes at nearly the same time must not queue at the engine with
+/// the cached prompt while another engine is idle: the first node sends the second a datagram on its
+/// request.
 #[test]
 fn node_passes_over_an_engine_that_reads_what_another_node_sent() {
     let engines = ["i-3", "i-4"];
@@ -45,11 +45,15 @@
         });
         at(&fleet, &engines, &ids[0]) != at(&fleet, &engines, &ids[1])
     });
-    assert_eq!(at(&fleet, &engines, &format!("s-{tries}")), Some("i-3"), "the session's engine");
+    assert_eq!(
+        at(&fleet, &engines, &format!("s-{tries}")),
+        Some("i-3"),
+        "the engine with the cached prompt"
+    );
 }
 
-/// Four long prompts come at the same moment, and the only copy runs a stream, which would pause for as long as it takes
-/// to read them all. Their own first events may take five seconds: each waits until the one before has been read.
+/// Long prompts that arrive together at an engine with a running stream must be sent one after the other;
+/// the prefill of all of them would pause the stream for too long.
 #[test]
 fn prompts_wait_while_they_would_pause_a_stream_for_too_long() {
     let engine = EngineSettings {
@@ -80,7 +84,7 @@
     assert_eq!(fleet.engine("i-1").record().most_reading, 1);
 }
 
-/// Anybody on the network may send bytes to the port for words. What is no word changes nothing.
+/// Invalid datagrams must be ignored: anyone on the network can send them.
 #[test]
 fn bytes_that_are_no_word_are_passed_over() {
     let mut fleet = fleet_of(["i-1"].map(reads).to_vec());
--- a/crates/hibiscusgw/tests/support/mod.rs
+++ b/crates/hibiscusgw/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the binary on lines of input.
+//! Runs the binary with lines on its standard input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// The exit code of the binary and all that it printed, with these lines on its standard input.
+/// Returns the exit code of the binary and all that it printed.
 pub(crate) fn run_on(args: &[&str], lines: &str) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_hibiscusgw"))
         .args(args)
@@ -13,7 +13,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A command that refuses its flags reads nothing.
+    // The write fails if the command exits early, for example on invalid flags.
     let _ = child.stdin.take().unwrap().write_all(lines.as_bytes());
     let output = child.wait_with_output().unwrap();
     let code = output.status.code().unwrap();
