--- a/crates/hibiscusgw/tests/command_line.rs
+++ b/crates/hibiscusgw/tests/command_line.rs
@@ -1,9 +1,9 @@
-//! The command line: the real binary's whole output, compared with files kept beside this one.
+//! Output and exit codes of the binary for command lines, compared with snapshots.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the binary in the folder of the examples, without any environment variable, and gives its exit
+/// Runs the binary in the `examples` directory with only these environment variables, and returns its exit
 /// code and all that it printed.
 fn run(args: &[&str], env: &[(&str, &str)]) -> String {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
--- a/crates/hibiscusgw/tests/explain/main.rs
+++ b/crates/hibiscusgw/tests/explain/main.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of a request from lines of a played day, node after node.
+//! Output of `explain` for recorded log lines, compared with snapshots.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/hibiscusgw/tests/logs.rs
+++ b/crates/hibiscusgw/tests/logs.rs
@@ -1,9 +1,9 @@
-//! Log lines of a real process.
+//! Format of the log lines of a real process.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
 
-/// A process on the platform whose store is nowhere: it logs that, and lives.
+/// Starts a node whose store cannot be reached; it logs that and keeps running.
 fn start(name: &str) -> (Child, std::path::PathBuf) {
     let path = std::env::temp_dir().join(format!("hgw-logs-{}-{name}", std::process::id()));
     let text = format!(
--- a/crates/hibiscusgw/tests/operator_calls.rs
+++ b/crates/hibiscusgw/tests/operator_calls.rs
@@ -1,5 +1,4 @@
-//! The operators' calls over a real connection, from the client to a port that stands for the control
-//! thread.
+//! Operator calls over a real connection, from the client to a stub of the control thread.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -14,7 +13,7 @@
 
 const ID: RecordId = RecordId { boot: 7, seq: 3 };
 
-/// Answers every call with the same reply and keeps what was asked.
+/// Returns the same reply to every call and records the requests.
 struct Port {
     reply: Option<OperatorReply>,
     asked: Mutex<Vec<OperatorRequest>>,
@@ -89,7 +88,7 @@
     unknown: ApplyOutcome::Unknown => Outcome::Unknown(Unknown {});
 }
 
-/// A document near the limit passes in both directions.
+/// A document near the size limit must pass in both directions.
 #[test]
 fn large_document() {
     let document = vec![b' '; 2 * 1024 * 1024];
@@ -98,7 +97,7 @@
     let got = run(Client::new(server.addr, "right").get()).unwrap();
     assert_eq!((got.version, got.document.len()), (9, document.len()));
     let req = ApplyRequest { id: String::new(), base: 0, document };
-    // The port answers another call's reply, which must not pass for an outcome.
+    // The port returns the reply to another kind of call, which must not be taken for an outcome.
     let refused = run(Client::new(server.addr, "right").apply(&req)).unwrap_err();
     assert_matches!(refused, Error::Refused { status: 13, .. });
     assert_eq!(server.asked().len(), 2);
@@ -121,7 +120,7 @@
     assert_eq!(run(Client::new(server.addr, "right").state()).unwrap().json, "{}");
 }
 
-/// Nobody comes in without the token, and nothing of such a call reaches the control thread.
+/// A call without the right token must be refused before it reaches the control thread.
 #[test]
 fn wrong_token_is_refused() {
     let server = Server::start(Some(OperatorReply::State("secret".into())));
@@ -142,7 +141,7 @@
     assert_eq!(server.asked(), []);
 }
 
-/// The control thread is too busy to take the call: the operator learns that nothing was done.
+/// If the control thread is too busy to accept a call, the operator must learn that nothing was done.
 #[test]
 fn busy_node_says_so() {
     let server = Server::start(None);
--- a/crates/hibiscusgw/tests/platform/apart.rs
+++ b/crates/hibiscusgw/tests/platform/apart.rs
@@ -18,7 +18,7 @@
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
     let mut fleet = fleet_of(vec![models]);
     let keeper = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     fleet.nodes[other].to_store.set(Condition::Cut);
     let mut config = configuration(2);
@@ -42,7 +42,7 @@
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
     let mut fleet = fleet_of(vec![models]);
     fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     fleet.nodes[other].to_store.set(Condition::Cut);
     fleet.list(fleet.engine("desk-1"), "draining");
@@ -64,7 +64,7 @@
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
     let mut fleet = fleet_of(vec![models]);
     let keeper = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let (other, path) = fleet.start_logged("b");
     std::thread::sleep(Duration::from_secs(1));
     // Closes open connections; new ones are accepted and carry no data.
--- a/crates/hibiscusgw/tests/platform/eras.rs
+++ b/crates/hibiscusgw/tests/platform/eras.rs
@@ -93,7 +93,7 @@
 fn engine_that_leaves_in_the_new_era_is_seen(written: u32) {
     let mut fleet = fleet_of(Vec::new());
     let node = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     let backup = fleet.store.backup();
     heartbeats(&fleet, 4);
@@ -111,7 +111,7 @@
 fn node_that_hears_through_another_follows_over_two_eras() {
     let mut fleet = fleet_of(Vec::new());
     fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let (other, lines) = fleet.start_logged("b");
     let backup = fleet.store.backup();
     heartbeats(&fleet, 4);
@@ -230,7 +230,7 @@
     let mut fleet = fleet();
     let backup = fleet.store.backup();
     let first = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let second = fleet.start("b");
     has_orders_given(&fleet, first, "before");
     match misses {
@@ -239,7 +239,7 @@
     }
     come_back(&fleet, &backup, |_| {});
     let (a, b) = (fleet.nodes[first].name.clone(), fleet.nodes[second].name.clone());
-    wait("the second node gives orders", || {
+    wait("the second node sends orders", || {
         has_orders_given(&fleet, second, "between");
         given(&fleet, "i-1").iter().any(|o| o.holder == b)
     });
@@ -267,11 +267,11 @@
     let mut fleet = fleet();
     let backup = fleet.store.backup();
     let first = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let (second, lines) = fleet.start_logged("b");
     has_orders_given(&fleet, first, "before");
     fleet.nodes[first].signal(Signal::TERM);
-    wait("the second node gives orders", || !fleet.lines(&lines, 4001).is_empty());
+    wait("the second node is the leader", || !fleet.lines(&lines, 4001).is_empty());
     fleet.store.come_back(&backup);
     has_orders_given(&fleet, second, "after");
     wait("it holds the lease in the new era", || fleet.lines(&lines, 4001).len() == 2);
@@ -321,7 +321,7 @@
     let mut fleet = fleet();
     let empty = fleet.store.backup();
     let (first, lines) = fleet.start_logged("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let second = fleet.start("b");
     has_orders_given(&fleet, second, "before");
     let late = fleet.store.backup();
@@ -354,7 +354,7 @@
     let mut fleet = fleet();
     let backup = fleet.store.backup();
     let first = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 3);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 3);
     has_orders_given(&fleet, first, "before");
     fleet.nodes[first].kill();
     come_back(&fleet, &backup, |_| {});
@@ -387,7 +387,7 @@
     let mut fleet = fleet_of(Vec::new());
     fleet.store.put("keyed.op", "config", &keyed(2, &["k-1", "k-2"]));
     let first = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let second = fleet.start("b");
     for node in [first, second] {
         fleet.nodes[node].set("bounds.strictRevoke=false", "bounds.strictRevoke=true");
@@ -424,7 +424,7 @@
 fn configuration_that_the_store_lost_is_taken_from_a_node_that_has_it() {
     let mut fleet = fleet_of(Vec::new());
     let first = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let second = fleet.start("b");
     let backup = fleet.store.backup();
     let mut config = configuration(2);
@@ -441,7 +441,7 @@
     fleet.nodes[first].kill();
     come_back(&fleet, &backup, |_| {});
     let (third, lines) = fleet.start_logged("c");
-    wait("the third node gives orders", || !fleet.lines(&lines, 4001).is_empty());
+    wait("the third node is the leader", || !fleet.lines(&lines, 4001).is_empty());
     assert!(!serves(&fleet, third, "lost"), "no node has sent it the configuration yet");
     fleet.nodes[second].signal(Signal::CONT);
     wait("the new route is served by the third", || serves(&fleet, third, "after"));
--- a/crates/hibiscusgw/tests/platform/keys.rs
+++ b/crates/hibiscusgw/tests/platform/keys.rs
@@ -238,7 +238,7 @@
 fn node_that_the_store_turns_away_goes_on_with_the_keepers_word() {
     let mut fleet = fleet();
     let keeper = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     strict(&fleet, &[keeper, other]);
     fleet.nodes[other].to_store.set(Condition::Cut);
@@ -257,7 +257,7 @@
 fn node_proves_what_it_was_told_without_reading_it_again() {
     let mut fleet = fleet();
     let keeper = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     strict(&fleet, &[keeper, other]);
     fleet.nodes[other].to_store.set(Condition::Cut);
--- a/crates/hibiscusgw/tests/platform/limits.rs
+++ b/crates/hibiscusgw/tests/platform/limits.rs
@@ -131,7 +131,7 @@
     const RATE: f64 = 60.0;
     let mut fleet = fleet(RATE);
     fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     for zone in ["a", "b"] {
         fleet.start(zone);
     }
@@ -160,7 +160,7 @@
     let mut fleet = fleet(RATE);
     let empty = fleet.store.backup();
     fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     for zone in ["a", "b"] {
         fleet.start(zone);
     }
@@ -222,7 +222,7 @@
     const RATE: f64 = 60.0;
     let mut fleet = fleet(RATE);
     fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     for zone in ["b", "b"] {
         fleet.start(zone);
     }
--- a/crates/hibiscusgw/tests/platform/lines.rs
+++ b/crates/hibiscusgw/tests/platform/lines.rs
@@ -76,7 +76,7 @@
 fn silent_peer_and_placed_adapter_are_named() {
     let mut fleet = fleet_of(vec![slow("i-1")]);
     let (first, first_lines) = fleet.start_logged("first");
-    wait("it gives orders", || !fleet.lines(&first_lines, 4001).is_empty());
+    wait("it is the leader", || !fleet.lines(&first_lines, 4001).is_empty());
     let (second, second_lines) = fleet.start_logged("second");
     wait("an adapter is served", || {
         fleet.nodes[second].stream("/ask/", "s-1", "m/a1").is_ok_and(|a| a.status == 200)
@@ -95,7 +95,7 @@
 fn engine_that_leaves_is_named_with_who_said_so() {
     let mut fleet = fleet_of(Vec::new());
     let (_, keeper) = fleet.start_logged("leaves");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let (_, other) = fleet.start_logged("leaves");
     fleet.list(fleet.engine("desk-1"), "draining");
     for (path, by) in [(keeper, "store"), (other, "peer")] {
--- a/crates/hibiscusgw/tests/processes/calls.rs
+++ b/crates/hibiscusgw/tests/processes/calls.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated runs at most once; "not run" is true.
+//! A call that is not idempotent runs at most once, and "not run" is only reported if it has not run.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,18 +11,17 @@
 
 use crate::{cases, fault, runs, runs_at, services, settings, start_acquainted, state};
 
-/// Shards of idempotency keys where the nodes' settings do not say.
+/// The default number of idempotency-key shards.
 const KEY_SHARDS: usize = 8;
 
-/// A voucher that is to be printed once.
+/// Sends a call with an idempotency key: a voucher that must be printed once.
 fn print_voucher(node: &Node, name: &str) -> hgw_standins::cluster::Result<Whole> {
     let headers = [("idempotency-key", name), ("x-call", name)];
     node.plain(Method::POST, "/svc/caja-app/vouchers", &headers, "amount=1200")
 }
 
-/// Starts nodes that know each other and own all key shards between them, each one once. Before that
-/// shards change hands: a call that is sent only once may be answered with "not run", or with "may have
-/// run" where its first owner lost the shard, and a test would wait for a run that nobody begins.
+/// Starts nodes and waits until every key shard has exactly one owner. While shards change owners, a call
+/// that is sent once may be refused, and a test would wait forever for it to run.
 fn start_owned(settings: Settings) -> Cluster {
     let cluster = start_acquainted(settings);
     wait("every key shard has one owner", || has_settled(&cluster))
@@ -42,14 +41,14 @@
     owned.len() == KEY_SHARDS && distinct.len() == KEY_SHARDS
 }
 
-/// Prints a voucher through a node until it is told that it ran.
+/// Sends the call until it succeeds.
 fn print_until_done(node: &Node, name: &str) -> Whole {
     let mut last = None;
     let printed = wait("the voucher is printed", || {
         last = print_voucher(node, name).ok();
         last.as_ref().is_some_and(|answer| answer.status == StatusCode::OK)
     });
-    assert!(printed.is_ok(), "the call is answered in the end, and not with {last:?}");
+    assert!(printed.is_ok(), "the call did not succeed; the last response was {last:?}");
     last.expect("an answer was kept")
 }
 
@@ -57,8 +56,7 @@
     answer.body.contains("not_run")
 }
 
-/// Two callers send the same key through two nodes at once. One run is begun by the owner of the
-/// key; both get its answer, or are told that it may have run. The service's own count is the judge.
+/// A call that is sent with the same key through two nodes at once must run once, by the service's own count.
 #[test]
 fn a_key_sent_through_two_nodes_at_once_runs_once() {
     let cluster = start_owned(settings());
@@ -74,14 +72,13 @@
     }
 }
 
-/// The caller gets the kept answer. A call with a key runs and its end is recorded, which comes just
-/// after its answer; then a node is killed, which may be the owner of the key. The next owner has read
-/// from the log that the call is done.
+/// A repeat of a completed call must get the stored response and not run again after a node, which may be the
+/// owner of the key, is killed.
 fn check_repeat_after_kill(killed: usize) {
     let mut cluster = start_owned(settings());
     let other = (killed + 1) % cluster.nodes.len();
     let first = print_until_done(&cluster.nodes[other], "voucher");
-    // Claims and snapshots stand in the same streams.
+    // The same streams also contain claims and snapshots.
     let is_end = |record: &Vec<u8>| record.windows(4).any(|bytes| bytes == b"Done");
     wait("the end of the call is recorded", || cluster.logged("once.").unwrap().iter().any(is_end))
         .expect("the owner records the end");
@@ -96,8 +93,8 @@
     a_repeat_after_the_death_of_the_third_node_does_not_run(2);
 }
 
-/// Sends the call until somebody begins it: while the shard of its key changes hands, "not run" is true
-/// and comes at once. Once the service has run it, whatever the caller is told is the last word.
+/// Sends the call until the service runs it, or until the response is not "not run". While the shard of the
+/// key changes owners, "not run" is a correct response.
 fn send_until_begun(caller: &Caller, services: &[SocketAddr]) -> CallResult<Whole> {
     let headers = [("idempotency-key", "voucher"), ("x-call", "voucher")];
     loop {
@@ -109,9 +106,8 @@
     }
 }
 
-/// The caller's repeat never runs a second time. The service has run the call and its answer is on
-/// the way when a node dies, which may be the owner of the key. The next owner finds a begin without
-/// an end in the log: it may have run, so it is not run again.
+/// A call must not run again after a node, which may be the owner of its key, is killed while the call
+/// runs. The next owner finds a begin record without an end in the log, so the call may have run.
 fn check_kill_during_call(killed: usize) {
     let mut settings = settings();
     settings.deployment.plain.delay = Duration::from_secs(2);
@@ -122,14 +118,14 @@
     let sender = std::thread::spawn(move || send_until_begun(&caller, &services));
     wait("the call runs", || runs(&cluster, "voucher") == 1).expect("the call reaches the service");
     cluster.nodes[killed].kill().expect("the node can be killed");
-    // An answer to the first sender is as good as none: its node's peer may be the one that died.
+    // The first sender may get any response or none, since the killed node may have handled its call.
     let _ = sender.join().expect("the sender does not panic");
     let again = print_until_told(&cluster, other);
-    assert!(!is_not_run(&again), "it has run: {}", again.body);
+    assert!(!is_not_run(&again), "the call has run: {}", again.body);
     assert_eq!(runs(&cluster, "voucher"), 1);
 }
 
-/// Repeats the call until somebody owns its key again.
+/// Repeats the call until its key has an owner again.
 fn print_until_told(cluster: &Cluster, node: usize) -> Whole {
     let mut last = None;
     wait("the key has an owner", || {
@@ -146,9 +142,8 @@
     the_death_of_the_third_node_during_a_call_repeats_nothing(2);
 }
 
-/// The caller's repeat never runs a second time. The service has run the call when a node is frozen,
-/// which may be the owner of the key. The next owner finds a begin without an end in the log. Thawed,
-/// the old owner has lost its term, and what it still records is void.
+/// A call must not run again after a node, which may be the owner of its key, is paused while the call runs.
+/// Records that the old owner writes after its term must have no effect.
 fn check_freeze_during_call(frozen: usize) {
     let mut settings = settings();
     settings.deployment.plain.delay = Duration::from_secs(2);
@@ -161,7 +156,7 @@
     cluster.nodes[frozen].signal(Signal::STOP).expect("the node can be stopped");
     print_until_told(&cluster, other);
     cluster.nodes[frozen].signal(Signal::CONT).expect("the node can go on");
-    // The first sender may be told anything but "not run".
+    // The first sender may get any response but "not run".
     let first = sender.join().expect("the sender does not panic");
     assert!(!first.is_ok_and(|answer| is_not_run(&answer)));
     for node in 0..cluster.nodes.len() {
@@ -176,8 +171,8 @@
     a_frozen_third_node_during_a_call_repeats_nothing(2);
 }
 
-/// The caller is told "not run" or "may have run", and what it is told is true. The service is down,
-/// loses the call before it runs, or loses the answer after it ran.
+/// Whether the service is down, the request is lost or the response is lost, the caller must get "not run"
+/// only if the call has not run, and "may have run" otherwise.
 fn check_told_truth(faults: &Faults) {
     let cluster = start_owned(settings());
     for plain in cluster.deployment.plains.values() {
@@ -185,9 +180,9 @@
     }
     let answer = print_voucher(&cluster.nodes[0], "voucher").expect("an answer");
     let ran = runs(&cluster, "voucher");
-    assert!(ran <= 1, "it ran {ran} times");
+    assert!(ran <= 1, "the call ran {ran} times");
     assert!(!answer.status.is_success(), "{}", answer.body);
-    assert!(!is_not_run(&answer) || ran == 0, "it ran: {}", answer.body);
+    assert!(!is_not_run(&answer) || ran == 0, "the call ran: {}", answer.body);
     assert!(is_not_run(&answer) || answer.body.contains("may_have_run"), "{}", answer.body);
 }
 
@@ -197,12 +192,12 @@
     a_call_whose_answer_is_lost(&Faults { lose_answers: 1, ..Faults::default() });
 }
 
-/// The caller is told "not run", with a time to come back. The log is down, so that the begin of a
-/// call with a key cannot be recorded. Once the log is back the call runs.
+/// While the log is down, the begin of a call with a key cannot be recorded, so the call must be refused
+/// unrun with a `Retry-After`. It runs once the log is back.
 #[test]
 fn a_key_is_not_run_while_the_log_is_down() {
     let cluster = start_owned(settings());
-    // The shards of the keys have owners before the log goes.
+    // Ensures that the key shards have owners before the log is down.
     print_until_done(&cluster.nodes[0], "first");
     fault(&cluster.deployment.platform, &Faults { down: true, ..Faults::default() });
     let answer = print_voucher(&cluster.nodes[0], "voucher").expect("an answer");
--- a/crates/hibiscusgw/tests/processes/configuration.rs
+++ b/crates/hibiscusgw/tests/processes/configuration.rs
@@ -1,6 +1,6 @@
-//! An accepted configuration is in force everywhere and never reverts.
+//! An accepted configuration takes effect on every node and is never reverted.
 //!
-//! Each change names a marker adapter, which the list of models then shows.
+//! Each change adds a marker adapter, which then appears in the list of models.
 
 use hgw_config::{Adapter, Document};
 use hgw_standins::Faults;
@@ -11,7 +11,7 @@
 
 use crate::{FIRST, fault, nowhere, settings, start};
 
-/// The document with a marker by which callers can tell it.
+/// The document with a marker adapter that callers can see.
 pub(crate) fn marked(document: &Document, marker: &str) -> Document {
     let mut document = document.clone();
     let service = &mut document.services[&name::<ServiceId>(MODEL_SERVICE)];
@@ -21,7 +21,7 @@
     document
 }
 
-/// The marker that a node's list of models shows; empty where it shows none.
+/// The marker in the list of models of a node; empty if there is none.
 pub(crate) fn marker(node: &Node) -> Option<String> {
     let answer = node.plain(Method::GET, "/v1/models", &[], "").ok()?;
     let list: serde_json::Value = answer.json().ok()?;
@@ -37,8 +37,8 @@
     }
 }
 
-/// Two operators publish changes made from the same version. The log puts them in an order, every node
-/// accepts the first and rejects the second, and all show the same one, now and after the next change.
+/// Of two changes made from the same version, every node must accept the first one in the log and reject the
+/// second one.
 #[test]
 fn of_two_racing_changes_one_wins_everywhere() {
     let cluster = start(settings());
@@ -52,7 +52,7 @@
     });
     let winner = if offsets[0] < offsets[1] { "x" } else { "y" };
     wait_marker(&cluster, winner);
-    // A change made from the loser's version was made from nothing that was ever in force.
+    // A change based on the rejected version must be rejected too.
     let lost = offsets[0].max(offsets[1]);
     cluster.publish(lost, &marked(document, "mark-z")).expect("the log takes it");
     cluster
@@ -61,11 +61,9 @@
     wait_marker(&cluster, "next");
 }
 
-/// A node shows changes in their order and never one that is older than what it has shown, while
-/// changes come one after the other.
+/// Under a sequence of changes, no node may go back to an older one.
 #[test]
 fn no_node_shows_an_older_configuration_than_before() {
-    /// Changes, which take longer than a look at a node.
     const CHANGES: u64 = 30;
     let cluster = start(settings());
     std::thread::scope(|scope| {
@@ -82,7 +80,7 @@
     });
 }
 
-/// Looks at a node until it shows change number `last`; panics where it goes back.
+/// Polls a node until it shows change number `last`; panics if it goes back to an older one.
 fn watch(node: &Node, last: u64) {
     let mut shown = 0;
     wait("the last change is in force", || {
@@ -95,8 +93,8 @@
     .expect("it is in force on every node");
 }
 
-/// A new node serves with the newest configuration. All records of the log have expired when it
-/// starts, so that it has to ask its peers.
+/// A node that starts after all records of the log have expired must get the newest configuration from its
+/// peers.
 #[test]
 fn a_node_that_starts_after_the_records_expired_has_the_configuration() {
     let mut cluster = start(settings());
@@ -111,8 +109,8 @@
     cluster.wait_served().expect("it serves every model");
 }
 
-/// Nodes show what they have, and nothing older, while the log is down and after it has come back
-/// without its records; a change that is published then is in force.
+/// Nodes must keep the configuration during an outage of the log and after the log lost its records, and then
+/// accept the next change.
 #[test]
 fn the_configuration_outlives_an_outage_of_the_log() {
     let cluster = start(settings());
@@ -129,11 +127,11 @@
     wait_marker(&cluster, "after");
 }
 
-/// A node that cannot reach the log has a change that was accepted meanwhile: its peers tell it.
+/// A node that cannot reach the log must get changes from its peers.
 #[test]
 fn a_node_without_the_log_gets_a_change_from_its_peers() {
     let mut cluster = start(settings());
-    // It learns of its peers when one of them calls, since it cannot read the list of VMs.
+    // The node cannot read the list of VMs, so it learns of its peers when one of them connects.
     let cut_off = cluster.start_node_at("b2", "stgo-b", nowhere(), &[]).expect("the node starts");
     cluster.nodes.push(cut_off);
     cluster.list_vms().expect("the list can be set");
--- a/crates/hibiscusgw/tests/processes/intruders.rs
+++ b/crates/hibiscusgw/tests/processes/intruders.rs
@@ -1,4 +1,4 @@
-//! Nobody comes in without the secret or the token of the door.
+//! Peers without the shared secret and orders without the token are refused.
 
 use hgw_standins::cluster::{Cluster, wait};
 use hgw_wire::upstream::EngineState;
@@ -6,8 +6,8 @@
 use crate::configuration::{marked, marker};
 use crate::{FIRST, engine_record, nowhere, settings, start};
 
-/// A node with another secret learns nothing. Both newcomers are on the list of VMs and are called by
-/// the nodes; the one that proves the secret has the configuration, the other one never gets it.
+/// A node on the list of VMs that has another secret must not get the configuration, while one with the right
+/// secret gets it.
 #[test]
 fn a_peer_with_another_secret_gets_no_configuration() {
     let mut cluster = start(settings());
@@ -20,11 +20,11 @@
     cluster.publish(FIRST, &change).expect("the log takes it");
     let [.., intruder, member] = cluster.nodes.as_slice() else { panic!("five nodes") };
     wait("the member has the change", || marker(member).as_deref() == Some("known"))
-        .expect("the nodes call who is on the list");
+        .expect("the nodes connect to the VMs on the list");
     assert_ne!(marker(intruder).as_deref(), Some("known"));
 }
 
-/// An engine that asks for the order token does nothing for a keeper that has another one.
+/// An engine that requires an order token must ignore orders with another one.
 #[test]
 fn an_order_without_the_token_has_no_effect() {
     let mut settings = settings();
@@ -32,9 +32,9 @@
     let cluster = Cluster::start_bare(settings).expect("the nodes start");
     cluster.publish(0, &cluster.deployment.document).expect("the log takes it");
     for engine in cluster.deployment.engines.values() {
-        wait("an order comes", || engine_record(engine).unauthorized > 2).expect("keepers order");
+        wait("orders arrive", || engine_record(engine).unauthorized > 2).expect("leaders order");
         let caller = cluster.standin(engine.addr()).expect("a client");
-        let state: EngineState = caller.get("/state").expect("the engine tells its state");
+        let state: EngineState = caller.get("/state").expect("the engine returns its state");
         assert_eq!((state.fence.0, state.models), (0, Vec::new()));
         assert_eq!(engine_record(engine).orders, []);
     }
--- a/crates/hibiscusgw/tests/processes/leaving.rs
+++ b/crates/hibiscusgw/tests/processes/leaving.rs
@@ -1,19 +1,19 @@
-//! A leaving upstream gets no new work after a few seconds.
+//! A draining upstream gets no new work after a few seconds.
 
 use hgw_standins::cluster::wait;
 use hgw_standins::{Faults, Running};
 
 use crate::{engine_record, fault, long_question, settings, start};
 
-/// Requests in a row that must all go elsewhere.
+/// Consecutive requests that must all go to the other engine.
 const IN_A_ROW: u32 = 100;
 
 fn new_work(engine: &Running) -> u64 {
     engine_record(engine).after_leaving
 }
 
-/// Callers see nothing of it. One engine reports that it is about to leave; when the nodes have learnt
-/// that, all new requests go to the other one, through whichever node they come.
+/// When the nodes have learnt that an engine is draining, no node may send new requests to it, and callers
+/// must not be affected.
 #[test]
 fn an_engine_that_reports_leaving_gets_no_new_work() {
     let cluster = start(settings());
@@ -26,12 +26,12 @@
             assert!(node.chat(&question).expect("an answer").whole);
         }
     };
-    wait("new work goes elsewhere", || {
+    wait("new requests go to the other engine", || {
         let before = new_work(leaving);
         ask_all(10);
         new_work(leaving) == before
     })
-    .expect("the nodes learn that the engine leaves");
+    .expect("the nodes learn that the engine is draining");
     let before = new_work(leaving);
     ask_all(IN_A_ROW);
     assert_eq!(new_work(leaving), before);
--- a/crates/hibiscusgw/tests/processes/main.rs
+++ b/crates/hibiscusgw/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Nodes as real processes before the stand-ins: what must always hold, under failure.
+//! Invariants of real node processes under failures, with stand-ins for the platform and the upstreams.
 
 mod calls;
 mod configuration;
@@ -33,16 +33,16 @@
 
 /// Version of the configuration that a cluster starts with.
 const FIRST: u64 = 1;
-/// Tokens of an answer that takes long enough for something to happen in its middle.
+/// Tokens of a response that is long enough for a fault in its middle.
 const LONG: u32 = 150;
-/// Tokens that have come when it happens.
+/// Tokens received before the fault.
 const MIDDLE: usize = 10;
 
 fn settings() -> Settings {
     Settings::new(env!("CARGO_BIN_EXE_hibiscusgw"))
 }
 
-/// Settings with engines so slow that an answer of [`LONG`] tokens takes seconds.
+/// Settings with engines so slow that a response of [`LONG`] tokens takes seconds.
 fn slow_engines() -> Settings {
     let mut settings = settings();
     settings.deployment.engine =
@@ -54,7 +54,7 @@
     Cluster::start(settings).expect("the cluster serves every model through every node")
 }
 
-/// Starts nodes and waits until each one knows all others: from then on they name the same dispatchers.
+/// Starts nodes and waits until each one knows all others; from then on they agree on the dispatchers.
 fn start_acquainted(settings: Settings) -> Cluster {
     let cluster = start(settings);
     let knows_all =
@@ -64,7 +64,6 @@
     cluster
 }
 
-/// The dump of a node's state.
 fn state(node: &Node) -> serde_json::Value {
     let state = node.operator("state", &[]).expect("the node tells its state");
     serde_json::from_str(&state).expect("the state is JSON")
@@ -80,7 +79,7 @@
     caller.record().expect("the stand-in has a record")
 }
 
-/// Records of all plain services together: how often the call named `name` ran.
+/// How often the call named `name` ran at all plain services together.
 fn runs(cluster: &Cluster, name: &str) -> u32 {
     runs_at(&services(cluster), name)
 }
@@ -90,7 +89,7 @@
     cluster.deployment.plains.values().map(Running::addr).collect()
 }
 
-/// The same as [`runs`], where the cluster is out of reach.
+/// The same as [`runs`], for threads that have no access to the cluster.
 fn runs_at(services: &[SocketAddr], name: &str) -> u32 {
     let named = |addr: &SocketAddr| {
         let caller = Caller::new(*addr).expect("a client needs no network yet");
--- a/crates/hibiscusgw/tests/processes/memory.rs
+++ b/crates/hibiscusgw/tests/processes/memory.rs
@@ -30,49 +30,47 @@
     }
 }
 
-/// Waits until the question is answered by `version`.
+/// Waits until a node answers the question with `version`.
 fn wait_version(cluster: &Cluster, node: usize, version: &str) {
     let question = hgw_standins::cluster::Question { max_tokens: 5, ..long_question() };
     let expected = question.expected(version);
     wait(&format!("{version} is served"), || {
         cluster.nodes[node].chat(&question).is_ok_and(|chat| chat.text == expected)
     })
-    .expect("the new version is served in the end");
+    .expect("the new version is served");
 }
 
-/// Callers go on being served and no engine is asked for more than it has. One of two nodes is the
-/// keeper; each is frozen in turn with orders under way, until the other has put a newer version in
-/// force. That one claims the domain, raises the fencing number, counts what is held and gives orders
-/// of its own; where engines carry out old orders as well, it counts what the log says that its
-/// predecessor intended. Thawed, the old keeper learns that its term is over before it can order.
+/// The successor of a leader that is paused with orders in flight must not overcommit an engine: if engines
+/// do not check fencing tokens, it must count the orders that its predecessor recorded in the log. Each of
+/// the two nodes is paused once, so the leader is among them.
 fn check_freeze(refuses_old_orders: bool) {
     let mut settings = settings();
     settings.nodes = vec![("a1", "stgo-a"), ("a2", "stgo-a")];
     settings.deployment.domains = vec![DomainSettings::new("stgo-a", 2, 1)];
     settings.deployment.engine.refuses_old_orders = refuses_old_orders;
-    // Loads that take a while, so that the freeze comes in the middle of them.
+    // Slow loads, so that the node is paused in the middle of them.
     settings.deployment.weights.units_per_second = 50.0;
     let cluster = start(settings);
     let mut version = FIRST;
     for (frozen, names) in [["v2", "v3"], ["v4", "v5"]].into_iter().enumerate() {
         version = freeze(&cluster, frozen, version, names);
     }
-    assert!(terms(&cluster) > 1, "no keeper was frozen");
+    assert!(terms(&cluster) > 1, "no leader was paused");
     assert_never_overcommitted(&cluster);
 }
 
-/// Freezes a node with orders for `first` under way until `second` is served; gives the version of the
+/// Pauses a node with orders for `first` in flight until `second` is served; returns the version of the
 /// configuration then.
 fn freeze(cluster: &Cluster, frozen: usize, version: u64, [first, second]: [&str; 2]) -> u64 {
     let before = orders(cluster);
     let change = with_version(&cluster.deployment.document, first);
     let version = cluster.publish(version, &change).expect("the log takes it");
-    wait("orders are under way", || orders(cluster) > before)
-        .expect("the keeper orders the new version");
+    wait("orders are in flight", || orders(cluster) > before)
+        .expect("the leader orders the new version");
     take_over(cluster, frozen, version, second)
 }
 
-/// Freezes a node until `second` is served through the other one and nothing older is held.
+/// Pauses a node until `second` is served through the other one and no older version is loaded.
 fn take_over(cluster: &Cluster, frozen: usize, version: u64, second: &str) -> u64 {
     let other = 1 - frozen;
     cluster.nodes[frozen].signal(Signal::STOP).expect("the node can be stopped");
@@ -87,23 +85,23 @@
     version
 }
 
-/// Model versions that the engines hold.
+/// Model versions that the engines have loaded.
 fn held(cluster: &Cluster) -> Vec<HeldModel> {
     let engines = cluster.deployment.engines.values();
     let models = engines.flat_map(|engine| {
         let caller = cluster.standin(engine.addr()).expect("a client");
-        caller.get::<EngineState>("/state").expect("the engine tells its state").models
+        caller.get::<EngineState>("/state").expect("the engine returns its state").models
     });
     models.collect()
 }
 
-/// Orders that came to any engine.
+/// Orders that all engines together received.
 fn orders(cluster: &Cluster) -> usize {
     let engines = cluster.deployment.engines.values();
     engines.map(|engine| engine_record(engine).orders.len()).sum()
 }
 
-/// Keepers' terms that orders came from.
+/// Number of leader terms that orders came from.
 fn terms(cluster: &Cluster) -> usize {
     let engines = cluster.deployment.engines.values();
     let terms: IndexSet<Term> =
@@ -116,10 +114,8 @@
     a_frozen_keeper_overcommits_no_engine_that_ignores_fences(false);
 }
 
-/// Callers are served and no engine is asked for more than it has. The keeper is frozen while its order
-/// is still on the way to an engine that carries out old orders. Its successor reads the engine before
-/// the order has come, and must count it all the same, since the log says that it was intended; the
-/// engine has no room for that order beside one of the successor's.
+/// If an order of a paused leader arrives late at an engine that does not check fencing tokens, the successor
+/// must have counted it because its intent is in the log; the engine has no memory for both orders.
 #[test]
 fn a_late_order_of_a_frozen_keeper_is_counted() {
     let mut settings = settings();
@@ -136,16 +132,16 @@
         let before = intents(&cluster);
         let change = with_version(&cluster.deployment.document, first);
         version = cluster.publish(version, &change).expect("the log takes it");
-        wait("an order is intended", || intents(&cluster) > before).expect("the keeper orders");
-        // The order goes out when its intent has been read back, which takes milliseconds.
+        wait("an intent is logged", || intents(&cluster) > before).expect("the leader orders");
+        // The order is sent when its intent has been read back, which takes milliseconds.
         std::thread::sleep(Duration::from_millis(200));
         version = take_over(&cluster, frozen, version, second);
     }
-    assert!(terms(&cluster) > 1, "no keeper was frozen");
+    assert!(terms(&cluster) > 1, "no leader was paused");
     assert_never_overcommitted(&cluster);
 }
 
-/// Records in the log by keepers.
+/// Records in the log by leaders of the domain.
 fn intents(cluster: &Cluster) -> u64 {
     appended(cluster, "keeper.stgo-a")
 }
@@ -170,9 +166,8 @@
 const LATE: Option<Late> = Some(Late { ms: 3000, requests: Count(3) });
 
 cases! { check_order_fault:
-    // Callers get the new version in the end, and no engine is asked for more than it has. Orders
-    // are lost, answered after the keeper has given them up, arrive late, or their answers are
-    // lost. Their memory stays reserved until the engine itself says what it holds.
+    // Lost and late orders and responses must not overcommit an engine or block the new version: the
+    // memory stays reserved until the engine reports what it has loaded.
     lost_orders(&Faults { lose_requests: 3, ..Faults::default() }, true);
     lost_answers(&Faults { lose_answers: 3, ..Faults::default() }, true);
     late_orders(&Faults { late_requests: LATE, ..Faults::default() }, true);
--- a/crates/hibiscusgw/tests/processes/outage.rs
+++ b/crates/hibiscusgw/tests/processes/outage.rs
@@ -1,12 +1,11 @@
-//! What goes on while the platform or a part of the system is gone.
+//! Requests are served while the platform or an engine is down.
 
 use hgw_standins::Faults;
 use http::{Method, StatusCode};
 
 use crate::{fault, long_question, settings, start};
 
-/// Callers see nothing of it. The log and the list of VMs are down; what is resident is served, and
-/// calls that may be repeated are as well.
+/// While the log and the list of VMs are down, loaded models and idempotent calls must be served.
 #[test]
 fn work_goes_on_while_the_log_is_down() {
     let cluster = start(settings());
@@ -20,8 +19,8 @@
     }
 }
 
-/// Every model stays reachable through every node. The log goes down, then the engine of one failure
-/// domain dies; the copies in the other domain serve.
+/// Every model must be served through every node by its copies in the other failure domain when an engine
+/// dies while the log is down.
 #[test]
 fn models_stay_reachable_when_an_engine_dies_while_the_log_is_down() {
     let cluster = start(settings());
--- a/crates/hibiscusgw/tests/processes/session.rs
+++ b/crates/hibiscusgw/tests/processes/session.rs
@@ -1,4 +1,4 @@
-//! A whole session through three nodes, compared with the file kept.
+//! A session through three nodes without faults, compared with a snapshot.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -10,8 +10,7 @@
 
 use crate::{settings, start};
 
-/// What callers see of mixed requests through each node: answers whole, errors typed. Nothing fails
-/// here; it is the session that all other tests disturb.
+/// Responses to mixed requests through each node must be complete, and errors must have their codes.
 #[test]
 fn mixed_requests_through_each_node() {
     let mut settings = settings();
@@ -27,14 +26,14 @@
     insta::assert_snapshot!(session);
 }
 
-/// The program of the stand-ins, which a test run of the whole workspace builds.
+/// The binary of the stand-ins, which a test run of the whole workspace builds.
 fn standin() -> PathBuf {
     let program = Path::new(env!("CARGO_BIN_EXE_hibiscusgw")).with_file_name("standin");
     assert!(program.exists(), "first run `cargo build -p hgw-standins --bin standin`");
     program
 }
 
-/// Adapters are loaded when they are first asked for.
+/// Adapters are loaded on the first request, so the session begins only when this one is served.
 fn wait_adapter(cluster: &Cluster) {
     let question = Question::new("rules:school", "And here?", 1);
     for node in &cluster.nodes {
@@ -99,7 +98,7 @@
     format!("{} {}", answer.status.as_u16(), normal(&answer.body))
 }
 
-/// The text without what differs from run to run.
+/// The text with placeholders for values that differ from run to run.
 fn normal(text: &str) -> String {
     let Ok(mut value) = serde_json::from_str::<serde_json::Value>(text) else {
         return text.trim_end().to_owned();
@@ -108,7 +107,7 @@
     value.to_string()
 }
 
-/// Fields whose values differ from run to run, and what such a value starts with.
+/// Fields whose values differ from run to run, and the prefix of such a value.
 const CHANGING: &[(&str, &str)] =
     &[("id", "chatcmpl-"), ("request_id", ""), ("created", ""), ("retry_after_ms", "")];
 
--- a/crates/hibiscusgw/tests/processes/stopping.rs
+++ b/crates/hibiscusgw/tests/processes/stopping.rs
@@ -1,11 +1,11 @@
-//! A planned stop cuts off no request in progress.
+//! A graceful shutdown cuts off no request in progress.
 
 use hgw_standins::cluster::{Cluster, Signal};
 use hgw_standins::{Faults, engine};
 
 use crate::{MIDDLE, cases, fault, long_question, slow_engines, start};
 
-/// Streams that are in progress at the stop.
+/// Streams in progress when the node is told to stop.
 const STREAMS: usize = 4;
 
 fn check_stop(stopped: usize, log_down: bool) {
@@ -37,17 +37,16 @@
 }
 
 cases! { check_stop:
-    // Every caller sees its whole answer and the process ends with 0. The node that is told to
-    // stop has streams of its own callers, and dispatches or keeps for others: it takes no new
-    // work, and ends when what is in progress has ended.
+    // A stopping node must complete the streams of its own callers and those that it dispatches
+    // for other nodes, and exit with 0.
     stopping_the_first_node_cuts_nothing(0, false);
     stopping_the_second_node_cuts_nothing(1, false);
     stopping_the_third_node_cuts_nothing(2, false);
-    // The same while claims cannot be released, because the log is down.
+    // It must do so even if it cannot release its claims because the log is down.
     stopping_the_first_node_cuts_nothing_with_the_log_down(0, true);
 }
 
-/// The process ends at once: a second signal says that its operator does not want to wait.
+/// A second signal must end the process at once, with an error code.
 #[test]
 fn a_second_signal_ends_at_once() {
     let mut settings = slow_engines();
--- a/crates/hibiscusgw/tests/processes/streams.rs
+++ b/crates/hibiscusgw/tests/processes/streams.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request.
+//! Each caller gets the complete response to its own request when engines, nodes or connections fail.
 
 use hgw_standins::cluster::{Chat, Cluster, Node};
 use hgw_standins::deployment::DomainSettings;
@@ -8,7 +8,8 @@
 
 use crate::{MIDDLE, cases, engine_record, fault, long_question, slow_engines, start, state};
 
-/// Engines in the failure domain of the first two nodes; callers come to the third, in another one.
+/// Starts a cluster with engines only in the failure domain of the first two nodes; the third is in another
+/// one.
 fn engines_elsewhere() -> Cluster {
     let mut settings = slow_engines();
     settings.deployment.domains =
@@ -16,8 +17,8 @@
     start(settings)
 }
 
-/// Asks through the last node, does `harm` in the middle of the answer, and checks that the caller
-/// gets it whole. Gives how often an engine that is still there began to work on it.
+/// Asks through the last node, causes a fault in the middle of the response, and checks that the caller
+/// gets it complete. Returns how often the remaining engines started the request.
 fn check_whole(mut cluster: Cluster, harm: impl FnOnce(&mut Cluster)) -> u32 {
     let before = runs(&cluster);
     let question = long_question();
@@ -36,9 +37,8 @@
     engines.map(|engine| engine_record(engine).runs.values().sum::<u32>()).sum()
 }
 
-/// The caller sees one answer without gap or repeat. The node that dispatches its stream is killed in
-/// the middle. The entry node notices that its peer is gone, and submits the rest to the next
-/// dispatcher with the tokens that the caller has already.
+/// When the node that dispatches a stream is killed, the entry node must resume it through another
+/// dispatcher, without a gap or repetition.
 #[test]
 fn a_stream_survives_the_death_of_its_dispatcher() {
     let taken = check_whole(engines_elsewhere(), |cluster| {
@@ -48,7 +48,7 @@
     assert!(taken > 1, "the death of the dispatcher needs a second run");
 }
 
-/// Whether a node has work at an upstream.
+/// Whether a node has a request running at an upstream.
 fn dispatches(node: &Node) -> bool {
     let state = state(node);
     let queues = state["queues"].as_array().cloned().unwrap_or_default();
@@ -59,16 +59,15 @@
 fn serving(cluster: &Cluster) -> UpstreamId {
     let works = |engine: &Running| {
         let caller = cluster.standin(engine.addr()).expect("a client");
-        let state: EngineState = caller.get("/state").expect("the engine tells its state");
+        let state: EngineState = caller.get("/state").expect("the engine returns its state");
         state.models.iter().any(|held| held.active > 0)
     };
     let found = cluster.deployment.engines.iter().find(|(_, engine)| works(engine));
     found.expect("one engine works on the request").0.clone()
 }
 
-/// The caller sees one answer without gap or repeat. The engine that serves it restarts in the middle
-/// and has lost all it held; connections to it are cut from then on. Another engine holds the model as
-/// well, or is made to, and goes on from the tokens so far.
+/// When the engine of a stream restarts with empty memory and cannot be reached any more, the stream must be
+/// resumed without a gap or repetition at an engine that has the model, or that loads it.
 fn check_engine_cut(cluster: Cluster) {
     check_whole(cluster, |cluster| {
         let engine = &cluster.deployment.engines[&serving(cluster)];
@@ -81,7 +80,7 @@
     a_stream_goes_on_at_a_new_copy_when_its_engine_is_cut_off(engines_elsewhere());
 }
 
-/// The same with an engine whose process is gone, so that connections are refused.
+/// The same for an engine whose process is gone, so that connections are refused.
 fn check_engine_gone(cluster: Cluster) {
     check_whole(cluster, |cluster| {
         let id = serving(cluster);
@@ -95,9 +94,8 @@
     a_stream_goes_on_at_a_new_copy_when_its_engine_dies(engines_elsewhere());
 }
 
-/// The caller sees one answer without gap or repeat. Its connection to the engine carries nothing any
-/// more, though it stays open and new ones work. The dispatcher doubts a connection that has work and
-/// no progress, opens a new one and resumes there.
+/// When the connection to the engine stays open but carries no data, the dispatcher must resume the stream
+/// on a new connection.
 #[test]
 fn a_stream_survives_a_connection_that_goes_silent() {
     let runs = check_whole(engines_elsewhere(), |cluster| {
@@ -108,8 +106,7 @@
     assert_eq!(runs, 2);
 }
 
-/// The caller sees one whole answer. The engine breaks the stream off after a few tokens, twice; each
-/// time the rest is asked for on a new attempt.
+/// A stream that the engines break off twice must be completed by new attempts.
 #[test]
 fn a_stream_that_breaks_off_twice_is_whole() {
     let cluster = start(slow_engines());
@@ -120,8 +117,8 @@
     check_own_answer(&cluster);
 }
 
-/// The caller sees its own answer. The engine signs answers with the attempt of somebody else, as when
-/// answers are crossed on a connection. They are dropped, and the request is made again.
+/// A response with the attempt id of another request, as after a mix-up on a connection, must be dropped
+/// and the request retried.
 #[test]
 fn a_crossed_answer_is_not_delivered() {
     let cluster = start(slow_engines());
@@ -136,5 +133,5 @@
     let question = long_question();
     let chat: Chat = cluster.nodes[0].chat(&question).expect("an answer");
     assert_eq!((chat.text, chat.error), (question.expected("v1"), None));
-    assert!(runs(cluster) - before > 1, "nothing went wrong");
+    assert!(runs(cluster) - before > 1, "no attempt failed");
 }
--- a/crates/hibiscusgw/tests/report/main.rs
+++ b/crates/hibiscusgw/tests/report/main.rs
@@ -1,4 +1,4 @@
-//! `report`: how requests fared, from lines of a played day.
+//! Output of `report` for recorded log lines, compared with snapshots.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -7,7 +7,7 @@
 
 const LINES: &str = include_str!("lines.log");
 
-/// Lines of a day on which customers send more than they may.
+/// Lines of a recording in which a customer exceeds its limit.
 const OF_CUSTOMERS: &str = include_str!("customers.log");
 
 fn reported(args: &[&str], lines: &str) -> String {
