--- a/crates/hibiscusgw/src/command.rs
+++ b/crates/hibiscusgw/src/command.rs
@@ -37,7 +37,7 @@
     Get(NodeFlags),
     #[options(help = "print the nodes that a node knows and their configuration versions")]
     Status(NodeFlags),
-    #[options(help = "print the whole state of a node as JSON")]
+    #[options(help = "print the full state of a node as JSON")]
     State(NodeFlags),
     #[options(help = "print the events of one request from log lines on standard input")]
     Explain(ExplainFlags),
--- a/crates/hibiscusgw/src/report/mod.rs
+++ b/crates/hibiscusgw/src/report/mod.rs
@@ -83,7 +83,10 @@
     if customers.is_empty() {
         return Ok(());
     }
-    writeln!(console.out, "\ncustomer         served refused  failed  over the limit  no word")?;
+    writeln!(
+        console.out,
+        "\ncustomer         served refused  failed  over the limit  no allowance"
+    )?;
     for (customer, lines) in customers {
         let count = |event| lines.iter().filter(|l| l.is(event)).count();
         let why = |why: Refusal| {
@@ -92,7 +95,7 @@
         };
         writeln!(
             console.out,
-            "{customer:<15} {:>7} {:>7} {:>7} {:>15} {:>8}",
+            "{customer:<15} {:>7} {:>7} {:>7} {:>15} {:>13}",
             count(Event::RequestServed),
             count(Event::RequestRefused),
             count(Event::RequestFailed),
@@ -133,7 +136,7 @@
         let resumed = line.number("runs").unwrap_or(0.0) > 1.0;
         let many = line.number("at_engine").unwrap_or(0.0) >= MANY;
         let cause = match (resumed, many) {
-            (true, _) => "went on at another engine",
+            (true, _) => "resumed at another engine",
             (false, true) => "32 or more requests at the engine",
             (false, false) => "fewer requests at the engine",
         };
@@ -143,7 +146,7 @@
     let sum: usize = causes.values().sum();
     writeln!(
         console.out,
-        "\n{sum} of {} whole streams paused for more than {pause_ms} ms",
+        "\n{sum} of {} complete streams paused for more than {pause_ms} ms",
         streams.len()
     )?;
     for (cause, count) in causes {
@@ -195,7 +198,7 @@
     loads: &IndexMap<u64, IndexMap<String, f64>>,
     console: &mut Console<'_>,
 ) -> Result<()> {
-    writeln!(console.out, "\nfrom s  engines  mean load  most  at")?;
+    writeln!(console.out, "\nfrom s  engines  mean load   max  at")?;
     for (window, engines) in loads {
         let mean = engines.values().sum::<f64>() / engines.len().max(1) as f64;
         let most = engines.iter().max_by(|a, b| a.1.total_cmp(b.1));
@@ -223,7 +226,7 @@
         *kinds.entry((what, line.field("why"))).or_default() += 1;
     }
     kinds.sort_by(|_, a, _, b| b.cmp(a));
-    writeln!(console.out, "\nrefused or failed, and why")?;
+    writeln!(console.out, "\nrefusals and failures by reason")?;
     for ((what, why), count) in kinds.iter().take(MOST_KINDS) {
         writeln!(console.out, "{count:>7}  {what}: {why}")?;
     }
--- a/crates/hibiscusgw/src/report/plot.rs
+++ b/crates/hibiscusgw/src/report/plot.rs
@@ -41,7 +41,7 @@
         let most = self.pauses.values().copied().max().unwrap_or(1);
         let last = self.pauses.keys().copied().max().unwrap_or(0) + super::BAR_MS;
         let mut chart = ChartBuilder::on(area)
-            .caption("whole streams by their longest pause", ("sans-serif", 20))
+            .caption("complete streams by their longest pause", ("sans-serif", 20))
             .margin(10)
             .x_label_area_size(35)
             .y_label_area_size(50)
--- a/crates/hibiscusgw/src/settings.rs
+++ b/crates/hibiscusgw/src/settings.rs
@@ -191,7 +191,7 @@
     }
 
     /// Reads a required id. An invalid one is replaced by a placeholder that is never used, since the
-    /// recorded error fails the whole read.
+    /// recorded error fails the entire read.
     fn name<T: FromStr<Err = hgw_types::ParseError>>(
         &mut self,
         name: &'static str,
