--- a/crates/hibiscusgw/src/command.rs
+++ b/crates/hibiscusgw/src/command.rs
@@ -41,9 +41,7 @@
     State(NodeFlags),
     #[options(help = "print the events of one request from log lines on standard input")]
     Explain(ExplainFlags),
-    #[options(
-        help = "summarize request outcomes and engine load from log lines on standard input"
-    )]
+    #[options(help = "summarize request outcomes and engine load from log lines on standard input")]
     Report(ReportFlags),
 }
 
--- a/crates/hibiscusgw/tests/platform/eras.rs
+++ b/crates/hibiscusgw/tests/platform/eras.rs
@@ -414,7 +414,9 @@
     wait("the key is unknown", || {
         status_with(&fleet, second, "gone", "k-1") == StatusCode::UNAUTHORIZED
     });
-    wait("other keys are accepted", || status_with(&fleet, second, "other", "k-2") == StatusCode::OK);
+    wait("other keys are accepted", || {
+        status_with(&fleet, second, "other", "k-2") == StatusCode::OK
+    });
     assert_eq!((0..sent).map(|n| fleet.runs(&format!("taken-{n}"))).sum::<u32>(), 0);
 }
 
