--- a/crates/hibiscusgw/src/error.rs
+++ b/crates/hibiscusgw/src/error.rs
@@ -2,7 +2,7 @@
 
 use derive_more::{Display, From};
 
-use crate::settings::Fault;
+use crate::settings::InvalidSetting;
 
 pub type Result<T> = std::result::Result<T, Error>;
 
@@ -12,7 +12,7 @@
     Usage(String),
     /// Every invalid setting, so that all can be corrected at once.
     #[display("{}", faults(_0))]
-    Settings(Vec<Fault>),
+    Settings(Vec<InvalidSetting>),
     /// A document with every error found in it, each with its place in the document.
     #[display("{file}: {}", faults.join(&format!("\n{file}: ")))]
     #[from(skip)]
@@ -61,7 +61,7 @@
     Log(log::SetLoggerError),
 }
 
-fn faults(faults: &[Fault]) -> String {
+fn faults(faults: &[InvalidSetting]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/hibiscusgw/src/lib.rs
+++ b/crates/hibiscusgw/src/lib.rs
@@ -19,8 +19,8 @@
 pub use command::run;
 pub use error::{Error, Result};
 pub use logs::{LogFormat, start_logs};
-pub use serve::{Assembled, assemble};
-pub use settings::{Fault, ServeSettings};
+pub use serve::{RunningNode, start_node};
+pub use settings::{InvalidSetting, ServeSettings};
 
 /// Looks up an environment variable.
 pub type Env<'a> = dyn Fn(&str) -> Option<String> + 'a;
--- a/crates/hibiscusgw/src/serve.rs
+++ b/crates/hibiscusgw/src/serve.rs
@@ -11,14 +11,14 @@
 use crate::{Error, Result, ServeSettings, start_logs};
 
 /// A started node.
-pub struct Assembled {
+pub struct RunningNode {
     pub running: Running,
     /// The addresses that the node listens on.
     pub addrs: Addrs,
     operators: Operators,
 }
 
-impl Assembled {
+impl RunningNode {
     /// Waits until the node has ended.
     pub fn wait(self) -> Exit {
         let exit = self.running.wait();
@@ -28,7 +28,7 @@
 }
 
 /// Starts a node; it runs until it is stopped through its [`Running`].
-pub fn assemble(settings: &ServeSettings) -> Result<Assembled> {
+pub fn start_node(settings: &ServeSettings) -> Result<RunningNode> {
     let bound = hgw_net::bind(net_settings(settings))?;
     let addrs = bound.addrs();
     let node = Node::new(hgw_node::Settings {
@@ -44,7 +44,7 @@
     let listener = running.take_operators().expect("nobody has taken the listener yet");
     let port = running.operator_port();
     let operators = Operators::start(listener, port, &settings.operator_token)?;
-    Ok(Assembled { running, addrs, operators })
+    Ok(RunningNode { running, addrs, operators })
 }
 
 fn net_settings(settings: &ServeSettings) -> hgw_net::Settings {
@@ -75,7 +75,7 @@
 pub(crate) fn serve(settings: &ServeSettings) -> Result<()> {
     start_logs(settings.log_format, settings.log_level)?;
     let signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Signals)?;
-    let process = assemble(settings)?;
+    let process = start_node(settings)?;
     let addrs = process.addrs;
     emit(
         Event::ProcessStarted,
--- a/crates/hibiscusgw/src/settings.rs
+++ b/crates/hibiscusgw/src/settings.rs
@@ -62,7 +62,7 @@
 /// An invalid or missing setting.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("invalid value `{value}` for --{name} (or {}): expected {allowed}", variable(name))]
-pub struct Fault {
+pub struct InvalidSetting {
     /// The flag, without its dashes.
     pub name: &'static str,
     /// The value as given; empty if there is none, and hidden if it is a secret.
@@ -178,7 +178,7 @@
 /// Reads settings one by one and collects the invalid ones.
 struct Input<'a> {
     env: &'a Env<'a>,
-    faults: Vec<Fault>,
+    faults: Vec<InvalidSetting>,
 }
 
 impl Input<'_> {
@@ -187,7 +187,11 @@
     }
 
     fn fault(&mut self, name: &'static str, value: &str, allowed: &str) {
-        self.faults.push(Fault { name, value: value.to_owned(), allowed: allowed.to_owned() });
+        self.faults.push(InvalidSetting {
+            name,
+            value: value.to_owned(),
+            allowed: allowed.to_owned(),
+        });
     }
 
     /// Reads a required id. An invalid one is replaced by a placeholder that is never used, since the
--- a/crates/standins/src/demo.rs
+++ b/crates/standins/src/demo.rs
@@ -7,7 +7,7 @@
 use gumdrop::Options;
 use hgw_node::{ApplyOutcome, OperatorReply, OperatorRequest};
 use hgw_types::Offset;
-use hibiscusgw::{Assembled, LogFormat, ServeSettings};
+use hibiscusgw::{LogFormat, RunningNode, ServeSettings};
 use http::Method;
 
 use crate::client::{CallError, Caller, GUARD};
@@ -101,9 +101,9 @@
     Ok(deployment::start(&settings)?)
 }
 
-fn start_node(id: &str, domain: &str, deployment: &Deployment) -> Result<Assembled> {
+fn start_node(id: &str, domain: &str, deployment: &Deployment) -> Result<RunningNode> {
     let any = ([127, 0, 0, 1], 0).into();
-    Ok(hibiscusgw::assemble(&ServeSettings {
+    Ok(hibiscusgw::start_node(&ServeSettings {
         node: name(id),
         domain: name(domain),
         callers: any,
@@ -125,8 +125,8 @@
     })?)
 }
 
-fn tell_vms(deployment: &Deployment, nodes: &[(&str, &str, &Assembled)]) -> Result<()> {
-    let vm = |(id, domain, node): &(&str, &str, &Assembled)| hgw_wire::platform::Vm {
+fn tell_vms(deployment: &Deployment, nodes: &[(&str, &str, &RunningNode)]) -> Result<()> {
+    let vm = |(id, domain, node): &(&str, &str, &RunningNode)| hgw_wire::platform::Vm {
         node: name(id),
         domain: name(domain),
         addr: node.addrs.peers.to_string(),
@@ -142,7 +142,7 @@
 }
 
 /// Publishes the configuration; asks until the node has read the log.
-fn apply(node: &Assembled, deployment: &Deployment) -> Result<Offset> {
+fn apply(node: &RunningNode, deployment: &Deployment) -> Result<Offset> {
     let document = serde_json::to_vec(&deployment.document).map_err(io::Error::from)?;
     let port = node.running.operator_port();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -213,7 +213,7 @@
     format!("{:.1} ms", time.as_secs_f64() * 1000.0)
 }
 
-fn show_commands(first: &Assembled, second: &Assembled, out: &mut dyn Write) -> Result<()> {
+fn show_commands(first: &RunningNode, second: &RunningNode, out: &mut dyn Write) -> Result<()> {
     let (a, b) = (first.addrs.callers, second.addrs.callers);
     writeln!(out, "\nTry, at either node ({a}, {b}):")?;
     writeln!(out, "  curl http://{a}/v1/models")?;
