--- a/crates/hibiscusgw/src/check.rs
+++ b/crates/hibiscusgw/src/check.rs
@@ -6,10 +6,11 @@
 
 pub(crate) fn check(file: &str, console: &mut Console<'_>) -> Result<()> {
     let document = read_document(file)?;
-    let invalid = |faults: Vec<String>| Error::Document { file: file.to_owned(), faults };
-    let document = hgw_config::parse(&document).map_err(|e| invalid(vec![e.to_string()]))?;
+    let invalid_document = |errors: Vec<String>| Error::Document { file: file.to_owned(), errors };
+    let document =
+        hgw_config::parse(&document).map_err(|e| invalid_document(vec![e.to_string()]))?;
     hgw_config::check(&document)
-        .map_err(|faults| invalid(faults.iter().map(ToString::to_string).collect()))?;
+        .map_err(|errors| invalid_document(errors.iter().map(ToString::to_string).collect()))?;
     let models: usize = document.services.values().map(|s| s.models.len()).sum();
     writeln!(
         console.out,
--- a/crates/hibiscusgw/src/client/error.rs
+++ b/crates/hibiscusgw/src/client/error.rs
@@ -15,16 +15,16 @@
         "{addr} did not respond before the timeout; a change may still have been applied: query it \
          with `hibiscusgw outcome ID`"
     )]
-    NoAnswer { addr: SocketAddr },
+    Timeout { addr: SocketAddr },
     /// The node may have carried the call out.
     #[display("the response ended early: {source}")]
-    BrokenOff { source: Box<dyn std::error::Error + Send + Sync> },
+    IncompleteResponse { source: Box<dyn std::error::Error + Send + Sync> },
     #[display("the response has no gRPC status; the address may not be an operator listener")]
-    NoStatus,
+    MissingStatus,
     #[display("the response is not a valid gRPC message")]
     Malformed,
     #[display("the operator token has characters that are not allowed in an HTTP header")]
-    Token,
+    InvalidToken,
     #[display("the node refused the call with gRPC status {status}: {message}")]
     Refused { status: u16, message: String },
 }
--- a/crates/hibiscusgw/src/client/framing.rs
+++ b/crates/hibiscusgw/src/client/framing.rs
@@ -5,11 +5,11 @@
 
 use super::{Error, Result};
 
-const PREFIX: usize = 5;
+const PREFIX_BYTES: usize = 5;
 
 pub(super) fn encode(message: &impl Message) -> Bytes {
     let len = message.encoded_len();
-    let mut buf = BytesMut::with_capacity(PREFIX + len);
+    let mut buf = BytesMut::with_capacity(PREFIX_BYTES + len);
     buf.put_u8(0);
     buf.put_u32(u32::try_from(len).expect("a call is smaller than 4 GiB"));
     message.encode(&mut buf).expect("the buffer has room for the message");
@@ -17,7 +17,7 @@
 }
 
 pub(super) fn decode<M: Message + Default>(mut body: &[u8]) -> Result<M> {
-    if body.len() < PREFIX || body.get_u8() != 0 {
+    if body.len() < PREFIX_BYTES || body.get_u8() != 0 {
         return Err(Error::Malformed);
     }
     let len = usize::try_from(body.get_u32()).map_err(|_| Error::Malformed)?;
@@ -30,8 +30,8 @@
     let mut out = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, tail)) = rest.split_first() {
-        let code = tail.get(..2).and_then(|code| std::str::from_utf8(code).ok());
-        let byte = code.and_then(|code| u8::from_str_radix(code, 16).ok());
+        let digits = tail.get(..2).and_then(|digits| std::str::from_utf8(digits).ok());
+        let byte = digits.and_then(|digits| u8::from_str_radix(digits, 16).ok());
         match (first, byte) {
             (b'%', Some(byte)) => {
                 out.push(byte);
--- a/crates/hibiscusgw/src/client/mod.rs
+++ b/crates/hibiscusgw/src/client/mod.rs
@@ -23,11 +23,11 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The state dump of a large node is the largest response.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// The HTTP/2 default. With a larger window, longer responses fail with `FLOW_CONTROL_ERROR`, because
 /// the server (xitca-http 0.9.6) sends more than the window allows.
-const STREAM_WINDOW: u32 = 65_535;
+const STREAM_WINDOW_BYTES: u32 = 65_535;
 
 const GRPC_STATUS: &str = "grpc-status";
 const GRPC_MESSAGE: &str = "grpc-message";
@@ -44,7 +44,7 @@
     /// Creates a client for the operator listener at `addr`; the first call connects.
     pub fn new(addr: SocketAddr, token: &str) -> Client {
         let mut http = HttpClient::builder(TokioExecutor::new());
-        http.http2_only(true).http2_initial_stream_window_size(STREAM_WINDOW);
+        http.http2_only(true).http2_initial_stream_window_size(STREAM_WINDOW_BYTES);
         let http = http.build_http();
         Client { http, addr, token: token.to_owned() }
     }
@@ -79,13 +79,15 @@
         path: &str,
         req: &impl Message,
     ) -> Result<Reply> {
-        let answer = tokio::time::timeout(CALL_TIMEOUT, self.send(path, req)).await;
-        let (head, body) = answer.map_err(|_| Error::NoAnswer { addr: self.addr })??;
+        let response = tokio::time::timeout(CALL_TIMEOUT, self.send(path, req)).await;
+        let (headers, body) = response.map_err(|_| Error::Timeout { addr: self.addr })??;
         // A refusal carries its status in the headers, or in the trailers of an empty body.
         let trailers = body.trailers().cloned().unwrap_or_default();
-        let status = [&trailers, &head].into_iter().find_map(status).ok_or(Error::NoStatus)?;
+        let status =
+            [&trailers, &headers].into_iter().find_map(grpc_status).ok_or(Error::MissingStatus)?;
         if status != 0 {
-            let message = [&trailers, &head].into_iter().find_map(message).unwrap_or_default();
+            let message =
+                [&trailers, &headers].into_iter().find_map(grpc_message).unwrap_or_default();
             return Err(Error::Refused { status, message });
         }
         framing::decode(&body.to_bytes())
@@ -101,22 +103,22 @@
             .header(header::TE, "trailers")
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(Full::new(framing::encode(req)))
-            .map_err(|_| Error::Token)?;
+            .map_err(|_| Error::InvalidToken)?;
         let addr = self.addr;
         let unreachable = |source| Error::Unreachable { addr, source };
         let res = self.http.request(req).await.map_err(unreachable)?;
-        let (head, body) = res.into_parts();
-        let body = Limited::new(body, MAX_ANSWER).collect().await;
-        let body = body.map_err(|source| Error::BrokenOff { source })?;
-        Ok((head.headers, body))
+        let (parts, body) = res.into_parts();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|source| Error::IncompleteResponse { source })?;
+        Ok((parts.headers, body))
     }
 }
 
-fn status(headers: &HeaderMap) -> Option<u16> {
+fn grpc_status(headers: &HeaderMap) -> Option<u16> {
     headers.get(GRPC_STATUS)?.to_str().ok()?.parse().ok()
 }
 
-fn message(headers: &HeaderMap) -> Option<String> {
+fn grpc_message(headers: &HeaderMap) -> Option<String> {
     let text = headers.get(GRPC_MESSAGE)?.to_str().ok()?;
     Some(framing::percent_decode(text))
 }
--- a/crates/hibiscusgw/src/error.rs
+++ b/crates/hibiscusgw/src/error.rs
@@ -11,12 +11,12 @@
     #[display("{_0}\ntry `hibiscusgw --help`")]
     Usage(String),
     /// Every invalid setting, so that all can be corrected at once.
-    #[display("{}", faults(_0))]
+    #[display("{}", join_lines(_0))]
     Settings(Vec<InvalidSetting>),
     /// A document with every error found in it, each with its place in the document.
-    #[display("{file}: {}", faults.join(&format!("\n{file}: ")))]
+    #[display("{file}: {}", errors.join(&format!("\n{file}: ")))]
     #[from(skip)]
-    Document { file: String, faults: Vec<String> },
+    Document { file: String, errors: Vec<String> },
     #[display("{file}: {source}")]
     #[from(skip)]
     File { file: String, source: std::io::Error },
@@ -37,7 +37,7 @@
     /// A change was not applied, or its outcome is unknown.
     #[display("{subject}: {message}")]
     #[from(skip)]
-    NotInForce { subject: String, message: String },
+    ChangeNotApplied { subject: String, message: String },
     #[display("cannot start the runtime: {_0}")]
     #[from(skip)]
     Runtime(std::io::Error),
@@ -47,22 +47,22 @@
         _ => "it was forced to stop",
     })]
     #[from(skip)]
-    NotFinished(hgw_net::Exit),
+    ShutdownIncomplete(hgw_net::Exit),
     #[display("no log line has the request id {_0}")]
     #[from(skip)]
-    NotLogged(String),
+    RequestNotFound(String),
     /// The path of the plot, and the reason.
     #[display("cannot write the plot {_0}: {_1}")]
     #[from(skip)]
     Plot(String, String),
     #[display("cannot read the input or write the output: {_0}")]
-    Print(std::io::Error),
+    Io(std::io::Error),
     #[display("cannot install the logger: {_0}")]
-    Log(log::SetLoggerError),
+    Logger(log::SetLoggerError),
 }
 
-fn faults(faults: &[InvalidSetting]) -> String {
-    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+fn join_lines(errors: &[InvalidSetting]) -> String {
+    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
 impl Error {
--- a/crates/hibiscusgw/src/lib.rs
+++ b/crates/hibiscusgw/src/lib.rs
@@ -5,8 +5,8 @@
 mod command;
 mod error;
 mod explain;
-mod lines;
-mod logs;
+mod log_lines;
+mod logging;
 mod on_platform;
 mod operate;
 mod report;
@@ -18,7 +18,7 @@
 
 pub use command::run;
 pub use error::{Error, Result};
-pub use logs::{LogFormat, start_logs};
+pub use logging::{LogFormat, init_logging};
 pub use serve::{RunningNode, start_node};
 pub use settings::{InvalidSetting, ServeSettings};
 
--- a/crates/hibiscusgw/src/lines.rs
+++ b/crates/hibiscusgw/src/log_lines.rs
@@ -8,7 +8,7 @@
 use crate::Result;
 
 #[derive(Debug, Clone)]
-pub(crate) struct Line {
+pub(crate) struct LogLine {
     /// Seconds since the Unix epoch.
     pub(crate) time: f64,
     pub(crate) event: u64,
@@ -18,42 +18,42 @@
 }
 
 /// Reads log lines and sorts them by time; lines of other programs are skipped.
-pub(crate) fn read(input: &mut dyn BufRead) -> Result<Vec<Line>> {
+pub(crate) fn read_log_lines(input: &mut dyn BufRead) -> Result<Vec<LogLine>> {
     let mut lines = Vec::new();
     for text in input.lines() {
         // Text before the JSON object, such as a prefix of a log collector, is skipped.
         let text = text?;
         let Some(start) = text.find('{') else { continue };
         if let Ok(Value::Object(fields)) = serde_json::from_str(&text[start..]) {
-            lines.extend(Line::read(fields));
+            lines.extend(LogLine::from_fields(fields));
         }
     }
     lines.sort_by(|a, b| a.time.total_cmp(&b.time));
     Ok(lines)
 }
 
-impl Line {
-    fn read(mut fields: Map<String, Value>) -> Option<Line> {
+impl LogLine {
+    fn from_fields(mut fields: Map<String, Value>) -> Option<LogLine> {
         let time = fields.remove("time")?.as_str()?.parse().ok()?;
         let event = fields.remove("event")?.as_u64()?;
         let text = fields.remove("text")?.as_str()?.to_owned();
         fields.remove("level");
         let node = fields.remove("node");
         let node = node.and_then(|n| n.as_str().map(str::to_owned)).unwrap_or_default();
-        Some(Line { time, event, text, node, fields })
+        Some(LogLine { time, event, text, node, fields })
     }
 
-    pub(crate) fn is(&self, event: Event) -> bool {
+    pub(crate) fn is_event(&self, event: Event) -> bool {
         self.event == u64::from(event.number())
     }
 
     /// A field as text; empty if it is missing or not a string.
-    pub(crate) fn field(&self, name: &str) -> &str {
+    pub(crate) fn text_field(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
     /// A field as a number; none if it is missing or not a number.
-    pub(crate) fn number(&self, name: &str) -> Option<f64> {
-        self.field(name).parse().ok()
+    pub(crate) fn number_field(&self, name: &str) -> Option<f64> {
+        self.text_field(name).parse().ok()
     }
 }
--- a/crates/hibiscusgw/src/logs.rs
+++ b/crates/hibiscusgw/src/logging.rs
@@ -44,13 +44,13 @@
 }
 
 /// Starts logging to standard error: the gateway's own events, and those of libraries from level `warn`.
-pub fn start_logs(format: LogFormat, level: LevelFilter) -> Result<()> {
+pub fn init_logging(format: LogFormat, level: LevelFilter) -> Result<()> {
     fern::Dispatch::new()
         .level(level.min(LevelFilter::Warn))
         .level_for(hgw_events::TARGET, level)
         .format(move |out, _, record| match format {
-            LogFormat::Plain => out.finish(format_args!("{}", plain(record))),
-            LogFormat::Json => out.finish(format_args!("{}", json(record))),
+            LogFormat::Plain => out.finish(format_args!("{}", format_plain(record))),
+            LogFormat::Json => out.finish(format_args!("{}", format_json(record))),
         })
         .chain(std::io::stderr())
         .apply()?;
@@ -59,40 +59,40 @@
 
 /// Lines that fit in the queue of the writer thread. Further ones are counted and dropped, so that a
 /// standard output that nobody reads does not block requests.
-const WAITING: usize = 4_096;
+const QUEUE_LINES: usize = 4_096;
 
 /// Interval between two reports of dropped lines.
-const LEFT_OUT: Duration = Duration::from_secs(1);
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest wait for queued lines at the end of the process.
-const FLUSH: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-static LINES: OnceLock<SyncSender<Line>> = OnceLock::new();
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static QUEUE: OnceLock<SyncSender<Message>> = OnceLock::new();
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-enum Line {
+enum Message {
     Text(String),
     /// Acknowledged after all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
 /// Starts logging to standard output on a separate thread, so that requests never wait for output.
-pub(crate) fn start_buffered_logs(format: LogFormat, level: LevelFilter) -> Result<()> {
-    let (lines, waiting) = sync_channel(WAITING);
-    let _ = LINES.set(lines);
-    let spawned = thread::Builder::new().name("logs".into()).spawn(move || write_lines(&waiting));
+pub(crate) fn init_buffered_logging(format: LogFormat, level: LevelFilter) -> Result<()> {
+    let (sender, receiver) = sync_channel(QUEUE_LINES);
+    let _ = QUEUE.set(sender);
+    let spawned = thread::Builder::new().name("logs".into()).spawn(move || write_lines(&receiver));
     spawned.map_err(Error::Runtime)?;
     fern::Dispatch::new()
         .level(level.min(LevelFilter::Warn))
         .level_for(hgw_events::TARGET, level)
         .chain(fern::Output::call(move |record| {
             let text = match format {
-                LogFormat::Plain => plain(record),
-                LogFormat::Json => json(record),
+                LogFormat::Plain => format_plain(record),
+                LogFormat::Json => format_json(record),
             };
-            let sent = LINES.get().map(|lines| lines.try_send(Line::Text(text)));
+            let sent = QUEUE.get().map(|sender| sender.try_send(Message::Text(text)));
             if !matches!(sent, Some(Ok(()))) {
-                DROPPED.fetch_add(1, Ordering::Relaxed);
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
                 metrics::counter!("hgw_log_lines_left_out_total").increment(1);
             }
         }))
@@ -100,33 +100,33 @@
     Ok(())
 }
 
-/// Waits until the queued lines are written, for at most [`FLUSH`].
+/// Waits until the queued lines are written, for at most [`FLUSH_TIMEOUT`].
 pub(crate) fn flush() {
-    let (done, waits) = sync_channel(1);
-    if LINES.get().is_some_and(|lines| lines.try_send(Line::Flush(done)).is_ok()) {
+    let (done_tx, done_rx) = sync_channel(1);
+    if QUEUE.get().is_some_and(|sender| sender.try_send(Message::Flush(done_tx)).is_ok()) {
         // After a timeout nobody reads the output, and the process ends without the last lines.
-        let _ = waits.recv_timeout(FLUSH);
+        let _ = done_rx.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-fn write_lines(waiting: &Receiver<Line>) {
+fn write_lines(receiver: &Receiver<Message>) {
     let mut out = std::io::stdout();
-    let mut told = Instant::now();
+    let mut last_report = Instant::now();
     loop {
-        let line = match waiting.recv_timeout(LEFT_OUT) {
+        let line = match receiver.recv_timeout(DROP_REPORT_INTERVAL) {
             Ok(line) => Some(line),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         // Errors are ignored: if standard output is closed, there is nowhere to report it.
         match line {
-            Some(Line::Text(text)) => drop(writeln!(out, "{text}")),
-            Some(Line::Flush(done)) => drop(done.try_send(())),
+            Some(Message::Text(text)) => drop(writeln!(out, "{text}")),
+            Some(Message::Flush(done_tx)) => drop(done_tx.try_send(())),
             None => {}
         }
-        if told.elapsed() >= LEFT_OUT {
-            told = Instant::now();
-            let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        if last_report.elapsed() >= DROP_REPORT_INTERVAL {
+            last_report = Instant::now();
+            let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
             if dropped > 0 {
                 hgw_events::emit(hgw_events::Event::LinesLeftOut, &[("count", &dropped)]);
             }
@@ -134,10 +134,11 @@
     }
 }
 
-fn plain(record: &Record<'_>) -> String {
+fn format_plain(record: &Record<'_>) -> String {
     let fields = Fields::of(record);
-    let number = fields.number.map_or_else(|| "-".to_owned(), |n| n.to_string());
-    let mut line = format!("{} {:5} {number} {}", unix_time(), record.level(), record.args());
+    let event_number = fields.event_number.map_or_else(|| "-".to_owned(), |n| n.to_string());
+    let mut line =
+        format!("{} {:5} {event_number} {}", unix_timestamp(), record.level(), record.args());
     for (key, value) in fields.pairs {
         line.push_str(&format!(" {key}={value}"));
     }
@@ -145,10 +146,10 @@
 }
 
 /// Writes into one buffer, since there is a line for each request.
-fn json(record: &Record<'_>) -> String {
-    let mut line = JsonLine(Vec::with_capacity(LINE));
+fn format_json(record: &Record<'_>) -> String {
+    let mut line = JsonLine(Vec::with_capacity(LINE_CAPACITY_BYTES));
     line.0.push(b'{');
-    line.field("time", &unix_time());
+    line.field("time", &unix_timestamp());
     line.field("level", &record.level().as_str().to_lowercase());
     line.field("text", &record.args().to_string());
     // The visitor below never fails.
@@ -158,7 +159,7 @@
 }
 
 /// Initial capacity, enough for a typical line.
-const LINE: usize = 384;
+const LINE_CAPACITY_BYTES: usize = 384;
 
 struct JsonLine(Vec<u8>);
 
@@ -188,9 +189,9 @@
         value: Value<'kvs>,
     ) -> std::result::Result<(), log::kv::Error> {
         match value.to_u64().filter(|_| key.as_str() == NUMBER_KEY) {
-            Some(number) => {
+            Some(event_number) => {
                 self.key(NUMBER_KEY);
-                self.0.extend_from_slice(number.to_string().as_bytes());
+                self.0.extend_from_slice(event_number.to_string().as_bytes());
             }
             None => self.field(key.as_str(), &value.to_string()),
         }
@@ -199,7 +200,7 @@
 }
 
 /// Seconds since the Unix epoch, with three decimals.
-fn unix_time() -> String {
+fn unix_timestamp() -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{}.{:03}", since.as_secs(), since.subsec_millis())
 }
@@ -207,7 +208,7 @@
 /// The fields of a record, with the event number separated.
 #[derive(Debug, Default)]
 struct Fields {
-    number: Option<u64>,
+    event_number: Option<u64>,
     pairs: Vec<(String, String)>,
 }
 
@@ -227,7 +228,7 @@
         value: Value<'kvs>,
     ) -> std::result::Result<(), log::kv::Error> {
         if key.as_str() == NUMBER_KEY {
-            self.number = value.to_u64();
+            self.event_number = value.to_u64();
         } else {
             self.pairs.push((key.as_str().to_owned(), value.to_string()));
         }
--- a/crates/hibiscusgw/src/on_platform.rs
+++ b/crates/hibiscusgw/src/on_platform.rs
@@ -13,16 +13,16 @@
 
 use crate::command::ServeFlags;
 use crate::settings::PlatformOverrides;
-use crate::{Env, Error, Result, logs};
+use crate::{Env, Error, Result, logging};
 
 /// Interval at which the settings file is checked for changes that come without SIGHUP.
-const FILE_CHECK: Duration = Duration::from_secs(1);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs a node until it stops: the first signal starts a graceful shutdown, a second one forces the end.
 pub(crate) fn serve(path: &Path, flags: &ServeFlags, env: &Env<'_>) -> Result<()> {
     let overrides = PlatformOverrides::read(flags, env)?;
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(Error::Signals)?;
-    logs::start_buffered_logs(overrides.log_format, overrides.log_level)?;
+    logging::init_buffered_logging(overrides.log_format, overrides.log_level)?;
     let SettingsFile { settings, store } = hgw_platform::read_settings(path)?;
     let settings = overrides.apply(settings);
     let node = settings.node.clone();
@@ -36,33 +36,37 @@
             ("operators", &"none"),
         ],
     );
-    let (to_node, from_outside) = unbounded_channel();
-    let watched = Watched { path: path.to_owned(), overrides, known: settings.clone() };
-    let to_watcher = to_node.clone();
-    thread::spawn(move || watched.watch(&to_watcher));
-    let watched = Watched { path: path.to_owned(), overrides, known: settings.clone() };
-    thread::spawn(move || pass_signals_on(signals, watched, &to_node));
-    let ended = hgw_gateway::run(settings, hgw_platform::dialects(store), from_outside);
+    let (node_tx, node_rx) = unbounded_channel();
+    let watcher = SettingsWatcher { path: path.to_owned(), overrides, current: settings.clone() };
+    let watcher_tx = node_tx.clone();
+    thread::spawn(move || watcher.poll(&watcher_tx));
+    let watcher = SettingsWatcher { path: path.to_owned(), overrides, current: settings.clone() };
+    thread::spawn(move || forward_signals(signals, watcher, &node_tx));
+    let ended = hgw_gateway::run(settings, hgw_platform::dialects(store), node_rx);
     match ended.map_err(Error::Listen)? {
         Ended::Stopped => {
             emit(Event::ProcessStopped, &[("node", &node)]);
-            logs::flush();
+            logging::flush();
             Ok(())
         }
-        Ended::Killed => Err(Error::NotFinished(hgw_net::Exit::Killed)),
+        Ended::Killed => Err(Error::ShutdownIncomplete(hgw_net::Exit::Killed)),
     }
 }
 
-fn pass_signals_on(mut signals: Signals, mut watched: Watched, to_node: &UnboundedSender<Signal>) {
+fn forward_signals(
+    mut signals: Signals,
+    mut watcher: SettingsWatcher,
+    node_tx: &UnboundedSender<Signal>,
+) {
     let mut stopping = false;
     for signal in signals.forever() {
         if signal == SIGHUP {
-            watched.look(to_node);
+            watcher.reload(node_tx);
             continue;
         }
-        let sent = to_node.send(if stopping { Signal::Kill } else { Signal::Stop });
+        let sent = node_tx.send(if stopping { Signal::Kill } else { Signal::Stop });
         if stopping {
-            emit(Event::StopForced, &[("node", &watched.known.node)]);
+            emit(Event::StopForced, &[("node", &watcher.current.node)]);
         }
         stopping = true;
         if sent.is_err() {
@@ -72,45 +76,45 @@
 }
 
 /// The settings file and its last valid content.
-struct Watched {
+struct SettingsWatcher {
     path: PathBuf,
     overrides: PlatformOverrides,
-    known: Settings,
+    current: Settings,
 }
 
-impl Watched {
-    fn watch(mut self, to_node: &UnboundedSender<Signal>) {
-        let mut seen = modified(&self.path);
+impl SettingsWatcher {
+    fn poll(mut self, node_tx: &UnboundedSender<Signal>) {
+        let mut seen = file_stamp(&self.path);
         loop {
-            thread::sleep(FILE_CHECK);
-            let now = modified(&self.path);
+            thread::sleep(FILE_CHECK_INTERVAL);
+            let now = file_stamp(&self.path);
             if now != seen {
                 seen = now;
-                self.look(to_node);
+                self.reload(node_tx);
             }
         }
     }
 
     /// Reads the file and sends changed settings to the node; an invalid file changes nothing.
-    fn look(&mut self, to_node: &UnboundedSender<Signal>) {
+    fn reload(&mut self, node_tx: &UnboundedSender<Signal>) {
         match hgw_platform::read_settings(&self.path) {
             Ok(file) => {
                 let settings = self.overrides.apply(file.settings);
-                if settings != self.known {
+                if settings != self.current {
                     emit(Event::SettingsChanged, &[("node", &settings.node)]);
-                    self.known = settings.clone();
+                    self.current = settings.clone();
                     // The send fails only if the node has ended.
-                    let _ = to_node.send(Signal::Settings(Box::new(settings)));
+                    let _ = node_tx.send(Signal::Settings(Box::new(settings)));
                 }
             }
             Err(e) => {
-                emit(Event::SettingsRejected, &[("node", &self.known.node), ("reason", &e)]);
+                emit(Event::SettingsRejected, &[("node", &self.current.node), ("reason", &e)]);
             }
         }
     }
 }
 
-fn modified(path: &Path) -> Option<(std::time::SystemTime, u64)> {
-    let data = std::fs::metadata(path).ok()?;
-    Some((data.modified().ok()?, data.len()))
+fn file_stamp(path: &Path) -> Option<(std::time::SystemTime, u64)> {
+    let metadata = std::fs::metadata(path).ok()?;
+    Some((metadata.modified().ok()?, metadata.len()))
 }
--- a/crates/hibiscusgw/src/operate.rs
+++ b/crates/hibiscusgw/src/operate.rs
@@ -7,24 +7,24 @@
 use crate::check::read_document;
 use crate::client::{self, Client};
 use crate::command::{ApplyFlags, NodeFlags};
-use crate::settings::NodeSettings;
+use crate::settings::OperatorSettings;
 use crate::{Console, Env, Error, Result};
 
 /// Blocking wrapper of the operator [`Client`].
-struct Operator {
+struct BlockingClient {
     runtime: Runtime,
-    client: Client,
+    inner: Client,
 }
 
-impl Operator {
-    fn new(flags: &NodeFlags, env: &Env<'_>) -> Result<Operator> {
-        let settings = NodeSettings::read(flags, env)?;
+impl BlockingClient {
+    fn new(flags: &NodeFlags, env: &Env<'_>) -> Result<BlockingClient> {
+        let settings = OperatorSettings::read(flags, env)?;
         let runtime = Builder::new_current_thread().enable_all().build().map_err(Error::Runtime)?;
-        let client = Client::new(settings.operators, &settings.operator_token);
-        Ok(Operator { runtime, client })
+        let inner = Client::new(settings.operators, &settings.operator_token);
+        Ok(BlockingClient { runtime, inner })
     }
 
-    fn wait<T>(&self, call: impl Future<Output = client::Result<T>>) -> Result<T> {
+    fn block_on<T>(&self, call: impl Future<Output = client::Result<T>>) -> Result<T> {
         self.runtime.block_on(call).map_err(Error::Call)
     }
 }
@@ -33,11 +33,11 @@
 pub(crate) fn apply(flags: &ApplyFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
     let file = &flags.file;
     let document = read_document(file)?;
-    let operator = Operator::new(&flags.node(), env)?;
+    let client = BlockingClient::new(&flags.node(), env)?;
     let id = flags.id.clone().unwrap_or_default();
     let req = ApplyRequest { id, base: flags.base, document };
-    let reply = operator.wait(operator.client.apply(&req))?;
-    tell(file, reply, console)
+    let reply = client.block_on(client.inner.apply(&req))?;
+    print_outcome(file, reply, console)
 }
 
 /// Prints the outcome of a change.
@@ -47,12 +47,12 @@
     env: &Env<'_>,
     console: &mut Console<'_>,
 ) -> Result<()> {
-    let operator = Operator::new(flags, env)?;
-    let reply = operator.wait(operator.client.outcome(id))?;
-    tell("the change", reply, console)
+    let client = BlockingClient::new(flags, env)?;
+    let reply = client.block_on(client.inner.outcome(id))?;
+    print_outcome("the change", reply, console)
 }
 
-fn tell(subject: &str, reply: ApplyReply, console: &mut Console<'_>) -> Result<()> {
+fn print_outcome(subject: &str, reply: ApplyReply, console: &mut Console<'_>) -> Result<()> {
     let id = reply.id;
     let message = match reply.outcome {
         Some(Outcome::Accepted(accepted)) => {
@@ -64,7 +64,7 @@
             return Ok(());
         }
         Some(Outcome::Invalid(invalid)) => {
-            return Err(Error::Document { file: subject.to_owned(), faults: invalid.faults });
+            return Err(Error::Document { file: subject.to_owned(), errors: invalid.faults });
         }
         Some(Outcome::Superseded(superseded)) => format!(
             "another change was accepted first and version {} is in force; redo the change from it",
@@ -77,21 +77,21 @@
             format!("the outcome is not known yet; query it with `hibiscusgw outcome {id}`")
         }
     };
-    Err(Error::NotInForce { subject: subject.to_owned(), message })
+    Err(Error::ChangeNotApplied { subject: subject.to_owned(), message })
 }
 
 /// Prints the document in force to standard output and its version to standard error, so that the output
 /// can be edited and applied again.
 pub(crate) fn get(flags: &NodeFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
-    let operator = Operator::new(flags, env)?;
-    let reply = operator.wait(operator.client.get())?;
-    writeln!(console.out, "{}", pretty(&reply.document))?;
+    let client = BlockingClient::new(flags, env)?;
+    let reply = client.block_on(client.inner.get())?;
+    writeln!(console.out, "{}", pretty_json(&reply.document))?;
     writeln!(console.err, "version {}", reply.version)?;
     Ok(())
 }
 
 /// The document with indentation, or unchanged if it is not JSON.
-fn pretty(document: &[u8]) -> String {
+fn pretty_json(document: &[u8]) -> String {
     let value: Option<serde_json::Value> = serde_json::from_slice(document).ok();
     let text = value.and_then(|v| serde_json::to_string_pretty(&v).ok());
     text.unwrap_or_else(|| String::from_utf8_lossy(document).into_owned())
@@ -99,34 +99,34 @@
 
 /// Prints the members that the node knows, one per line.
 pub(crate) fn status(flags: &NodeFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
-    let operator = Operator::new(flags, env)?;
-    let reply = operator.wait(operator.client.status())?;
+    let client = BlockingClient::new(flags, env)?;
+    let reply = client.block_on(client.inner.status())?;
     writeln!(
         console.out,
         "ready {}  log {}",
-        yes(reply.ready),
+        yes_or_no(reply.ready),
         if reply.log_up { "up" } else { "down" }
     )?;
-    for m in reply.members {
+    for member in reply.members {
         writeln!(
             console.out,
             "{}  {}  alive {}  version {}",
-            m.node,
-            m.domain,
-            yes(m.alive),
-            m.config
+            member.node,
+            member.domain,
+            yes_or_no(member.alive),
+            member.config
         )?;
     }
     Ok(())
 }
 
-fn yes(value: bool) -> &'static str {
+fn yes_or_no(value: bool) -> &'static str {
     if value { "yes" } else { "no" }
 }
 
 pub(crate) fn state(flags: &NodeFlags, env: &Env<'_>, console: &mut Console<'_>) -> Result<()> {
-    let operator = Operator::new(flags, env)?;
-    let reply = operator.wait(operator.client.state())?;
+    let client = BlockingClient::new(flags, env)?;
+    let reply = client.block_on(client.inner.state())?;
     writeln!(console.out, "{}", reply.json)?;
     Ok(())
 }
--- a/crates/hibiscusgw/src/serve.rs
+++ b/crates/hibiscusgw/src/serve.rs
@@ -8,7 +8,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::{Error, Result, ServeSettings, start_logs};
+use crate::{Error, Result, ServeSettings, init_logging};
 
 /// A started node.
 pub struct RunningNode {
@@ -73,10 +73,10 @@
 
 /// Runs a node until it stops: the first signal starts a graceful shutdown, a second one forces the end.
 pub(crate) fn serve(settings: &ServeSettings) -> Result<()> {
-    start_logs(settings.log_format, settings.log_level)?;
+    init_logging(settings.log_format, settings.log_level)?;
     let signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Signals)?;
-    let process = start_node(settings)?;
-    let addrs = process.addrs;
+    let node = start_node(settings)?;
+    let addrs = node.addrs;
     emit(
         Event::ProcessStarted,
         &[
@@ -87,15 +87,15 @@
             ("operators", &addrs.operators),
         ],
     );
-    let stopper = process.running.stopper();
-    let node = settings.node.clone();
-    thread::spawn(move || stop_on_signals(signals, &stopper, &node));
-    match process.wait() {
+    let stopper = node.running.stopper();
+    let node_id = settings.node.clone();
+    thread::spawn(move || stop_on_signals(signals, &stopper, &node_id));
+    match node.wait() {
         Exit::Stopped => {
             emit(Event::ProcessStopped, &[("node", &settings.node)]);
             Ok(())
         }
-        exit @ (Exit::Killed | Exit::Broken) => Err(Error::NotFinished(exit)),
+        exit @ (Exit::Killed | Exit::Broken) => Err(Error::ShutdownIncomplete(exit)),
     }
 }
 
--- a/crates/hibiscusgw/src/settings.rs
+++ b/crates/hibiscusgw/src/settings.rs
@@ -9,13 +9,13 @@
 use log::LevelFilter;
 
 use crate::command::{NodeFlags, ServeFlags};
-use crate::logs::LogFormat;
+use crate::logging::LogFormat;
 use crate::{Env, Error, Result};
 
-const DEFAULT_OPERATORS: &str = "127.0.0.1:8082";
+const DEFAULT_OPERATOR_LISTENER: &str = "127.0.0.1:8082";
 
 /// Shorter secrets and tokens can be guessed.
-const MIN_SECRET: usize = 16;
+const MIN_SECRET_CHARS: usize = 16;
 
 /// Each shard is a stream of the log that three nodes read.
 const MAX_KEY_SHARDS: u32 = 256;
@@ -61,7 +61,7 @@
 
 /// An invalid or missing setting.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-#[display("invalid value `{value}` for --{name} (or {}): expected {allowed}", variable(name))]
+#[display("invalid value `{value}` for --{name} (or {}): expected {allowed}", env_var_name(name))]
 pub struct InvalidSetting {
     /// The flag, without its dashes.
     pub name: &'static str,
@@ -72,46 +72,46 @@
 }
 
 /// The environment variable of a flag.
-fn variable(name: &str) -> String {
+fn env_var_name(name: &str) -> String {
     format!("HIBISCUSGW_{}", name.replace('-', "_").to_uppercase())
 }
 
 impl ServeSettings {
     /// Reads all settings and returns every invalid one.
     pub(crate) fn read(flags: &ServeFlags, env: &Env<'_>) -> Result<ServeSettings> {
-        let mut input = Input { env, faults: Vec::new() };
+        let mut reader = SettingsReader { env, errors: Vec::new() };
         let settings = ServeSettings {
-            node: input.name("node", &flags.node),
-            domain: input.name("domain", &flags.domain),
-            callers: input.addr("callers", &flags.callers, "127.0.0.1:8080"),
-            peers: input.addr("peers", &flags.peers, "127.0.0.1:8081"),
-            operators: input.addr("operators", &flags.operators, DEFAULT_OPERATORS),
-            advertise: input.optional_addr("advertise", &flags.advertise),
-            platform: input.addr("platform", &flags.platform, "127.0.0.1:7070"),
-            secret: input.secret("secret", &flags.secret),
-            operator_token: input.secret("operator-token", &flags.operator_token),
-            order_token: input.text("order-token", &flags.order_token).unwrap_or_default(),
-            key_shards: input.number("key-shards", &flags.key_shards, 8, 1, MAX_KEY_SHARDS),
-            caller_threads: input.number("caller-threads", &flags.caller_threads, 1, 1, 64),
-            max_connections: input.number(
+            node: reader.name("node", &flags.node),
+            domain: reader.name("domain", &flags.domain),
+            callers: reader.addr("callers", &flags.callers, "127.0.0.1:8080"),
+            peers: reader.addr("peers", &flags.peers, "127.0.0.1:8081"),
+            operators: reader.addr("operators", &flags.operators, DEFAULT_OPERATOR_LISTENER),
+            advertise: reader.optional_addr("advertise", &flags.advertise),
+            platform: reader.addr("platform", &flags.platform, "127.0.0.1:7070"),
+            secret: reader.secret("secret", &flags.secret),
+            operator_token: reader.secret("operator-token", &flags.operator_token),
+            order_token: reader.value_of("order-token", &flags.order_token).unwrap_or_default(),
+            key_shards: reader.number("key-shards", &flags.key_shards, 8, 1, MAX_KEY_SHARDS),
+            caller_threads: reader.number("caller-threads", &flags.caller_threads, 1, 1, 64),
+            max_connections: reader.number(
                 "max-connections",
                 &flags.max_connections,
                 8192,
                 1,
                 1 << 20,
             ),
-            max_requests: input.number("max-requests", &flags.max_requests, 8192, 1, 1 << 20),
-            max_body: input.number("max-body", &flags.max_body, 4 << 20, 1024, 1 << 30),
-            max_tokens: input.number("max-tokens", &flags.max_tokens, 8192, 1, 1 << 20),
-            log_format: input.choice("log-format", &flags.log_format, "plain", "plain or json"),
-            log_level: input.choice(
+            max_requests: reader.number("max-requests", &flags.max_requests, 8192, 1, 1 << 20),
+            max_body: reader.number("max-body", &flags.max_body, 4 << 20, 1024, 1 << 30),
+            max_tokens: reader.number("max-tokens", &flags.max_tokens, 8192, 1, 1 << 20),
+            log_format: reader.choice("log-format", &flags.log_format, "plain", "plain or json"),
+            log_level: reader.choice(
                 "log-level",
                 &flags.log_level,
                 "info",
                 "off, error, warn, info, debug or trace",
             ),
         };
-        if input.faults.is_empty() { Ok(settings) } else { Err(Error::Settings(input.faults)) }
+        if reader.errors.is_empty() { Ok(settings) } else { Err(Error::Settings(reader.errors)) }
     }
 }
 
@@ -129,20 +129,20 @@
 impl PlatformOverrides {
     /// Reads the settings and returns every invalid one.
     pub(crate) fn read(flags: &ServeFlags, env: &Env<'_>) -> Result<PlatformOverrides> {
-        let mut input = Input { env, faults: Vec::new() };
+        let mut reader = SettingsReader { env, errors: Vec::new() };
         let connections = &flags.max_connections;
-        let given = input.text("max-connections", connections).is_some();
-        let most = input.number("max-connections", connections, 8192, 1, 1 << 20);
+        let given = reader.value_of("max-connections", connections).is_some();
+        let max = reader.number("max-connections", connections, 8192, 1, 1 << 20);
         let levels = "off, error, warn, info, debug or trace";
         let overrides = PlatformOverrides {
-            log_format: input.choice("log-format", &flags.log_format, "json", "plain or json"),
-            log_level: input.choice("log-level", &flags.log_level, "info", levels),
-            callers: input.optional_addr("callers", &flags.callers),
-            peers: input.optional_addr("peers", &flags.peers),
-            metrics: input.optional_addr("metrics", &flags.metrics),
-            max_connections: given.then_some(most),
+            log_format: reader.choice("log-format", &flags.log_format, "json", "plain or json"),
+            log_level: reader.choice("log-level", &flags.log_level, "info", levels),
+            callers: reader.optional_addr("callers", &flags.callers),
+            peers: reader.optional_addr("peers", &flags.peers),
+            metrics: reader.optional_addr("metrics", &flags.metrics),
+            max_connections: given.then_some(max),
         };
-        if input.faults.is_empty() { Ok(overrides) } else { Err(Error::Settings(input.faults)) }
+        if reader.errors.is_empty() { Ok(overrides) } else { Err(Error::Settings(reader.errors)) }
     }
 
     pub(crate) fn apply(&self, settings: hgw_gateway::Settings) -> hgw_gateway::Settings {
@@ -158,36 +158,36 @@
 
 /// Address and token for an operator call.
 #[derive(Debug, Clone)]
-pub(crate) struct NodeSettings {
+pub(crate) struct OperatorSettings {
     pub(crate) operators: SocketAddr,
     pub(crate) operator_token: String,
 }
 
-impl NodeSettings {
+impl OperatorSettings {
     /// Reads the settings and returns every invalid one.
-    pub(crate) fn read(flags: &NodeFlags, env: &Env<'_>) -> Result<NodeSettings> {
-        let mut input = Input { env, faults: Vec::new() };
-        let settings = NodeSettings {
-            operators: input.addr("operators", &flags.operators, DEFAULT_OPERATORS),
-            operator_token: input.secret("operator-token", &flags.operator_token),
+    pub(crate) fn read(flags: &NodeFlags, env: &Env<'_>) -> Result<OperatorSettings> {
+        let mut reader = SettingsReader { env, errors: Vec::new() };
+        let settings = OperatorSettings {
+            operators: reader.addr("operators", &flags.operators, DEFAULT_OPERATOR_LISTENER),
+            operator_token: reader.secret("operator-token", &flags.operator_token),
         };
-        if input.faults.is_empty() { Ok(settings) } else { Err(Error::Settings(input.faults)) }
+        if reader.errors.is_empty() { Ok(settings) } else { Err(Error::Settings(reader.errors)) }
     }
 }
 
 /// Reads settings one by one and collects the invalid ones.
-struct Input<'a> {
+struct SettingsReader<'a> {
     env: &'a Env<'a>,
-    faults: Vec<InvalidSetting>,
+    errors: Vec<InvalidSetting>,
 }
 
-impl Input<'_> {
-    fn text(&self, name: &str, flag: &Option<String>) -> Option<String> {
-        flag.clone().or_else(|| (self.env)(&variable(name)))
+impl SettingsReader<'_> {
+    fn value_of(&self, name: &str, flag: &Option<String>) -> Option<String> {
+        flag.clone().or_else(|| (self.env)(&env_var_name(name)))
     }
 
-    fn fault(&mut self, name: &'static str, value: &str, allowed: &str) {
-        self.faults.push(InvalidSetting {
+    fn reject(&mut self, name: &'static str, value: &str, allowed: &str) {
+        self.errors.push(InvalidSetting {
             name,
             value: value.to_owned(),
             allowed: allowed.to_owned(),
@@ -201,36 +201,36 @@
         name: &'static str,
         flag: &Option<String>,
     ) -> T {
-        let text = self.text(name, flag).unwrap_or_default();
+        let text = self.value_of(name, flag).unwrap_or_default();
         text.parse().unwrap_or_else(|error: hgw_types::ParseError| {
-            self.fault(name, &text, error.allowed);
+            self.reject(name, &text, error.allowed);
             "faulty".parse().expect("a valid name")
         })
     }
 
     fn addr(&mut self, name: &'static str, flag: &Option<String>, default: &str) -> SocketAddr {
-        let text = self.text(name, flag).unwrap_or_else(|| default.to_owned());
+        let text = self.value_of(name, flag).unwrap_or_else(|| default.to_owned());
         text.parse().unwrap_or_else(|_| {
-            self.fault(name, &text, ADDR_RULE);
+            self.reject(name, &text, ADDR_FORMAT);
             SocketAddr::from(([0, 0, 0, 0], 0))
         })
     }
 
     fn optional_addr(&mut self, name: &'static str, flag: &Option<String>) -> Option<SocketAddr> {
-        let text = self.text(name, flag)?;
+        let text = self.value_of(name, flag)?;
         let addr = text.parse().ok();
         if addr.is_none() {
-            self.fault(name, &text, ADDR_RULE);
+            self.reject(name, &text, ADDR_FORMAT);
         }
         addr
     }
 
     /// Reads a required secret; its value is not repeated in error messages.
     fn secret(&mut self, name: &'static str, flag: &Option<String>) -> String {
-        let text = self.text(name, flag).unwrap_or_default();
-        if text.chars().count() < MIN_SECRET {
-            let allowed = format!("at least {MIN_SECRET} characters");
-            self.fault(name, "(hidden)", &allowed);
+        let text = self.value_of(name, flag).unwrap_or_default();
+        if text.chars().count() < MIN_SECRET_CHARS {
+            let allowed = format!("at least {MIN_SECRET_CHARS} characters");
+            self.reject(name, "(hidden)", &allowed);
         }
         text
     }
@@ -240,14 +240,14 @@
         name: &'static str,
         flag: &Option<String>,
         default: T,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> T {
-        let Some(text) = self.text(name, flag) else { return default };
+        let Some(text) = self.value_of(name, flag) else { return default };
         match text.parse::<T>() {
-            Ok(n) if n >= least && n <= most => n,
+            Ok(n) if n >= min && n <= max => n,
             _ => {
-                self.fault(name, &text, &format!("a whole number from {least} to {most}"));
+                self.reject(name, &text, &format!("a whole number from {min} to {max}"));
                 default
             }
         }
@@ -260,12 +260,12 @@
         default: &str,
         allowed: &str,
     ) -> T {
-        let text = self.text(name, flag).unwrap_or_else(|| default.to_owned());
+        let text = self.value_of(name, flag).unwrap_or_else(|| default.to_owned());
         text.parse().unwrap_or_else(|_| {
-            self.fault(name, &text, allowed);
+            self.reject(name, &text, allowed);
             default.parse().ok().expect("the default is one of the choices")
         })
     }
 }
 
-const ADDR_RULE: &str = "IP:PORT, such as 127.0.0.1:8080";
+const ADDR_FORMAT: &str = "IP:PORT, such as 127.0.0.1:8080";
