--- a/crates/hibiscusgw/tests/platform/heads.rs
+++ b/crates/hibiscusgw/tests/platform/hubs.rs
@@ -11,10 +11,10 @@
 use hgw_standins::fleet::{EngineSettings, Fleet};
 use http::{Method, StatusCode};
 
-use crate::{fleet_of, long_prompt};
+use crate::{new_fleet, send_long_prompt};
 
 /// An engine whose prefill takes so long that the next request arrives meanwhile.
-fn reads(id: &str) -> EngineSettings {
+fn slow_prefill_engine(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
         holds: holds(&[("m", &[])]),
@@ -24,8 +24,8 @@
 }
 
 /// Starts `nodes` nodes of one domain, and waits until they are ready and know their hub.
-fn domain_of(nodes: usize) -> Fleet {
-    let mut fleet = fleet_of(["i-3", "i-4"].map(reads).to_vec());
+fn start_domain(nodes: usize) -> Fleet {
+    let mut fleet = new_fleet(["i-3", "i-4"].map(slow_prefill_engine).to_vec());
     let nodes: Vec<usize> = (0..nodes).map(|_| fleet.spawn("a")).collect();
     for node in nodes {
         wait("the node is ready", || fleet.nodes[node].is_ready());
@@ -36,7 +36,7 @@
 }
 
 /// The nodes of the domain that may be its hub, in order of preference.
-fn heads(fleet: &Fleet) -> Vec<usize> {
+fn hub_candidates(fleet: &Fleet) -> Vec<usize> {
     let member = |n: &Node| Member {
         node: n.name.clone(),
         addr: n.peers,
@@ -45,11 +45,11 @@
     };
     let members: Vec<Member> = fleet.nodes.iter().map(member).collect();
     let found = candidates(&members, "a").into_iter();
-    found.filter_map(|head| fleet.nodes.iter().position(|n| n.name == head.node)).collect()
+    found.filter_map(|hub| fleet.nodes.iter().position(|n| n.name == hub.node)).collect()
 }
 
 /// Calls to the store per second, measured over `during`.
-fn calls_a_second(fleet: &Fleet, during: Duration) -> f64 {
+fn store_calls_per_second(fleet: &Fleet, during: Duration) -> f64 {
     let calls = || fleet.store.calls().values().sum::<u64>();
     let (before, began) = (calls(), Instant::now());
     std::thread::sleep(during);
@@ -60,14 +60,14 @@
 /// store grows with the number of nodes.
 #[test]
 fn store_that_refuses_is_called_by_few() {
-    let fleet = domain_of(12);
+    let fleet = start_domain(12);
     fleet.store.fault(&Faults { refuse: true, ..Faults::default() });
     // Every node calls the store itself once, when the hub has no updates.
     std::thread::sleep(Duration::from_secs(3));
-    let calls = calls_a_second(&fleet, Duration::from_secs(4));
+    let calls = store_calls_per_second(&fleet, Duration::from_secs(4));
     assert!(calls < 30.0, "{calls} calls a second");
     fleet.store.fault(&Faults::default());
-    fleet.store.put("keyed.op", "config", changed().to_string().as_bytes());
+    fleet.store.put("keyed.op", "config", config_with_new_route().to_string().as_bytes());
     for node in &fleet.nodes {
         wait("the new route is served", || {
             node.plain("/new/", "call-1").is_ok_and(|a| a.status == StatusCode::OK)
@@ -75,8 +75,7 @@
     }
 }
 
-/// A configuration with one more route.
-fn changed() -> serde_json::Value {
+fn config_with_new_route() -> serde_json::Value {
     let mut config = configuration(2);
     let mut route = config["routes"][0].clone();
     route["name"] = "new".into();
@@ -88,15 +87,15 @@
 /// Nodes must learn that an engine is draining even if both hubs of their domain are killed at once;
 /// otherwise the engine cuts off the work that they send.
 #[test]
-fn nodes_hear_of_a_leaving_engine_after_their_heads_have_ended() {
-    let mut fleet = domain_of(8);
-    let heads = heads(&fleet);
-    for node in &heads[..2] {
+fn nodes_learn_of_a_draining_engine_after_their_hubs_have_ended() {
+    let mut fleet = start_domain(8);
+    let hub_candidates = hub_candidates(&fleet);
+    for node in &hub_candidates[..2] {
         fleet.nodes[*node].kill();
     }
     fleet.list(fleet.engine("desk-1"), "draining");
-    let left: Vec<usize> = (0..8).filter(|node| !heads[..2].contains(node)).collect();
-    for node in left {
+    let remaining: Vec<usize> = (0..8).filter(|node| !hub_candidates[..2].contains(node)).collect();
+    for node in remaining {
         wait("calls go only to the other engine", || {
             let before = fleet.engine("desk-1").record().runs.len();
             for call in 0..10 {
@@ -114,16 +113,17 @@
 /// engine is idle.
 #[test]
 fn node_passes_over_an_engine_that_others_are_known_to_use() {
-    let fleet = domain_of(14);
-    let others: Vec<usize> = (0..14).filter(|node| !heads(&fleet).contains(node)).collect();
+    let fleet = start_domain(14);
+    let others: Vec<usize> =
+        (0..14).filter(|node| !hub_candidates(&fleet).contains(node)).collect();
     for (tries, pair) in others.chunks_exact(2).enumerate() {
         let ids = [format!("s-{tries}"), format!("t-{tries}")];
         std::thread::scope(|scope| {
             let fleet = &fleet;
-            let first = scope.spawn(|| long_prompt(fleet, pair[0], &ids[0]));
+            let first = scope.spawn(|| send_long_prompt(fleet, pair[0], &ids[0]));
             wait("the first is sent", || fleet.runs(&ids[0]) == 1);
             std::thread::sleep(Duration::from_millis(200));
-            assert_eq!(long_prompt(fleet, pair[1], &ids[1]), StatusCode::OK);
+            assert_eq!(send_long_prompt(fleet, pair[1], &ids[1]), StatusCode::OK);
             assert_eq!(first.join().unwrap(), StatusCode::OK);
         });
     }
@@ -132,12 +132,12 @@
         ["i-3", "i-4"].into_iter().find(ran).unwrap()
     };
     let pairs = 0..others.len() / 2;
-    let parted = pairs.clone().filter(|n| at(format!("s-{n}")) != at(format!("t-{n}"))).count();
-    assert_eq!(parted, pairs.len());
+    let separated = pairs.clone().filter(|n| at(format!("s-{n}")) != at(format!("t-{n}"))).count();
+    assert_eq!(separated, pairs.len());
 }
 
 /// Attempts of a node that could not connect to an engine.
-fn unreached(node: &Node) -> f64 {
+fn failed_connects(node: &Node) -> f64 {
     let metrics = Caller::new(node.metrics).unwrap();
     let text = metrics.call(Method::GET, "/metrics", &[], "").unwrap().body;
     let mut lines = text.lines().filter(|l| l.starts_with("hgw_tries_failed_total"));
@@ -155,9 +155,9 @@
 /// trying it themselves, and the hub probes whether it is back.
 #[test]
 fn engine_that_one_node_cannot_reach_is_left_alone_by_all() {
-    let fleet = domain_of(14);
+    let fleet = start_domain(14);
     let others: Vec<&Node> =
-        (0..14).filter(|n| !heads(&fleet).contains(n)).map(|n| &fleet.nodes[n]).collect();
+        (0..14).filter(|n| !hub_candidates(&fleet).contains(n)).map(|n| &fleet.nodes[n]).collect();
     let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut entry = fleet.entry("desk-1", "ready");
     entry["id"] = "desk-3".into();
@@ -165,16 +165,16 @@
     fleet.store.put("keyed.servers", "desk-3", entry.to_string().as_bytes());
     wait("the first node fails to connect to the lost engine", || {
         assert!(calls(others[0], "first"));
-        unreached(others[0]) > 0.0
+        failed_connects(others[0]) > 0.0
     });
     // A node may read the engine's entry after the first report about it; the hub repeats the report.
     std::thread::sleep(Duration::from_secs(1));
     assert!(others[1..].iter().all(|node| calls(node, "other")));
-    let tried = others[1..].iter().filter(|node| unreached(node) > 0.0).count();
+    let tried = others[1..].iter().filter(|node| failed_connects(node) > 0.0).count();
     assert_eq!(tried, 0, "nodes that tried the lost engine");
     let back = TcpListener::bind(addr).unwrap();
     back.set_nonblocking(true).unwrap();
-    let (mut met, mut calls) = (Vec::new(), Vec::new());
+    let (mut accepted, mut calls) = (Vec::new(), Vec::new());
     wait("the engine that is back is sent calls again", || {
         for node in &others {
             let mut call = TcpStream::connect(node.callers).unwrap();
@@ -185,8 +185,8 @@
         }
         while let Ok((stream, _)) = back.accept() {
             stream.set_nonblocking(true).unwrap();
-            met.push(stream);
+            accepted.push(stream);
         }
-        met.iter_mut().any(|stream| stream.read(&mut [0; 64]).is_ok_and(|read| read > 0))
+        accepted.iter_mut().any(|stream| stream.read(&mut [0; 64]).is_ok_and(|read| read > 0))
     });
 }
--- a/crates/hibiscusgw/tests/platform/keys.rs
+++ b/crates/hibiscusgw/tests/platform/keys.rs
@@ -11,10 +11,10 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
 /// A configuration with customers and one public route.
-fn guarded(version: u64, customers: &[(&str, &[&str])]) -> Value {
+fn config_with_customers(version: u64, customers: &[(&str, &[&str])]) -> Value {
     let mut config = configuration(version);
     let one =
         |(name, keys): &(&str, &[&str])| json!({ "name": name, "apiKeys": keys, "priority": 1 });
@@ -27,7 +27,7 @@
     config
 }
 
-fn put(fleet: &Fleet, config: &Value) {
+fn put_config(fleet: &Fleet, config: &Value) {
     fleet.store.put("keyed.op", "config", config.to_string().as_bytes());
 }
 
@@ -37,15 +37,18 @@
         holds: holds(&[("m", &[])]),
         ..EngineSettings::default()
     };
-    let fleet = fleet_of(vec![engine("i-1"), engine("i-2")]);
-    put(&fleet, &guarded(2, &[("bakery", &["k-1", "k-2"]), ("mill", &["k-3"])]));
+    let fleet = new_fleet(vec![engine("i-1"), engine("i-2")]);
+    put_config(
+        &fleet,
+        &config_with_customers(2, &[("bakery", &["k-1", "k-2"]), ("mill", &["k-3"])]),
+    );
     fleet
 }
 
 /// Sends a call with these values of `Authorization`.
-fn call(node: &Node, path: &str, id: &str, shown: &[&str]) -> Whole {
+fn call(node: &Node, path: &str, id: &str, authorization: &[&str]) -> Whole {
     let mut headers = vec![("x-request-id", id), ("x-deadline-ms", "5000"), ("x-tenant", "mill")];
-    headers.extend(shown.iter().map(|value| ("authorization", *value)));
+    headers.extend(authorization.iter().map(|value| ("authorization", *value)));
     headers.push(("X-TENANT", "forged"));
     node.call(Method::POST, path, &headers).unwrap()
 }
@@ -64,9 +67,9 @@
 fn engine_is_told_the_customer_and_not_the_key() {
     let mut fleet = fleet();
     let node = fleet.start("a");
-    let answer = call(&fleet.nodes[node], "/look/", "call-1", &["Token k-2"]);
+    let response = call(&fleet.nodes[node], "/look/", "call-1", &["Token k-2"]);
     assert_eq!(
-        (answer.status, customers(&fleet, "call-1")),
+        (response.status, customers(&fleet, "call-1")),
         (StatusCode::OK, vec!["bakery".into()])
     );
     for engine in ["desk-1", "desk-2"] {
@@ -85,8 +88,8 @@
             ("x-tokens", "100,120"),
             ("authorization", "Token k-1"),
         ];
-        let answer = fleet.nodes[node].call(Method::POST, "/ask/", &headers).unwrap();
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = fleet.nodes[node].call(Method::POST, "/ask/", &headers).unwrap();
+        assert_eq!(response.status, StatusCode::OK);
         assert_eq!(customers(&fleet, &id), ["bakery"]);
     }
     assert_eq!(keys_at_engines(&fleet), 0);
@@ -99,12 +102,12 @@
     let node = &fleet.nodes[node];
     let all: [&[&str]; 6] =
         [&[], &["Token k-9"], &["Bearer k-1"], &["k-1"], &["Token k-1", "Token k-1"], &["Token"]];
-    for (n, shown) in all.iter().enumerate() {
+    for (n, authorization) in all.iter().enumerate() {
         let id = format!("stranger-{n}");
-        let answer = call(node, "/look/", &id, shown);
-        assert_eq!(answer.status, StatusCode::UNAUTHORIZED, "{shown:?}");
-        assert_eq!(answer.headers["www-authenticate"], "Token");
-        assert!(!answer.body.contains("k-"), "{}", answer.body);
+        let response = call(node, "/look/", &id, authorization);
+        assert_eq!(response.status, StatusCode::UNAUTHORIZED, "{authorization:?}");
+        assert_eq!(response.headers["www-authenticate"], "Token");
+        assert!(!response.body.contains("k-"), "{}", response.body);
         assert_eq!(fleet.runs(&id), 0);
     }
     assert_eq!(call(node, "/nowhere/", "call-1", &[]).status, StatusCode::NOT_FOUND);
@@ -127,7 +130,7 @@
 /// Without customers in the configuration, `Authorization` is passed on to the engine.
 #[test]
 fn key_is_passed_on_where_no_customers_are_configured() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     assert_eq!(call(&fleet.nodes[node], "/look/", "call-1", &["Token k"]).status, StatusCode::OK);
     assert_eq!((keys_at_engines(&fleet), customers(&fleet, "call-1")), (1, Vec::new()));
@@ -138,7 +141,7 @@
 fn keys_follow_the_configuration() {
     let mut fleet = fleet();
     let node = fleet.start("a");
-    put(&fleet, &guarded(3, &[("bakery", &["k-3"]), ("mill", &[])]));
+    put_config(&fleet, &config_with_customers(3, &[("bakery", &["k-3"]), ("mill", &[])]));
     wait("the revoked key is refused", || {
         call(&fleet.nodes[node], "/look/", "call-1", &["Token k-1"]).status
             == StatusCode::UNAUTHORIZED
@@ -148,20 +151,20 @@
 }
 
 /// Checks that every call with this key is served for `time`.
-fn serves_all(node: &Node, shown: &str, time: Duration) {
+fn assert_served_for(node: &Node, authorization: &str, time: Duration) {
     let until = Instant::now() + time;
     for n in 0.. {
         if Instant::now() >= until {
             return;
         }
-        let answer = call(node, "/look/", &format!("call-{n}"), &[shown]);
-        assert_eq!(answer.status, StatusCode::OK, "call {n}");
+        let response = call(node, "/look/", &format!("call-{n}"), &[authorization]);
+        assert_eq!(response.status, StatusCode::OK, "call {n}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Makes these nodes enforce the time after which a revoked key must be refused.
-fn strict(fleet: &Fleet, nodes: &[usize]) {
+fn enforce_revocation(fleet: &Fleet, nodes: &[usize]) {
     for node in nodes {
         fleet.nodes[*node].set("bounds.strictRevoke=false", "bounds.strictRevoke=true");
     }
@@ -175,23 +178,23 @@
 fn node_that_cannot_show_the_newest_keys_refuses_those_who_show_one() {
     let mut fleet = fleet();
     let node = fleet.start("a");
-    strict(&fleet, &[node]);
+    enforce_revocation(&fleet, &[node]);
     let node = &fleet.nodes[node];
     assert_eq!(call(node, "/look/", "call-1", &["Token k-1"]).status, StatusCode::OK);
     node.to_store.set(Condition::Cut);
-    put(&fleet, &guarded(3, &[("bakery", &["k-2"]), ("mill", &["k-3"])]));
-    let taken = Instant::now();
-    let mut last_run = taken;
+    put_config(&fleet, &config_with_customers(3, &[("bakery", &["k-2"]), ("mill", &["k-3"])]));
+    let revoked = Instant::now();
+    let mut last_run = revoked;
     wait("requests with keys are refused", || {
         let sent = Instant::now();
-        let answer = call(node, "/look/", "call-2", &["Token k-1"]);
-        if answer.status == StatusCode::OK {
+        let response = call(node, "/look/", "call-2", &["Token k-1"]);
+        if response.status == StatusCode::OK {
             last_run = sent;
         }
-        answer.status == StatusCode::SERVICE_UNAVAILABLE
-            && answer.headers.contains_key("retry-after")
+        response.status == StatusCode::SERVICE_UNAVAILABLE
+            && response.headers.contains_key("retry-after")
     });
-    assert!(last_run - taken < Duration::from_millis(2_000), "{:?}", last_run - taken);
+    assert!(last_run - revoked < Duration::from_millis(2_000), "{:?}", last_run - revoked);
     // The node cannot know either that a key is unknown: 503, not 401.
     assert_eq!(
         call(node, "/look/", "call-3", &["Token k-9"]).status,
@@ -211,13 +214,13 @@
 /// A node that was paused for longer than the revocation time must not run the first requests with its old
 /// configuration.
 #[test]
-fn node_that_stood_still_runs_nothing_on_what_it_knew() {
+fn node_that_was_paused_runs_nothing_with_old_keys() {
     let mut fleet = fleet();
     let node = fleet.start("a");
-    strict(&fleet, &[node]);
+    enforce_revocation(&fleet, &[node]);
     assert_eq!(call(&fleet.nodes[node], "/look/", "call-1", &["Token k-1"]).status, StatusCode::OK);
     fleet.nodes[node].signal(Signal::STOP);
-    put(&fleet, &guarded(3, &[("bakery", &["k-2"])]));
+    put_config(&fleet, &config_with_customers(3, &[("bakery", &["k-2"])]));
     std::thread::sleep(Duration::from_millis(2_300));
     let node = &fleet.nodes[node];
     std::thread::scope(|scope| {
@@ -235,15 +238,15 @@
 /// A node without a connection to the store must keep serving requests with keys while the leader confirms
 /// the configuration.
 #[test]
-fn node_that_the_store_turns_away_goes_on_with_the_keepers_word() {
+fn node_without_the_store_serves_while_the_leader_confirms_the_keys() {
     let mut fleet = fleet();
-    let keeper = fleet.start("a");
+    let leader = fleet.start("a");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
-    strict(&fleet, &[keeper, other]);
+    enforce_revocation(&fleet, &[leader, other]);
     fleet.nodes[other].to_store.set(Condition::Cut);
-    serves_all(&fleet.nodes[other], "Token k-1", Duration::from_secs(5));
-    put(&fleet, &guarded(3, &[("bakery", &["k-2"]), ("mill", &["k-3"])]));
+    assert_served_for(&fleet.nodes[other], "Token k-1", Duration::from_secs(5));
+    put_config(&fleet, &config_with_customers(3, &[("bakery", &["k-2"]), ("mill", &["k-3"])]));
     wait("the revoked key is refused", || {
         call(&fleet.nodes[other], "/look/", "last", &["Token k-1"]).status
             == StatusCode::UNAUTHORIZED
@@ -254,23 +257,23 @@
 /// the offset that the leader sent; with hundreds of nodes, the store could not send each of them the whole
 /// document.
 #[test]
-fn node_proves_what_it_was_told_without_reading_it_again() {
+fn node_confirms_its_configuration_without_reading_it_again() {
     let mut fleet = fleet();
-    let keeper = fleet.start("a");
+    let leader = fleet.start("a");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
-    strict(&fleet, &[keeper, other]);
+    enforce_revocation(&fleet, &[leader, other]);
     fleet.nodes[other].to_store.set(Condition::Cut);
-    put(&fleet, &guarded(3, &[("bakery", &["k-1", "k-4"])]));
+    put_config(&fleet, &config_with_customers(3, &[("bakery", &["k-1", "k-4"])]));
     wait("the other node has the new key", || {
         call(&fleet.nodes[other], "/look/", "new", &["Token k-4"]).status == StatusCode::OK
     });
     fleet.nodes[other].to_store.set(Condition::Open);
     std::thread::sleep(Duration::from_secs(1));
     let before = fleet.store.given("keyed.op");
-    fleet.nodes[keeper].signal(Signal::STOP);
-    serves_all(&fleet.nodes[other], "Token k-4", Duration::from_secs(4));
+    fleet.nodes[leader].signal(Signal::STOP);
+    assert_served_for(&fleet.nodes[other], "Token k-4", Duration::from_secs(4));
     let given = fleet.store.given("keyed.op") - before;
-    fleet.nodes[keeper].signal(Signal::CONT);
+    fleet.nodes[leader].signal(Signal::CONT);
     assert_eq!(given, 0, "configuration records that were read again");
 }
--- a/crates/hibiscusgw/tests/platform/limits.rs
+++ b/crates/hibiscusgw/tests/platform/limits.rs
@@ -8,16 +8,16 @@
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
 /// Window, tolerance and slack of the limit in the settings of these nodes.
-const WINDOW: Duration = Duration::from_secs(4);
-const OVER: f64 = 0.1;
-const SLACK: f64 = 6.0;
+const QUOTA_WINDOW: Duration = Duration::from_secs(4);
+const QUOTA_TOLERANCE: f64 = 0.1;
+const QUOTA_SLACK: f64 = 6.0;
 
 /// A configuration with one customer limited to `rate` requests per second, with a burst of as many, and
 /// one customer without a limit.
-fn limited(version: u64, rate: f64) -> Value {
+fn limited_config(version: u64, rate: f64) -> Value {
     let mut config = configuration(version);
     config["tenants"] = json!([
         { "name": "bakery", "apiKeys": ["k-1"], "unit": "requests", "ratePerS": rate, "burst": rate },
@@ -26,13 +26,13 @@
     config
 }
 
-fn put(fleet: &Fleet, config: &Value) {
+fn put_config(fleet: &Fleet, config: &Value) {
     fleet.store.put("keyed.op", "config", config.to_string().as_bytes());
 }
 
 fn fleet(rate: f64) -> Fleet {
-    let fleet = fleet_of(Vec::new());
-    put(&fleet, &limited(2, rate));
+    let fleet = new_fleet(Vec::new());
+    put_config(&fleet, &limited_config(2, rate));
     fleet
 }
 
@@ -41,7 +41,7 @@
     let headers =
         [("x-request-id", id), ("x-deadline-ms", "2000"), ("authorization", key.as_str())];
     match node.call(Method::POST, "/look/", &headers) {
-        Ok(answer) => (answer.status, answer.headers.contains_key("retry-after")),
+        Ok(response) => (response.status, response.headers.contains_key("retry-after")),
         // The node was killed.
         Err(_) => (StatusCode::BAD_GATEWAY, false),
     }
@@ -49,43 +49,43 @@
 
 /// Send times of the requests that ran, and the numbers of those that did not.
 #[derive(Default)]
-struct Came {
+struct LoadResult {
     ran: Vec<Instant>,
-    over: u32,
+    over_limit: u32,
     other: u32,
 }
 
 /// Sends requests through each of these nodes in parallel, one at a time per node, for `time`.
-fn press(nodes: &[&Node], name: &str, time: Duration) -> Came {
+fn send_load(nodes: &[&Node], name: &str, time: Duration) -> LoadResult {
     let until = Instant::now() + time;
-    let mut all = Came::default();
+    let mut all = LoadResult::default();
     std::thread::scope(|scope| {
         let callers: Vec<_> = nodes
             .iter()
             .map(|node| {
                 scope.spawn(move || {
-                    let mut came = Came::default();
+                    let mut result = LoadResult::default();
                     for n in 0.. {
                         if Instant::now() >= until {
                             break;
                         }
                         let sent = Instant::now();
                         match call(node, &format!("{name}-{}-{n}", node.name), "k-1") {
-                            (StatusCode::OK, _) => came.ran.push(sent),
-                            (StatusCode::TOO_MANY_REQUESTS, true) => came.over += 1,
-                            _ => came.other += 1,
+                            (StatusCode::OK, _) => result.ran.push(sent),
+                            (StatusCode::TOO_MANY_REQUESTS, true) => result.over_limit += 1,
+                            _ => result.other += 1,
                         }
                         std::thread::sleep(Duration::from_millis(3));
                     }
-                    came
+                    result
                 })
             })
             .collect();
         for caller in callers {
-            let mut came = caller.join().unwrap();
-            all.ran.append(&mut came.ran);
-            all.over += came.over;
-            all.other += came.other;
+            let mut result = caller.join().unwrap();
+            all.ran.append(&mut result.ran);
+            all.over_limit += result.over_limit;
+            all.other += result.other;
         }
     });
     all.ran.sort_unstable();
@@ -93,14 +93,15 @@
 }
 
 /// The highest number of requests that ran within one window.
-fn worst(ran: &[Instant]) -> usize {
-    let within =
-        |first: Instant| ran.iter().filter(|at| **at >= first && **at < first + WINDOW).count();
+fn max_in_window(ran: &[Instant]) -> usize {
+    let within = |first: Instant| {
+        ran.iter().filter(|at| **at >= first && **at < first + QUOTA_WINDOW).count()
+    };
     ran.iter().map(|first| within(*first)).max().unwrap_or(0)
 }
 
-fn allowed(rate: f64) -> f64 {
-    (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVER) + SLACK
+fn max_allowed(rate: f64) -> f64 {
+    (rate * QUOTA_WINDOW.as_secs_f64() + rate) * (1.0 + QUOTA_TOLERANCE) + QUOTA_SLACK
 }
 
 /// Under overload through three nodes, a customer gets its limit and no more, the excess is refused with a
@@ -115,12 +116,12 @@
     wait("allowances are granted", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
     std::thread::sleep(Duration::from_secs(2));
     let nodes: Vec<&Node> = fleet.nodes.iter().collect();
-    let came = press(&nodes, "press", Duration::from_secs(8));
-    let (worst, allowed) = (worst(&came.ran) as f64, allowed(RATE));
-    assert!(worst <= allowed, "{worst} of {allowed}");
-    assert!(came.ran.len() as f64 >= 0.9 * RATE * 8.0, "{} ran", came.ran.len());
-    assert!(came.over > 0);
-    assert_eq!(came.other, 0, "every refusal is a 429 with Retry-After");
+    let result = send_load(&nodes, "press", Duration::from_secs(8));
+    let (max_in_window, max_allowed) = (max_in_window(&result.ran) as f64, max_allowed(RATE));
+    assert!(max_in_window <= max_allowed, "{max_in_window} of {max_allowed}");
+    assert!(result.ran.len() as f64 >= 0.9 * RATE * 8.0, "{} ran", result.ran.len());
+    assert!(result.over_limit > 0);
+    assert_eq!(result.other, 0, "every refusal is a 429 with Retry-After");
     assert_eq!(call(nodes[0], "other", "k-2").0, StatusCode::OK);
 }
 
@@ -139,16 +140,16 @@
     std::thread::sleep(Duration::from_secs(3));
     let (first, rest) = fleet.nodes.split_at_mut(1);
     let others: Vec<&Node> = rest.iter().collect();
-    let came = std::thread::scope(|scope| {
-        let callers = scope.spawn(|| press(&others, "press", Duration::from_secs(9)));
+    let result = std::thread::scope(|scope| {
+        let callers = scope.spawn(|| send_load(&others, "press", Duration::from_secs(9)));
         std::thread::sleep(Duration::from_secs(3));
         first[0].kill();
         callers.join().unwrap()
     });
-    let (worst, allowed) = (worst(&came.ran) as f64, allowed(RATE));
-    assert!(worst <= allowed, "{worst} of {allowed}");
-    let last = came.ran.last().unwrap();
-    let late = came.ran.iter().filter(|at| *last - **at < Duration::from_secs(3)).count();
+    let (max_in_window, max_allowed) = (max_in_window(&result.ran) as f64, max_allowed(RATE));
+    assert!(max_in_window <= max_allowed, "{max_in_window} of {max_allowed}");
+    let last = result.ran.last().unwrap();
+    let late = result.ran.iter().filter(|at| *last - **at < Duration::from_secs(3)).count();
     assert!(late as f64 >= 0.5 * 3.0 * RATE, "{late} in the last three seconds");
 }
 
@@ -167,15 +168,15 @@
     wait("allowances are granted", || call(&fleet.nodes[2], "first", "k-1").0 == StatusCode::OK);
     std::thread::sleep(Duration::from_secs(3));
     let nodes: Vec<&Node> = fleet.nodes.iter().collect();
-    let came = std::thread::scope(|scope| {
-        let callers = scope.spawn(|| press(&nodes, "press", Duration::from_secs(9)));
+    let result = std::thread::scope(|scope| {
+        let callers = scope.spawn(|| send_load(&nodes, "press", Duration::from_secs(9)));
         std::thread::sleep(Duration::from_secs(3));
         fleet.store.come_back(&empty);
         callers.join().unwrap()
     });
-    let (worst, allowed) = (worst(&came.ran) as f64, allowed(RATE));
-    assert!(worst <= allowed, "{worst} of {allowed}");
-    assert!(came.ran.len() as f64 >= 0.8 * RATE * 9.0, "{} ran", came.ran.len());
+    let (max_in_window, max_allowed) = (max_in_window(&result.ran) as f64, max_allowed(RATE));
+    assert!(max_in_window <= max_allowed, "{max_in_window} of {max_allowed}");
+    assert!(result.ran.len() as f64 >= 0.8 * RATE * 9.0, "{} ran", result.ran.len());
 }
 
 /// A request that no engine accepts must not count against the customer's limit.
@@ -208,9 +209,9 @@
     wait("the limit binds", || {
         (0..8).any(|n| call(node, &format!("c-{n}"), "k-1").0 == StatusCode::TOO_MANY_REQUESTS)
     });
-    let mut config = limited(3, 1.0);
+    let mut config = limited_config(3, 1.0);
     config["tenants"][0]["ratePerS"] = 0.into();
-    put(&fleet, &config);
+    put_config(&fleet, &config);
     wait("the limit no longer applies", || {
         (0..8).all(|n| call(node, &format!("d-{n}"), "k-1").0 == StatusCode::OK)
     });
@@ -233,7 +234,7 @@
         node.to_store.set(Condition::Cut);
     }
     std::thread::sleep(Duration::from_secs(2));
-    let came = press(&[&fleet.nodes[1]], "alone", Duration::from_secs(4));
-    let share = came.ran.len() as f64 / (RATE * 4.0);
+    let result = send_load(&[&fleet.nodes[1]], "alone", Duration::from_secs(4));
+    let share = result.ran.len() as f64 / (RATE * 4.0);
     assert!((0.15..=0.6).contains(&share), "{share} of the limit");
 }
--- a/crates/hibiscusgw/tests/platform/lines.rs
+++ b/crates/hibiscusgw/tests/platform/log_lines.rs
@@ -9,9 +9,9 @@
 use http::Method;
 use rustix::process::Signal;
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-fn slow(id: &str) -> EngineSettings {
+fn slow_engine(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
         holds: holds(&[("m", &[])]),
@@ -23,7 +23,7 @@
 
 #[test]
 fn caller_that_leaves_a_stream_is_named() {
-    let mut fleet = fleet_of(vec![slow("i-1")]);
+    let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let (node, path) = fleet.start_logged("left");
     let caller = Caller::new(fleet.nodes[node].callers).unwrap();
     let headers = [
@@ -34,9 +34,9 @@
         ("x-tokens", "100,120"),
         ("x-prompt-prefix", "a1:60,b2:40"),
     ];
-    let answer = caller.stream("/ask/", &headers, &"body").unwrap();
+    let response = caller.stream("/ask/", &headers, &"body").unwrap();
     wait("the stream runs", || fleet.runs("s-1") == 1);
-    drop((answer, caller));
+    drop((response, caller));
     wait("it is logged", || !fleet.lines(&path, 5008).is_empty());
     let line = &fleet.lines(&path, 5008)[0];
     assert_eq!(
@@ -52,7 +52,7 @@
 /// Both the loss and the return of an engine must be logged.
 #[test]
 fn engine_that_is_judged_anew_is_named() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let (node, path) = fleet.start_logged("judged");
     fleet.to_engines[0].set(Condition::Cut);
     let mut call = 0;
@@ -74,7 +74,7 @@
 /// unresponsive.
 #[test]
 fn silent_peer_and_placed_adapter_are_named() {
-    let mut fleet = fleet_of(vec![slow("i-1")]);
+    let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let (first, first_lines) = fleet.start_logged("first");
     wait("it is the leader", || !fleet.lines(&first_lines, 4001).is_empty());
     let (second, second_lines) = fleet.start_logged("second");
@@ -93,15 +93,15 @@
 /// Each node must log that an engine is draining and whether it learnt this from the store or from a peer.
 #[test]
 fn engine_that_leaves_is_named_with_who_said_so() {
-    let mut fleet = fleet_of(Vec::new());
-    let (_, keeper) = fleet.start_logged("leaves");
+    let mut fleet = new_fleet(Vec::new());
+    let (_, leader_log) = fleet.start_logged("leaves");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
-    let (_, other) = fleet.start_logged("leaves");
+    let (_, other_log) = fleet.start_logged("leaves");
     fleet.list(fleet.engine("desk-1"), "draining");
-    for (path, by) in [(keeper, "store"), (other, "peer")] {
+    for (path, by) in [(leader_log, "store"), (other_log, "peer")] {
         wait("it is logged", || !fleet.lines(&path, 4010).is_empty());
         let line = &fleet.lines(&path, 4010)[0];
-        let told = (&line["upstream"], &line["standing"], &line["by"]);
-        assert_eq!(told, (&"desk-1".into(), &"leaving".into(), &by.into()), "{line}");
+        let fields = (&line["upstream"], &line["standing"], &line["by"]);
+        assert_eq!(fields, (&"desk-1".into(), &"leaving".into(), &by.into()), "{line}");
     }
 }
--- a/crates/hibiscusgw/tests/platform/main.rs
+++ b/crates/hibiscusgw/tests/platform/main.rs
@@ -1,31 +1,31 @@
 //! Invariants of real node processes on a platform of stand-ins: store, engines and network links.
 
-mod apart;
 mod calls;
-mod era_mixes;
-mod eras;
-mod heads;
+mod datagrams;
+mod hubs;
 mod keys;
 mod limits;
-mod lines;
+mod log_lines;
 mod orders;
+mod random_faults;
+mod restarts;
+mod restores;
 mod session;
 mod settings;
-mod starts;
 mod stopping;
+mod store_disconnects;
 mod streams;
-mod words;
 
 use hgw_standins::fleet::{EngineSettings, Fleet};
 use http::{Method, StatusCode};
 
 /// A platform with these model engines and no node yet; nodes run the binary under test.
-fn fleet_of(models: Vec<EngineSettings>) -> Fleet {
+fn new_fleet(models: Vec<EngineSettings>) -> Fleet {
     Fleet::new(env!("CARGO_BIN_EXE_hibiscusgw"), models)
 }
 
 /// Sends a long prompt that shares a prefix with earlier ones, and waits for the end of the stream.
-fn long_prompt(fleet: &Fleet, node: usize, id: &str) -> StatusCode {
+fn send_long_prompt(fleet: &Fleet, node: usize, id: &str) -> StatusCode {
     let headers = [
         ("x-request-id", id),
         ("x-deadline-ms", "8000"),
--- a/crates/hibiscusgw/tests/platform/orders.rs
+++ b/crates/hibiscusgw/tests/platform/orders.rs
@@ -10,7 +10,7 @@
 
 use hgw_standins::fleet::deployment::{Fleet, holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
 fn engine(id: &str) -> EngineSettings {
     EngineSettings {
@@ -22,7 +22,7 @@
 }
 
 fn fleet() -> Fleet {
-    let mut fleet = fleet_of(vec![engine("i-1"), engine("i-2")]);
+    let mut fleet = new_fleet(vec![engine("i-1"), engine("i-2")]);
     let mut config = hgw_standins::fleet::deployment::configuration(2);
     config["services"][1]["engine"]["adapterSlots"] = 2.into();
     fleet.store.put("keyed.op", "config", config.to_string().as_bytes());
@@ -40,8 +40,8 @@
     ["i-1", "i-2"].iter().map(|id| fleet.engine(id).record()).collect()
 }
 
-/// Names of the nodes that gave orders.
-fn holders(fleet: &Fleet) -> Vec<String> {
+/// Names of the nodes that sent orders.
+fn order_senders(fleet: &Fleet) -> Vec<String> {
     let all = records(fleet);
     let orders = all.iter().flat_map(|r| &r.orders);
     let mut names: Vec<String> =
@@ -62,7 +62,7 @@
             wait("the adapter is served", || served(&fleet, node, &id, &format!("m/{adapter}")));
         }
     }
-    assert_eq!(holders(&fleet).len(), 1, "{:?}", records(&fleet));
+    assert_eq!(order_senders(&fleet).len(), 1, "{:?}", records(&fleet));
     assert!(records(&fleet).iter().all(|r| r.too_much == 0), "{:?}", records(&fleet));
 }
 
@@ -72,12 +72,12 @@
 fn another_node_takes_the_orders_over() {
     let mut fleet = fleet();
     wait("an adapter is served", || served(&fleet, 0, "s-1", "m/a1"));
-    let first = holders(&fleet);
-    let keeper = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
-    fleet.nodes[keeper].kill();
-    let left = (keeper + 1) % 3;
-    wait("the next adapter is served", || served(&fleet, left, "s-2", "m/a2"));
-    assert_eq!(holders(&fleet).len(), 2, "{:?}", records(&fleet));
+    let first = order_senders(&fleet);
+    let leader = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
+    fleet.nodes[leader].kill();
+    let other = (leader + 1) % 3;
+    wait("the next adapter is served", || served(&fleet, other, "s-2", "m/a2"));
+    assert_eq!(order_senders(&fleet).len(), 2, "{:?}", records(&fleet));
     assert!(records(&fleet).iter().all(|r| r.old_fences == 0), "{:?}", records(&fleet));
 }
 
@@ -101,13 +101,13 @@
 /// A leader whose lease has expired must not plan orders that it may not send: the plan would mark the
 /// model to be evicted as gone, and requests would not be sent to a copy that still exists.
 #[test]
-fn holder_that_may_give_no_order_plans_none() {
+fn leader_without_a_lease_plans_no_orders() {
     let one = |id: &str, model: &str| EngineSettings {
         holds: holds(&[(model, &[])]),
         fences: false,
         ..engine(id)
     };
-    let mut fleet = fleet_of(vec![one("i-1", "m"), one("i-2", "n")]);
+    let mut fleet = new_fleet(vec![one("i-1", "m"), one("i-2", "n")]);
     let (node, lines) = fleet.start_logged("a");
     fleet.nodes[node].set("bounds.requireFence=true", "bounds.requireFence=false");
     wait("both models are served", || {
@@ -126,51 +126,54 @@
     assert_eq!(after.len(), planned, "an order was planned that may not be sent: {after:?}");
 }
 
-macro_rules! wakes_up {
-    ($($name:ident: $connections_end:literal;)*) => {$(
+macro_rules! paused_leaders {
+    ($($name:ident: $cut_connections:literal;)*) => {$(
         /// A leader that was paused for longer than its lease must check the lease before it sends an order
         /// with its old fencing token. An error on a closed connection to the store must not count as a
         /// confirmed lease.
         #[test]
         fn $name() {
-            holder_wakes_up($connections_end);
+            check_resumed_leader($cut_connections);
         }
     )*};
 }
 
-wakes_up! {
-    holder_that_wakes_up_gives_no_order_before_it_has_asked: false;
-    holder_that_wakes_up_with_broken_connections_asks_again: true;
+paused_leaders! {
+    resumed_leader_sends_no_order_before_it_has_checked_its_lease: false;
+    resumed_leader_with_broken_connections_checks_its_lease_again: true;
 }
 
-fn holder_wakes_up(connections_end: bool) {
+fn check_resumed_leader(cut_connections: bool) {
     for round in 0..3 {
         let fleet = fleet();
         wait("an adapter is served", || served(&fleet, 0, "s-1", "m/a1"));
-        let first = holders(&fleet);
-        let keeper = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
-        let left = (keeper + 1) % 3;
-        fleet.nodes[keeper].signal(Signal::STOP);
-        if connections_end {
-            fleet.nodes[keeper].to_store.set(Condition::Cut);
+        let first = order_senders(&fleet);
+        let leader = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
+        let other = (leader + 1) % 3;
+        fleet.nodes[leader].signal(Signal::STOP);
+        if cut_connections {
+            fleet.nodes[leader].to_store.set(Condition::Cut);
             std::thread::sleep(Duration::from_millis(100));
-            fleet.nodes[keeper].to_store.set(Condition::Open);
+            fleet.nodes[leader].to_store.set(Condition::Open);
         }
         for adapter in ["a2", "a3", "a4", "a5"] {
             let id = format!("s-{adapter}");
-            wait("it is served", || served(&fleet, left, &id, &format!("m/{adapter}")));
+            wait("it is served", || served(&fleet, other, &id, &format!("m/{adapter}")));
         }
-        let asked = std::thread::scope(|scope| {
+        let served_results = std::thread::scope(|scope| {
             let asks = |adapter: &'static str| {
                 let fleet = &fleet;
-                scope.spawn(move || served(fleet, keeper, adapter, &format!("m/{adapter}")))
+                scope.spawn(move || served(fleet, leader, adapter, &format!("m/{adapter}")))
             };
-            let asked = ["a1", "a2", "a3"].map(asks);
+            let served_results = ["a1", "a2", "a3"].map(asks);
             std::thread::sleep(Duration::from_millis(100));
-            fleet.nodes[keeper].signal(Signal::CONT);
-            asked.map(|asked| asked.join().unwrap())
+            fleet.nodes[leader].signal(Signal::CONT);
+            served_results.map(|result| result.join().unwrap())
         });
         let all = records(&fleet);
-        assert!(all.iter().all(|r| r.old_fences == 0), "round {round}, {asked:?}: {all:?}");
+        assert!(
+            all.iter().all(|r| r.old_fences == 0),
+            "round {round}, {served_results:?}: {all:?}"
+        );
     }
 }
--- a/crates/hibiscusgw/tests/platform/starts.rs
+++ b/crates/hibiscusgw/tests/platform/restarts.rs
@@ -6,14 +6,19 @@
 use hgw_standins::fleet::deployment::{Fleet, holds, wait};
 use http::StatusCode;
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-fn engine(id: &str, reading: Duration) -> EngineSettings {
-    EngineSettings { id: id.into(), holds: holds(&[("m", &[])]), reading, ..Default::default() }
+fn engine(id: &str, prefill: Duration) -> EngineSettings {
+    EngineSettings {
+        id: id.into(),
+        holds: holds(&[("m", &[])]),
+        reading: prefill,
+        ..Default::default()
+    }
 }
 
 /// A prefill time so long that no response comes within a test.
-const NEVER: Duration = Duration::from_secs(60);
+const ENDLESS_PREFILL: Duration = Duration::from_secs(60);
 
 fn status(fleet: &Fleet, node: usize, path: &str, id: &str) -> StatusCode {
     fleet.nodes[node].stream(path, id, "m").unwrap().status
@@ -28,7 +33,7 @@
 /// must get an error at once, not after its deadline.
 #[test]
 fn request_at_an_earlier_start_gets_its_final_answer() {
-    let mut fleet = fleet_of(vec![engine("i-1", NEVER)]);
+    let mut fleet = new_fleet(vec![engine("i-1", ENDLESS_PREFILL)]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -45,7 +50,7 @@
 /// restarted engine serves new requests.
 #[test]
 fn stream_at_an_earlier_start_is_not_waited_for() {
-    let mut fleet = fleet_of(vec![engine("i-1", NEVER)]);
+    let mut fleet = new_fleet(vec![engine("i-1", ENDLESS_PREFILL)]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -65,7 +70,7 @@
 /// a late entry from before the restart.
 #[test]
 fn engine_that_started_anew_gets_its_model_again() {
-    let mut fleet = fleet_of(vec![engine("i-1", Duration::ZERO)]);
+    let mut fleet = new_fleet(vec![engine("i-1", Duration::ZERO)]);
     let node = fleet.start("a");
     let earlier = fleet.entry("i-1", "ready");
     wait("the model is served", || served(&fleet, node, "s-1"));
@@ -83,33 +88,33 @@
     assert_eq!(fleet.engine("i-1").record().misdirected, misdirected);
 }
 
-macro_rules! unreadable {
+macro_rules! invalid_entries {
     ($($name:ident: $field:literal => $value:expr;)*) => {$(
         /// An invalid entry must exclude only its own engine, until the entry is valid again.
         #[test]
         fn $name() {
-            entry_is_passed_over($field, $value);
+            check_invalid_entry_is_ignored($field, $value);
         }
     )*};
 }
 
-unreadable! {
+invalid_entries! {
     entry_with_an_unknown_state: "state" => Some("resting".into());
     entry_without_a_state: "state" => None;
     entry_with_a_number_for_an_address: "addr" => Some(17.into());
     entry_without_slots: "slots" => None;
 }
 
-fn entry_is_passed_over(field: &str, value: Option<serde_json::Value>) {
+fn check_invalid_entry_is_ignored(field: &str, value: Option<serde_json::Value>) {
     let both = [engine("i-1", Duration::ZERO), engine("i-2", Duration::ZERO)];
-    let mut fleet = fleet_of(both.to_vec());
+    let mut fleet = new_fleet(both.to_vec());
     let node = fleet.start("a");
-    let mut spoiled = fleet.entry("i-1", "ready");
+    let mut entry = fleet.entry("i-1", "ready");
     match value {
-        Some(value) => spoiled[field] = value,
-        None => drop(spoiled.as_object_mut().unwrap().remove(field)),
+        Some(value) => entry[field] = value,
+        None => drop(entry.as_object_mut().unwrap().remove(field)),
     }
-    fleet.store.put("keyed.servers", "i-1", spoiled.to_string().as_bytes());
+    fleet.store.put("keyed.servers", "i-1", entry.to_string().as_bytes());
     let mut sent = 0;
     let mut goes_to = |id: &str| {
         sent += 1;
--- a/crates/hibiscusgw/tests/platform/session.rs
+++ b/crates/hibiscusgw/tests/platform/session.rs
@@ -8,15 +8,15 @@
 
 use hgw_standins::fleet::deployment::{holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-fn told(what: &str, answer: &Whole) -> String {
+fn format_response(what: &str, response: &Whole) -> String {
     let header = |name: &str| {
-        let value = answer.headers.get(name).map(|v| v.to_str().unwrap_or("?"));
+        let value = response.headers.get(name).map(|v| v.to_str().unwrap_or("?"));
         value.map(|v| format!(" {name}={v}")).unwrap_or_default()
     };
     let head = ["x-request-id", "x-response-seal", "content-type"].map(header).concat();
-    format!("{what}\n  {}{head}\n  {}\n", answer.status.as_u16(), answer.body.escape_debug())
+    format!("{what}\n  {}{head}\n  {}\n", response.status.as_u16(), response.body.escape_debug())
 }
 
 #[test]
@@ -26,30 +26,30 @@
         events: 3,
         ..EngineSettings::default()
     };
-    let mut fleet = fleet_of(vec![model]);
+    let mut fleet = new_fleet(vec![model]);
     fleet.store.put("keyed.servers", "desk-2", b"");
     let node = fleet.start("a");
-    let mut told_all = String::new();
+    let mut transcript = String::new();
     {
         let node = &fleet.nodes[node];
         let calls = [("/look/balance", "c-1"), ("/print/voucher?n=1", "c-2"), ("/other/", "c-3")];
         for (path, id) in calls {
-            told_all += &told(&format!("POST {path}"), &node.plain(path, id).unwrap());
+            transcript += &format_response(&format!("POST {path}"), &node.plain(path, id).unwrap());
         }
         for (path, id, model) in [("/ask/rules", "s-1", "m"), ("/once/note", "s-2", "m/a1")] {
-            let answer = node.stream(path, id, model).unwrap();
-            told_all += &told(&format!("POST {path} of {model}"), &answer);
+            let response = node.stream(path, id, model).unwrap();
+            transcript += &format_response(&format!("POST {path} of {model}"), &response);
         }
         node.signal(Signal::TERM);
     }
     wait("the process ends", || fleet.nodes[node].ended() == Some(true));
-    insta::assert_snapshot!(told_all);
+    insta::assert_snapshot!(transcript);
 }
 
 /// Requests must be counted by outcome and reason in the metrics.
 #[test]
 fn metrics_count_what_became_of_requests() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     let node = &fleet.nodes[node];
     node.plain("/look/", "c-1").unwrap();
@@ -75,7 +75,7 @@
 /// blocking on output would stop it from serving.
 #[test]
 fn unread_lines_hold_no_request_up() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start_unread("a");
     let long = "x".repeat(2_000);
     for n in 0..400 {
--- a/crates/hibiscusgw/tests/platform/stopping.rs
+++ b/crates/hibiscusgw/tests/platform/stopping.rs
@@ -9,9 +9,9 @@
 
 use hgw_standins::fleet::deployment::{Fleet, holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-fn slow(id: &str) -> EngineSettings {
+fn slow_engine(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
         holds: holds(&[("m", &[])]),
@@ -25,7 +25,7 @@
 /// and exit with success.
 #[test]
 fn planned_stop_cuts_nothing() {
-    let mut fleet = fleet_of(vec![slow("i-1")]);
+    let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -45,7 +45,7 @@
 /// process ends.
 #[test]
 fn late_call_to_a_stopping_node_is_refused_unrun() {
-    let mut fleet = fleet_of(vec![EngineSettings { events: 200, ..slow("i-1") }]);
+    let mut fleet = new_fleet(vec![EngineSettings { events: 200, ..slow_engine("i-1") }]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -55,8 +55,8 @@
         fleet.nodes[node].signal(Signal::TERM);
         let mut refused = None;
         wait("late calls are refused", || {
-            let answer = fleet.nodes[node].plain("/print/", "call-1").unwrap();
-            refused = (answer.status == StatusCode::SERVICE_UNAVAILABLE).then_some(answer);
+            let response = fleet.nodes[node].plain("/print/", "call-1").unwrap();
+            refused = (response.status == StatusCode::SERVICE_UNAVAILABLE).then_some(response);
             refused.is_some()
         });
         assert!(refused.unwrap().headers.contains_key("retry-after"));
@@ -66,7 +66,7 @@
 /// A node that has read that an engine is draining must not send requests to it.
 #[test]
 fn engine_that_leaves_gets_no_more_work() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     fleet.list(fleet.engine("desk-1"), "draining");
     let calls = |fleet: &Fleet| fleet.store.calls().get("/api/log-read").copied().unwrap_or(0);
@@ -84,13 +84,13 @@
 /// that expired.
 #[test]
 fn outage_of_the_store_stops_no_calls() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     fleet.store.fault(&Faults { down: true, ..Faults::default() });
     // Longer than two heartbeats of engines, so that entries may expire.
     for n in 0..25 {
-        let answer = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
+        assert_eq!(response.status, StatusCode::OK);
         std::thread::sleep(Duration::from_millis(100));
     }
     fleet.store.put("keyed.servers", "desk-1", b"");
@@ -99,8 +99,8 @@
     std::thread::sleep(Duration::from_millis(500));
     fleet.list_all();
     for n in 25..35 {
-        let answer = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
-        assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
+        let response = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
+        assert_eq!(response.status, StatusCode::OK, "{response:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
 }
@@ -108,8 +108,8 @@
 /// Only the leader reads the store. When it is paused, the other nodes must read the store themselves, in
 /// time to learn that an engine is draining.
 #[test]
-fn nodes_read_for_themselves_when_the_keeper_cannot() {
-    let mut fleet = fleet_of(Vec::new());
+fn nodes_read_for_themselves_when_the_leader_cannot() {
+    let mut fleet = new_fleet(Vec::new());
     for zone in ["a", "b", "c"] {
         fleet.start(zone);
     }
@@ -124,19 +124,19 @@
     // The paused leader responds to no node and reads nothing.
     let claims = fleet.store.records("hgw-claims");
     let newest = String::from_utf8_lossy(claims.last().expect("there is a claim")).into_owned();
-    let keeper = fleet.nodes.iter().position(|n| newest.contains(&format!("\"{}\"", n.name)));
-    let keeper = keeper.expect("a node holds the claim");
-    fleet.nodes[keeper].signal(Signal::STOP);
+    let leader = fleet.nodes.iter().position(|n| newest.contains(&format!("\"{}\"", n.name)));
+    let leader = leader.expect("a node holds the claim");
+    fleet.nodes[leader].signal(Signal::STOP);
     fleet.list(fleet.engine("desk-1"), "draining");
-    let left = (keeper + 1) % 3;
+    let other = (leader + 1) % 3;
     let mut round = 0;
     wait("no call reaches the draining engine", || {
         round += 1;
         let before = fleet.engine("desk-1").record().runs.len();
         for n in 0..10 {
-            fleet.nodes[left].plain("/print/", &format!("call-{round}-{n}")).unwrap();
+            fleet.nodes[other].plain("/print/", &format!("call-{round}-{n}")).unwrap();
         }
         fleet.engine("desk-1").record().runs.len() == before
     });
-    fleet.nodes[keeper].signal(Signal::CONT);
+    fleet.nodes[leader].signal(Signal::CONT);
 }
--- a/crates/hibiscusgw/tests/platform/apart.rs
+++ b/crates/hibiscusgw/tests/platform/store_disconnects.rs
@@ -9,15 +9,15 @@
 
 use hgw_standins::fleet::deployment::{configuration, holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
 /// A node without a connection to the store must get configuration changes from the leader; otherwise it
 /// refuses callers on a new route.
 #[test]
-fn node_that_the_store_turns_away_takes_the_configuration_from_another() {
+fn node_without_the_store_takes_the_configuration_from_another() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
-    let mut fleet = fleet_of(vec![models]);
-    let keeper = fleet.start("a");
+    let mut fleet = new_fleet(vec![models]);
+    let leader = fleet.start("a");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     fleet.nodes[other].to_store.set(Condition::Cut);
@@ -28,7 +28,7 @@
     routes[4]["name"] = "new".into();
     routes[4]["prefix"] = "/new/".into();
     fleet.store.put("keyed.op", "config", config.to_string().as_bytes());
-    for node in [keeper, other] {
+    for node in [leader, other] {
         wait("the new route is served", || {
             fleet.nodes[node].plain("/new/", "call-1").is_ok_and(|a| a.status == StatusCode::OK)
         });
@@ -38,9 +38,9 @@
 /// A node without a connection to the store must learn from the leader that an engine is draining;
 /// otherwise the engine cuts off the work that the node sends.
 #[test]
-fn node_that_loses_the_store_goes_on_with_the_keepers_word() {
+fn node_without_the_store_learns_of_draining_engines_from_the_leader() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
-    let mut fleet = fleet_of(vec![models]);
+    let mut fleet = new_fleet(vec![models]);
     fleet.start("a");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
@@ -62,21 +62,21 @@
 #[test]
 fn node_that_waits_for_the_store_takes_a_configuration_from_another() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
-    let mut fleet = fleet_of(vec![models]);
-    let keeper = fleet.start("a");
+    let mut fleet = new_fleet(vec![models]);
+    let leader = fleet.start("a");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
-    let (other, path) = fleet.start_logged("b");
+    let (other, log) = fleet.start_logged("b");
     std::thread::sleep(Duration::from_secs(1));
     // Closes open connections; new ones are accepted and carry no data.
     fleet.nodes[other].to_store.set(Condition::Cut);
     std::thread::sleep(Duration::from_millis(200));
     fleet.nodes[other].to_store.set(Condition::Silent);
-    fleet.nodes[keeper].signal(Signal::STOP);
-    wait("the other node cannot reach the leader", || !fleet.lines(&path, 2004).is_empty());
+    fleet.nodes[leader].signal(Signal::STOP);
+    wait("the other node cannot reach the leader", || !fleet.lines(&log, 2004).is_empty());
     std::thread::sleep(Duration::from_millis(600));
-    fleet.nodes[keeper].signal(Signal::CONT);
+    fleet.nodes[leader].signal(Signal::CONT);
     fleet.store.put("keyed.op", "config", configuration(2).to_string().as_bytes());
-    wait("the new configuration is in force", || fleet.lines(&path, 3001).len() == 2);
-    let down = fleet.lines(&path, 3101);
-    assert!(down.iter().all(|line| line["what"] != "configuration"), "{down:?}");
+    wait("the new configuration is in force", || fleet.lines(&log, 3001).len() == 2);
+    let log_down = fleet.lines(&log, 3101);
+    assert!(log_down.iter().all(|line| line["what"] != "configuration"), "{log_down:?}");
 }
--- a/crates/hibiscusgw/tests/platform/streams.rs
+++ b/crates/hibiscusgw/tests/platform/streams.rs
@@ -8,17 +8,17 @@
 
 use hgw_standins::fleet::deployment::{holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
 fn engine(id: &str, all: &[(&str, &[&str])]) -> EngineSettings {
     EngineSettings { id: id.into(), holds: holds(all), ..EngineSettings::default() }
 }
 
-fn whole(events: u64) -> String {
+fn complete_body(events: u64) -> String {
     (1..=events).map(|n| format!("id: {n}\ndata: piece {n}\n\n")).collect()
 }
 
-fn breaks(after: u32) -> Faults {
+fn break_stream_after(after: u32) -> Faults {
     Faults { fail_streams: StreamFault { after_tokens: after, streams: 1 }, ..Faults::default() }
 }
 
@@ -27,27 +27,27 @@
 #[test]
 fn stream_goes_on_elsewhere_after_the_last_whole_event() {
     let both = [engine("i-1", &[("m", &[])]), engine("i-2", &[("m", &[])])];
-    let mut fleet = fleet_of(both.to_vec());
+    let mut fleet = new_fleet(both.to_vec());
     let node = fleet.start("a");
-    fleet.engine("i-1").fault(&breaks(7));
-    fleet.engine("i-2").fault(&breaks(7));
-    let answer = fleet.nodes[node].stream("/ask/", "s-1", "m").unwrap_err();
-    assert!(!answer.to_string().is_empty(), "both broke off, and the route allows two engines");
-    fleet.engine("i-1").fault(&breaks(7));
+    fleet.engine("i-1").fault(&break_stream_after(7));
+    fleet.engine("i-2").fault(&break_stream_after(7));
+    let response = fleet.nodes[node].stream("/ask/", "s-1", "m").unwrap_err();
+    assert!(!response.to_string().is_empty(), "both broke off, and the route allows two engines");
+    fleet.engine("i-1").fault(&break_stream_after(7));
     fleet.engine("i-2").fault(&Faults::default());
-    let answer = fleet.nodes[node].stream("/ask/", "s-2", "m").unwrap();
-    assert_eq!(answer.body, whole(20));
-    let answer = fleet.nodes[node].stream("/ask/", "s-3", "m").unwrap();
-    assert_eq!(answer.body, whole(20));
+    let response = fleet.nodes[node].stream("/ask/", "s-2", "m").unwrap();
+    assert_eq!(response.body, complete_body(20));
+    let response = fleet.nodes[node].stream("/ask/", "s-3", "m").unwrap();
+    assert_eq!(response.body, complete_body(20));
 }
 
 /// A broken stream that may not be resumed must not look complete to the caller.
 #[test]
 fn stream_that_may_not_be_resumed_ends_broken() {
-    let mut fleet = fleet_of(vec![engine("i-1", &[("m", &[])]), engine("i-2", &[("m", &[])])]);
+    let mut fleet = new_fleet(vec![engine("i-1", &[("m", &[])]), engine("i-2", &[("m", &[])])]);
     let node = fleet.start("a");
-    fleet.engine("i-1").fault(&breaks(7));
-    fleet.engine("i-2").fault(&breaks(7));
+    fleet.engine("i-1").fault(&break_stream_after(7));
+    fleet.engine("i-2").fault(&break_stream_after(7));
     fleet.nodes[node].stream("/once/", "s-1", "m").unwrap_err();
     assert_eq!(fleet.runs("s-1"), 1);
 }
@@ -61,7 +61,7 @@
         events: 60,
         ..engine(id, &[("m", &[])])
     };
-    let mut fleet = fleet_of(vec![slow("i-1"), slow("i-2")]);
+    let mut fleet = new_fleet(vec![slow("i-1"), slow("i-2")]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -72,8 +72,8 @@
             .into_iter()
             .find(|id| fleet.engine(id).record().runs.contains_key("s-1"));
         fleet.engine(at.unwrap()).fault(&Faults { silence: true, ..Faults::default() });
-        let answer = stream.join().unwrap().unwrap();
-        assert_eq!(answer.body, whole(60));
+        let response = stream.join().unwrap().unwrap();
+        assert_eq!(response.body, complete_body(60));
     });
     assert_eq!(fleet.runs("s-1"), 2);
 }
@@ -86,7 +86,7 @@
         events: 30,
         ..engine("i-1", &[("m", &[])])
     };
-    let mut fleet = fleet_of(vec![one, engine("i-2", &[("n", &[])])]);
+    let mut fleet = new_fleet(vec![one, engine("i-2", &[("n", &[])])]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -96,7 +96,7 @@
         fleet.engine("i-1").fault(&Faults { slow: 70.0, ..Faults::default() });
         std::thread::sleep(Duration::from_millis(1_000));
         fleet.engine("i-1").fault(&Faults::default());
-        assert_eq!(stream.join().unwrap().unwrap().body, whole(30));
+        assert_eq!(stream.join().unwrap().unwrap().body, complete_body(30));
     });
     assert_eq!(fleet.runs("s-1"), 1);
 }
@@ -104,11 +104,11 @@
 /// A request for an adapter that no engine has loaded must be sent only after the leader had it loaded.
 #[test]
 fn adapter_that_is_nowhere_is_placed_for_the_request() {
-    let mut fleet = fleet_of(vec![engine("i-1", &[("m", &[]), ("n", &[])])]);
+    let mut fleet = new_fleet(vec![engine("i-1", &[("m", &[]), ("n", &[])])]);
     let node = fleet.start("a");
     wait("the adapter is placed", || {
-        let answer = fleet.nodes[node].stream("/ask/", "s-1", "m/a1");
-        answer.is_ok_and(|a| a.status == StatusCode::OK && a.body == whole(20))
+        let response = fleet.nodes[node].stream("/ask/", "s-1", "m/a1");
+        response.is_ok_and(|a| a.status == StatusCode::OK && a.body == complete_body(20))
     });
     assert_eq!(fleet.engine("i-1").record().misdirected, 0);
     assert_eq!(fleet.engine("i-1").holds()["m"], ["a1"]);
@@ -120,14 +120,14 @@
 fn model_that_is_nowhere_is_loaded_and_its_caller_told_when() {
     let slow =
         EngineSettings { load: Duration::from_millis(1_500), ..engine("i-1", &[("m", &[])]) };
-    let mut fleet = fleet_of(vec![slow]);
+    let mut fleet = new_fleet(vec![slow]);
     let node = fleet.start("a");
     wait("the model is loaded", || {
-        let answer = fleet.nodes[node].stream("/ask/", "s-1", "n").unwrap();
-        if answer.status == StatusCode::SERVICE_UNAVAILABLE {
-            assert!(answer.headers.contains_key("retry-after"));
+        let response = fleet.nodes[node].stream("/ask/", "s-1", "n").unwrap();
+        if response.status == StatusCode::SERVICE_UNAVAILABLE {
+            assert!(response.headers.contains_key("retry-after"));
         }
-        answer.status == StatusCode::OK
+        response.status == StatusCode::OK
     });
     assert_eq!(fleet.engine("i-1").record().too_much, 0);
 }
