--- a/crates/hibiscusgw/tests/processes/intruders.rs
+++ b/crates/hibiscusgw/tests/processes/authentication.rs
@@ -4,7 +4,7 @@
 use hgw_wire::upstream::EngineState;
 
 use crate::configuration::{marked, marker};
-use crate::{FIRST, engine_record, nowhere, settings, start};
+use crate::{FIRST_VERSION, engine_record, settings, start, unreachable_addr};
 
 /// A node on the list of VMs that has another secret must not get the configuration, while one with the right
 /// secret gets it.
@@ -12,16 +12,17 @@
 fn a_peer_with_another_secret_gets_no_configuration() {
     let mut cluster = start(settings());
     let secret = ["--secret", "another secret, long enough"];
-    let intruder = cluster.start_node_at("x1", "stgo-b", nowhere(), &secret).expect("it starts");
-    let member = cluster.start_node_at("b2", "stgo-b", nowhere(), &[]).expect("it starts");
-    cluster.nodes.extend([intruder, member]);
+    let stranger =
+        cluster.start_node_at("x1", "stgo-b", unreachable_addr(), &secret).expect("it starts");
+    let member = cluster.start_node_at("b2", "stgo-b", unreachable_addr(), &[]).expect("it starts");
+    cluster.nodes.extend([stranger, member]);
     cluster.list_vms().expect("the list can be set");
     let change = marked(&cluster.deployment.document, "mark-known");
-    cluster.publish(FIRST, &change).expect("the log takes it");
-    let [.., intruder, member] = cluster.nodes.as_slice() else { panic!("five nodes") };
+    cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
+    let [.., stranger, member] = cluster.nodes.as_slice() else { panic!("five nodes") };
     wait("the member has the change", || marker(member).as_deref() == Some("known"))
         .expect("the nodes connect to the VMs on the list");
-    assert_ne!(marker(intruder).as_deref(), Some("known"));
+    assert_ne!(marker(stranger).as_deref(), Some("known"));
 }
 
 /// An engine that requires an order token must ignore orders with another one.
@@ -30,7 +31,7 @@
     let mut settings = settings();
     settings.arguments = vec!["--order-token".into(), "not the token of these engines".into()];
     let cluster = Cluster::start_bare(settings).expect("the nodes start");
-    cluster.publish(0, &cluster.deployment.document).expect("the log takes it");
+    cluster.publish(0, &cluster.deployment.document).expect("the log accepts the record");
     for engine in cluster.deployment.engines.values() {
         wait("orders arrive", || engine_record(engine).unauthorized > 2).expect("leaders order");
         let caller = cluster.standin(engine.addr()).expect("a client");
--- a/crates/hibiscusgw/tests/processes/calls.rs
+++ b/crates/hibiscusgw/tests/processes/calls.rs
@@ -9,7 +9,7 @@
 use hgw_standins::cluster::{Cluster, Node, Settings, Signal, wait};
 use http::{Method, StatusCode};
 
-use crate::{cases, fault, runs, runs_at, services, settings, start_acquainted, state};
+use crate::{cases, fault, runs, runs_at, services, settings, start_connected, state};
 
 /// The default number of idempotency-key shards.
 const KEY_SHARDS: usize = 8;
@@ -22,14 +22,14 @@
 
 /// Starts nodes and waits until every key shard has exactly one owner. While shards change owners, a call
 /// that is sent once may be refused, and a test would wait forever for it to run.
-fn start_owned(settings: Settings) -> Cluster {
-    let cluster = start_acquainted(settings);
-    wait("every key shard has one owner", || has_settled(&cluster))
-        .expect("the nodes share the key shards out");
+fn start_with_shard_owners(settings: Settings) -> Cluster {
+    let cluster = start_connected(settings);
+    wait("every key shard has one owner", || shards_have_owners(&cluster))
+        .expect("every key shard gets one owner");
     cluster
 }
 
-fn has_settled(cluster: &Cluster) -> bool {
+fn shards_have_owners(cluster: &Cluster) -> bool {
     let states: Vec<serde_json::Value> = cluster.nodes.iter().map(state).collect();
     let owned: Vec<u64> = states
         .iter()
@@ -46,20 +46,20 @@
     let mut last = None;
     let printed = wait("the voucher is printed", || {
         last = print_voucher(node, name).ok();
-        last.as_ref().is_some_and(|answer| answer.status == StatusCode::OK)
+        last.as_ref().is_some_and(|response| response.status == StatusCode::OK)
     });
     assert!(printed.is_ok(), "the call did not succeed; the last response was {last:?}");
-    last.expect("an answer was kept")
+    last.expect("a response was kept")
 }
 
-fn is_not_run(answer: &Whole) -> bool {
-    answer.body.contains("not_run")
+fn is_not_run(response: &Whole) -> bool {
+    response.body.contains("not_run")
 }
 
 /// A call that is sent with the same key through two nodes at once must run once, by the service's own count.
 #[test]
 fn a_key_sent_through_two_nodes_at_once_runs_once() {
-    let cluster = start_owned(settings());
+    let cluster = start_with_shard_owners(settings());
     for round in 0..10 {
         let name = format!("voucher-{round}");
         std::thread::scope(|scope| {
@@ -75,7 +75,7 @@
 /// A repeat of a completed call must get the stored response and not run again after a node, which may be the
 /// owner of the key, is killed.
 fn check_repeat_after_kill(killed: usize) {
-    let mut cluster = start_owned(settings());
+    let mut cluster = start_with_shard_owners(settings());
     let other = (killed + 1) % cluster.nodes.len();
     let first = print_until_done(&cluster.nodes[other], "voucher");
     // The same streams also contain claims and snapshots.
@@ -83,8 +83,8 @@
     wait("the end of the call is recorded", || cluster.logged("once.").unwrap().iter().any(is_end))
         .expect("the owner records the end");
     cluster.nodes[killed].kill().expect("the node can be killed");
-    let again = print_until_done(&cluster.nodes[other], "voucher");
-    assert_eq!((again.body, runs(&cluster, "voucher")), (first.body, 1));
+    let repeat = print_until_done(&cluster.nodes[other], "voucher");
+    assert_eq!((repeat.body, runs(&cluster, "voucher")), (first.body, 1));
 }
 
 cases! { check_repeat_after_kill:
@@ -98,10 +98,10 @@
 fn send_until_begun(caller: &Caller, services: &[SocketAddr]) -> CallResult<Whole> {
     let headers = [("idempotency-key", "voucher"), ("x-call", "voucher")];
     loop {
-        let answer = caller.call(Method::POST, "/svc/caja-app/vouchers", &headers, "amount=1200");
-        let begun = runs_at(services, "voucher") > 0;
-        if begun || !answer.as_ref().is_ok_and(is_not_run) {
-            return answer;
+        let response = caller.call(Method::POST, "/svc/caja-app/vouchers", &headers, "amount=1200");
+        let ran = runs_at(services, "voucher") > 0;
+        if ran || !response.as_ref().is_ok_and(is_not_run) {
+            return response;
         }
     }
 }
@@ -111,7 +111,7 @@
 fn check_kill_during_call(killed: usize) {
     let mut settings = settings();
     settings.deployment.plain.delay = Duration::from_secs(2);
-    let mut cluster = start_owned(settings);
+    let mut cluster = start_with_shard_owners(settings);
     let other = (killed + 1) % cluster.nodes.len();
     let caller = cluster.nodes[other].caller().expect("a client");
     let services = services(&cluster);
@@ -120,20 +120,20 @@
     cluster.nodes[killed].kill().expect("the node can be killed");
     // The first sender may get any response or none, since the killed node may have handled its call.
     let _ = sender.join().expect("the sender does not panic");
-    let again = print_until_told(&cluster, other);
-    assert!(!is_not_run(&again), "the call has run: {}", again.body);
+    let repeat = print_until_owned(&cluster, other);
+    assert!(!is_not_run(&repeat), "the call has run: {}", repeat.body);
     assert_eq!(runs(&cluster, "voucher"), 1);
 }
 
 /// Repeats the call until its key has an owner again.
-fn print_until_told(cluster: &Cluster, node: usize) -> Whole {
+fn print_until_owned(cluster: &Cluster, node: usize) -> Whole {
     let mut last = None;
     wait("the key has an owner", || {
         last = print_voucher(&cluster.nodes[node], "voucher").ok();
-        last.as_ref().is_some_and(|answer| !is_not_run(answer))
+        last.as_ref().is_some_and(|response| !is_not_run(response))
     })
-    .expect("the key has an owner in the end");
-    last.expect("an answer was kept")
+    .expect("the key gets an owner");
+    last.expect("a response was kept")
 }
 
 cases! { check_kill_during_call:
@@ -144,28 +144,28 @@
 
 /// A call must not run again after a node, which may be the owner of its key, is paused while the call runs.
 /// Records that the old owner writes after its term must have no effect.
-fn check_freeze_during_call(frozen: usize) {
+fn check_pause_during_call(paused: usize) {
     let mut settings = settings();
     settings.deployment.plain.delay = Duration::from_secs(2);
-    let cluster = start_owned(settings);
-    let other = (frozen + 1) % cluster.nodes.len();
+    let cluster = start_with_shard_owners(settings);
+    let other = (paused + 1) % cluster.nodes.len();
     let caller = cluster.nodes[other].caller().expect("a client");
     let services = services(&cluster);
     let sender = std::thread::spawn(move || send_until_begun(&caller, &services));
     wait("the call runs", || runs(&cluster, "voucher") == 1).expect("the call reaches the service");
-    cluster.nodes[frozen].signal(Signal::STOP).expect("the node can be stopped");
-    print_until_told(&cluster, other);
-    cluster.nodes[frozen].signal(Signal::CONT).expect("the node can go on");
+    cluster.nodes[paused].signal(Signal::STOP).expect("the node can be stopped");
+    print_until_owned(&cluster, other);
+    cluster.nodes[paused].signal(Signal::CONT).expect("the node can be resumed");
     // The first sender may get any response but "not run".
     let first = sender.join().expect("the sender does not panic");
-    assert!(!first.is_ok_and(|answer| is_not_run(&answer)));
+    assert!(!first.is_ok_and(|response| is_not_run(&response)));
     for node in 0..cluster.nodes.len() {
-        print_until_told(&cluster, node);
+        print_until_owned(&cluster, node);
     }
     assert_eq!(runs(&cluster, "voucher"), 1);
 }
 
-cases! { check_freeze_during_call:
+cases! { check_pause_during_call:
     a_frozen_first_node_during_a_call_repeats_nothing(0);
     a_frozen_second_node_during_a_call_repeats_nothing(1);
     a_frozen_third_node_during_a_call_repeats_nothing(2);
@@ -173,20 +173,20 @@
 
 /// Whether the service is down, the request is lost or the response is lost, the caller must get "not run"
 /// only if the call has not run, and "may have run" otherwise.
-fn check_told_truth(faults: &Faults) {
-    let cluster = start_owned(settings());
+fn check_reported_outcome(faults: &Faults) {
+    let cluster = start_with_shard_owners(settings());
     for plain in cluster.deployment.plains.values() {
         fault(plain, faults);
     }
-    let answer = print_voucher(&cluster.nodes[0], "voucher").expect("an answer");
+    let response = print_voucher(&cluster.nodes[0], "voucher").expect("a response");
     let ran = runs(&cluster, "voucher");
     assert!(ran <= 1, "the call ran {ran} times");
-    assert!(!answer.status.is_success(), "{}", answer.body);
-    assert!(!is_not_run(&answer) || ran == 0, "the call ran: {}", answer.body);
-    assert!(is_not_run(&answer) || answer.body.contains("may_have_run"), "{}", answer.body);
+    assert!(!response.status.is_success(), "{}", response.body);
+    assert!(!is_not_run(&response) || ran == 0, "the call ran: {}", response.body);
+    assert!(is_not_run(&response) || response.body.contains("may_have_run"), "{}", response.body);
 }
 
-cases! { check_told_truth:
+cases! { check_reported_outcome:
     a_call_to_a_service_that_is_down(&Faults { down: true, ..Faults::default() });
     a_call_lost_on_its_way(&Faults { lose_requests: 1, ..Faults::default() });
     a_call_whose_answer_is_lost(&Faults { lose_answers: 1, ..Faults::default() });
@@ -196,13 +196,13 @@
 /// unrun with a `Retry-After`. It runs once the log is back.
 #[test]
 fn a_key_is_not_run_while_the_log_is_down() {
-    let cluster = start_owned(settings());
+    let cluster = start_with_shard_owners(settings());
     // Ensures that the key shards have owners before the log is down.
     print_until_done(&cluster.nodes[0], "first");
     fault(&cluster.deployment.platform, &Faults { down: true, ..Faults::default() });
-    let answer = print_voucher(&cluster.nodes[0], "voucher").expect("an answer");
-    assert!(is_not_run(&answer), "{}", answer.body);
-    assert!(answer.headers.contains_key("retry-after"));
+    let response = print_voucher(&cluster.nodes[0], "voucher").expect("a response");
+    assert!(is_not_run(&response), "{}", response.body);
+    assert!(response.headers.contains_key("retry-after"));
     assert_eq!(runs(&cluster, "voucher"), 0);
     fault(&cluster.deployment.platform, &Faults::default());
     print_until_done(&cluster.nodes[0], "voucher");
--- a/crates/hibiscusgw/tests/processes/configuration.rs
+++ b/crates/hibiscusgw/tests/processes/configuration.rs
@@ -9,7 +9,7 @@
 use hgw_types::{AdapterId, MemSize, ModelId, ServiceId};
 use http::Method;
 
-use crate::{FIRST, fault, nowhere, settings, start};
+use crate::{FIRST_VERSION, fault, settings, start, unreachable_addr};
 
 /// The document with a marker adapter that callers can see.
 pub(crate) fn marked(document: &Document, marker: &str) -> Document {
@@ -23,8 +23,8 @@
 
 /// The marker in the list of models of a node; empty if there is none.
 pub(crate) fn marker(node: &Node) -> Option<String> {
-    let answer = node.plain(Method::GET, "/v1/models", &[], "").ok()?;
-    let list: serde_json::Value = answer.json().ok()?;
+    let response = node.plain(Method::GET, "/v1/models", &[], "").ok()?;
+    let list: serde_json::Value = response.json().ok()?;
     let names = list["data"].as_array()?.iter().filter_map(|model| model["id"].as_str());
     let marker = names.filter_map(|id| id.strip_prefix("rules:mark-")).next();
     Some(marker.unwrap_or_default().to_owned())
@@ -33,7 +33,7 @@
 fn wait_marker(cluster: &Cluster, expected: &str) {
     for node in &cluster.nodes {
         wait("the change is in force", || marker(node).is_some_and(|found| found == expected))
-            .expect("it is in force on every node");
+            .expect("the change is in force on every node");
     }
 }
 
@@ -46,7 +46,9 @@
     let offsets = std::thread::scope(|scope| {
         let publish = |marker: &'static str| {
             let (change, cluster) = (marked(document, marker), &cluster);
-            scope.spawn(move || cluster.publish(FIRST, &change).expect("the log takes it"))
+            scope.spawn(move || {
+                cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record")
+            })
         };
         [publish("mark-x"), publish("mark-y")].map(|thread| thread.join().expect("no panic"))
     });
@@ -54,10 +56,10 @@
     wait_marker(&cluster, winner);
     // A change based on the rejected version must be rejected too.
     let lost = offsets[0].max(offsets[1]);
-    cluster.publish(lost, &marked(document, "mark-z")).expect("the log takes it");
+    cluster.publish(lost, &marked(document, "mark-z")).expect("the log accepts the record");
     cluster
         .publish(offsets[0].min(offsets[1]), &marked(document, "mark-next"))
-        .expect("it is taken");
+        .expect("the log accepts the record");
     wait_marker(&cluster, "next");
 }
 
@@ -69,10 +71,10 @@
     std::thread::scope(|scope| {
         let watchers: Vec<_> =
             cluster.nodes.iter().map(|node| scope.spawn(|| watch(node, CHANGES))).collect();
-        let mut version = FIRST;
+        let mut version = FIRST_VERSION;
         for n in 1..=CHANGES {
             let change = marked(&cluster.deployment.document, &format!("mark-{n}"));
-            version = cluster.publish(version, &change).expect("the log takes it");
+            version = cluster.publish(version, &change).expect("the log accepts the record");
         }
         for watcher in watchers {
             watcher.join().expect("the node shows no older version");
@@ -90,7 +92,7 @@
         shown = found;
         shown == last
     })
-    .expect("it is in force on every node");
+    .expect("the change is in force on every node");
 }
 
 /// A node that starts after all records of the log have expired must get the newest configuration from its
@@ -99,7 +101,7 @@
 fn a_node_that_starts_after_the_records_expired_has_the_configuration() {
     let mut cluster = start(settings());
     let change = marked(&cluster.deployment.document, "mark-new");
-    cluster.publish(FIRST, &change).expect("the log takes it");
+    cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
     wait_marker(&cluster, "new");
     fault(&cluster.deployment.platform, &Faults { expire: true, ..Faults::default() });
     let node = cluster.start_node("b2", "stgo-b").expect("the node starts");
@@ -115,7 +117,7 @@
 fn the_configuration_outlives_an_outage_of_the_log() {
     let cluster = start(settings());
     let change = marked(&cluster.deployment.document, "mark-before");
-    let version = cluster.publish(FIRST, &change).expect("the log takes it");
+    let version = cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
     wait_marker(&cluster, "before");
     let log = &cluster.deployment.platform;
     fault(log, &Faults { down: true, ..Faults::default() });
@@ -123,7 +125,7 @@
     fault(log, &Faults { expire: true, ..Faults::default() });
     wait_marker(&cluster, "before");
     let change = marked(&cluster.deployment.document, "mark-after");
-    cluster.publish(version, &change).expect("the log takes it");
+    cluster.publish(version, &change).expect("the log accepts the record");
     wait_marker(&cluster, "after");
 }
 
@@ -132,10 +134,11 @@
 fn a_node_without_the_log_gets_a_change_from_its_peers() {
     let mut cluster = start(settings());
     // The node cannot read the list of VMs, so it learns of its peers when one of them connects.
-    let cut_off = cluster.start_node_at("b2", "stgo-b", nowhere(), &[]).expect("the node starts");
+    let cut_off =
+        cluster.start_node_at("b2", "stgo-b", unreachable_addr(), &[]).expect("the node starts");
     cluster.nodes.push(cut_off);
     cluster.list_vms().expect("the list can be set");
     let change = marked(&cluster.deployment.document, "mark-far");
-    cluster.publish(FIRST, &change).expect("the log takes it");
+    cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
     wait_marker(&cluster, "far");
 }
--- a/crates/hibiscusgw/tests/processes/leaving.rs
+++ b/crates/hibiscusgw/tests/processes/draining.rs
@@ -23,7 +23,7 @@
     let ask_all = |times: u32| {
         for n in 0..times as usize {
             let node = &cluster.nodes[n % cluster.nodes.len()];
-            assert!(node.chat(&question).expect("an answer").whole);
+            assert!(node.chat(&question).expect("a response").whole);
         }
     };
     wait("new requests go to the other engine", || {
--- a/crates/hibiscusgw/tests/processes/main.rs
+++ b/crates/hibiscusgw/tests/processes/main.rs
@@ -1,9 +1,9 @@
 //! Invariants of real node processes under failures, with stand-ins for the platform and the upstreams.
 
+mod authentication;
 mod calls;
 mod configuration;
-mod intruders;
-mod leaving;
+mod draining;
 mod memory;
 mod outage;
 mod session;
@@ -32,18 +32,18 @@
 }
 
 /// Version of the configuration that a cluster starts with.
-const FIRST: u64 = 1;
+const FIRST_VERSION: u64 = 1;
 /// Tokens of a response that is long enough for a fault in its middle.
-const LONG: u32 = 150;
+const LONG_RESPONSE_TOKENS: u32 = 150;
 /// Tokens received before the fault.
-const MIDDLE: usize = 10;
+const TOKENS_BEFORE_FAULT: usize = 10;
 
 fn settings() -> Settings {
     Settings::new(env!("CARGO_BIN_EXE_hibiscusgw"))
 }
 
-/// Settings with engines so slow that a response of [`LONG`] tokens takes seconds.
-fn slow_engines() -> Settings {
+/// Settings with engines so slow that a response of [`LONG_RESPONSE_TOKENS`] tokens takes seconds.
+fn slow_engine_settings() -> Settings {
     let mut settings = settings();
     settings.deployment.engine =
         engine::Settings { step: Duration::from_millis(20), ..settings.deployment.engine };
@@ -55,7 +55,7 @@
 }
 
 /// Starts nodes and waits until each one knows all others; from then on they agree on the dispatchers.
-fn start_acquainted(settings: Settings) -> Cluster {
+fn start_connected(settings: Settings) -> Cluster {
     let cluster = start(settings);
     let knows_all =
         |node| state(node)["members"].as_array().map(Vec::len) == Some(cluster.nodes.len());
@@ -65,17 +65,17 @@
 }
 
 fn state(node: &Node) -> serde_json::Value {
-    let state = node.operator("state", &[]).expect("the node tells its state");
+    let state = node.operator("state", &[]).expect("the node returns its state");
     serde_json::from_str(&state).expect("the state is JSON")
 }
 
 fn fault(standin: &Running, faults: &Faults) {
-    let caller = Caller::new(standin.addr()).expect("a client needs no network yet");
+    let caller = Caller::new(standin.addr()).expect("creating a client needs no network");
     caller.faults(faults).expect("the stand-in takes faults");
 }
 
 fn engine_record(standin: &Running) -> EngineRecord {
-    let caller = Caller::new(standin.addr()).expect("a client needs no network yet");
+    let caller = Caller::new(standin.addr()).expect("creating a client needs no network");
     caller.record().expect("the stand-in has a record")
 }
 
@@ -92,7 +92,7 @@
 /// The same as [`runs`], for threads that have no access to the cluster.
 fn runs_at(services: &[SocketAddr], name: &str) -> u32 {
     let named = |addr: &SocketAddr| {
-        let caller = Caller::new(*addr).expect("a client needs no network yet");
+        let caller = Caller::new(*addr).expect("creating a client needs no network");
         let record: PlainRecord = caller.record().expect("the stand-in has a record");
         record.named.get(name).copied().unwrap_or(0)
     };
@@ -100,7 +100,7 @@
 }
 
 /// Records ever appended to the streams of the log whose names begin with `prefix`.
-fn appended(cluster: &Cluster, prefix: &str) -> u64 {
+fn appended_records(cluster: &Cluster, prefix: &str) -> u64 {
     let log = cluster.standin(cluster.deployment.platform.addr()).expect("a client");
     let record: LogRecord = log.record().expect("the log has a record");
     let streams = record.appended.iter().filter(|(stream, _)| stream.as_str().starts_with(prefix));
@@ -108,10 +108,10 @@
 }
 
 fn long_question() -> Question {
-    Question::new("rules", "May the school hold cash over the summer?", LONG)
+    Question::new("rules", "May the school hold cash over the summer?", LONG_RESPONSE_TOKENS)
 }
 
 /// An address at which nothing listens.
-fn nowhere() -> SocketAddr {
+fn unreachable_addr() -> SocketAddr {
     ([127, 0, 0, 1], 9).into()
 }
--- a/crates/hibiscusgw/tests/processes/outage.rs
+++ b/crates/hibiscusgw/tests/processes/outage.rs
@@ -12,9 +12,9 @@
     fault(&cluster.deployment.platform, &Faults { down: true, ..Faults::default() });
     let question = long_question();
     for node in &cluster.nodes {
-        let chat = node.chat(&question).expect("an answer");
+        let chat = node.chat(&question).expect("a response");
         assert_eq!(chat.text, question.expected("v1"));
-        let job = node.plain(Method::GET, "/svc/caja-app/status", &[], "").expect("an answer");
+        let job = node.plain(Method::GET, "/svc/caja-app/status", &[], "").expect("a response");
         assert_eq!(job.status, StatusCode::OK, "{}", job.body);
     }
 }
--- a/crates/hibiscusgw/tests/processes/session.rs
+++ b/crates/hibiscusgw/tests/processes/session.rs
@@ -14,27 +14,28 @@
 #[test]
 fn mixed_requests_through_each_node() {
     let mut settings = settings();
-    settings.deployment.place = Place::Processes(standin());
+    settings.deployment.place = Place::Processes(standin_binary());
     settings.deployment.weights = weights::Settings::default();
     let cluster = start(settings);
-    wait_adapter(&cluster);
+    wait_for_adapter(&cluster);
     let mut session = String::new();
     for node in 0..cluster.nodes.len() {
-        writeln!(session, "# through {}", cluster.nodes[node].id).expect("a string takes all");
-        session += &through(&cluster, node);
+        writeln!(session, "# through {}", cluster.nodes[node].id)
+            .expect("writing to a string never fails");
+        session += &session_through(&cluster, node);
     }
     insta::assert_snapshot!(session);
 }
 
 /// The binary of the stand-ins, which a test run of the whole workspace builds.
-fn standin() -> PathBuf {
+fn standin_binary() -> PathBuf {
     let program = Path::new(env!("CARGO_BIN_EXE_hibiscusgw")).with_file_name("standin");
     assert!(program.exists(), "first run `cargo build -p hgw-standins --bin standin`");
     program
 }
 
 /// Adapters are loaded on the first request, so the session begins only when this one is served.
-fn wait_adapter(cluster: &Cluster) {
+fn wait_for_adapter(cluster: &Cluster) {
     let question = Question::new("rules:school", "And here?", 1);
     for node in &cluster.nodes {
         wait("the adapter is loaded", || node.chat(&question).is_ok_and(|chat| chat.whole))
@@ -42,88 +43,107 @@
     }
 }
 
-fn through(cluster: &Cluster, number: usize) -> String {
+fn session_through(cluster: &Cluster, number: usize) -> String {
     let node = &cluster.nodes[number];
-    let chat = |question: Question| node.chat(&question).expect("an answer");
+    let chat = |question: Question| node.chat(&question).expect("a response");
     let plain = |method: Method, path: &str, headers: &[(&str, &str)], body| {
-        node.plain(method, path, headers, body).expect("an answer")
+        node.plain(method, path, headers, body).expect("a response")
     };
     let question = Question { stream: false, ..Question::new("notes", "Short.", 3) };
     let caller = node.caller().expect("a client");
-    let whole = caller.post("/v1/chat/completions", &question).expect("an answer");
+    let whole = caller.post("/v1/chat/completions", &question).expect("a response");
     let key = format!("voucher-{number}");
     let keyed = [("idempotency-key", key.as_str())];
     let first = ["amount=1", "amount=2", "amount=3"][number];
     let lines = [
-        ("models", told(&plain(Method::GET, "/v1/models", &[], ""))),
-        ("urgent", said(&chat(Question::new("rules", "May I keep 20 000?", 6)))),
+        ("models", format_response(&plain(Method::GET, "/v1/models", &[], ""))),
+        ("urgent", format_chat(&chat(Question::new("rules", "May I keep 20 000?", 6)))),
         (
             "overnight",
-            said(&chat(
+            format_chat(&chat(
                 Question::new("notes", "Draft it.", 4).with("x-priority-class", "overnight"),
             )),
         ),
-        ("adapter", said(&chat(Question::new("rules:school", "And here?", 3)))),
-        ("not streamed", told(&whole)),
-        ("no such model", said(&chat(Question::new("poems", "Rhyme.", 3)))),
+        ("adapter", format_chat(&chat(Question::new("rules:school", "And here?", 3)))),
+        ("not streamed", format_response(&whole)),
+        ("no such model", format_chat(&chat(Question::new("poems", "Rhyme.", 3)))),
         (
             "plain call",
-            told(&plain(Method::GET, &format!("/svc/caja-app/status?node={number}"), &[], "")),
+            format_response(&plain(
+                Method::GET,
+                &format!("/svc/caja-app/status?node={number}"),
+                &[],
+                "",
+            )),
+        ),
+        (
+            "keyed call",
+            format_response(&plain(Method::POST, "/svc/caja-app/vouchers", &keyed, first)),
+        ),
+        (
+            "its repeat",
+            format_response(&plain(Method::POST, "/svc/caja-app/vouchers", &keyed, first)),
         ),
-        ("keyed call", told(&plain(Method::POST, "/svc/caja-app/vouchers", &keyed, first))),
-        ("its repeat", told(&plain(Method::POST, "/svc/caja-app/vouchers", &keyed, first))),
         (
             "key reused",
-            told(&plain(Method::POST, "/svc/caja-app/vouchers", &keyed, "amount=another")),
+            format_response(&plain(
+                Method::POST,
+                "/svc/caja-app/vouchers",
+                &keyed,
+                "amount=another",
+            )),
         ),
-        ("no such service", told(&plain(Method::GET, "/svc/library/books", &[], ""))),
+        ("no such service", format_response(&plain(Method::GET, "/svc/library/books", &[], ""))),
     ];
     let mut text = String::new();
     for (name, line) in lines {
-        writeln!(text, "{name}: {line}").expect("a string takes all");
+        writeln!(text, "{name}: {line}").expect("writing to a string never fails");
     }
     text
 }
 
-fn said(chat: &Chat) -> String {
+fn format_chat(chat: &Chat) -> String {
     format!(
         "{} {}{}",
         chat.status.as_u16(),
-        normal(&chat.text),
+        normalize_text(&chat.text),
         if chat.whole { " [whole]" } else { "" }
     )
 }
 
-fn told(answer: &Whole) -> String {
-    format!("{} {}", answer.status.as_u16(), normal(&answer.body))
+fn format_response(response: &Whole) -> String {
+    format!("{} {}", response.status.as_u16(), normalize_text(&response.body))
 }
 
 /// The text with placeholders for values that differ from run to run.
-fn normal(text: &str) -> String {
+fn normalize_text(text: &str) -> String {
     let Ok(mut value) = serde_json::from_str::<serde_json::Value>(text) else {
         return text.trim_end().to_owned();
     };
-    normalise(&mut value);
+    normalize_value(&mut value);
     value.to_string()
 }
 
 /// Fields whose values differ from run to run, and the prefix of such a value.
-const CHANGING: &[(&str, &str)] =
+const VOLATILE_FIELDS: &[(&str, &str)] =
     &[("id", "chatcmpl-"), ("request_id", ""), ("created", ""), ("retry_after_ms", "")];
 
-fn normalise(value: &mut serde_json::Value) {
+fn normalize_value(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Object(fields) => {
             for (key, value) in fields {
                 let text = value.as_str().unwrap_or_default();
-                if CHANGING.iter().any(|(name, start)| key == name && text.starts_with(start)) {
+                if VOLATILE_FIELDS
+                    .iter()
+                    .any(|(name, start)| key == name && text.starts_with(start))
+                {
                     *value = format!("[{key}]").into();
                 } else {
-                    normalise(value);
+                    normalize_value(value);
                 }
             }
         }
-        serde_json::Value::Array(items) => items.iter_mut().for_each(normalise),
+        serde_json::Value::Array(items) => items.iter_mut().for_each(normalize_value),
         _ => {}
     }
 }
