--- a/crates/hibiscusgw/tests/explain/main.rs
+++ b/crates/hibiscusgw/tests/explain/main.rs
@@ -7,7 +7,7 @@
 
 const LINES: &str = include_str!("lines.log");
 
-fn explained(id: &str) -> String {
+fn run_explain(id: &str) -> String {
     run_on(&["explain", id], LINES)
 }
 
@@ -15,7 +15,7 @@
     ($($name:ident => $id:literal;)*) => {$(
         #[test]
         fn $name() {
-            insta::assert_snapshot!(explained($id));
+            insta::assert_snapshot!(run_explain($id));
         }
     )*};
 }
--- a/crates/hibiscusgw/tests/logs.rs
+++ b/crates/hibiscusgw/tests/logs.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Stdio};
 
 /// Starts a node whose store cannot be reached; it logs that and keeps running.
-fn start(name: &str) -> (Child, std::path::PathBuf) {
+fn start_node(name: &str) -> (Child, std::path::PathBuf) {
     let path = std::env::temp_dir().join(format!("hgw-logs-{}-{name}", std::process::id()));
     let text = format!(
         "nodeName=\"{name}\\\nzone=a\nip=127.0.0.1\nlisten.front=127.0.0.1:0\n\
@@ -23,7 +23,7 @@
 
 #[test]
 fn every_line_is_an_object_whatever_its_values_hold() {
-    let (mut child, path) = start("quoted");
+    let (mut child, path) = start_node("quoted");
     let lines = BufReader::new(child.stdout.take().unwrap()).lines().take(3);
     for line in lines {
         let line = line.unwrap();
--- a/crates/hibiscusgw/tests/operator_calls.rs
+++ b/crates/hibiscusgw/tests/operator_calls.rs
@@ -14,21 +14,21 @@
 const ID: RecordId = RecordId { boot: 7, seq: 3 };
 
 /// Returns the same reply to every call and records the requests.
-struct Port {
+struct StubPort {
     reply: Option<OperatorReply>,
-    asked: Mutex<Vec<OperatorRequest>>,
+    requests: Mutex<Vec<OperatorRequest>>,
 }
 
-impl OperatorPort for Port {
+impl OperatorPort for StubPort {
     fn call(&self, request: OperatorRequest) -> ReplyFuture<'_> {
-        self.asked.lock().unwrap().push(request);
+        self.requests.lock().unwrap().push(request);
         Box::pin(async { self.reply.clone() })
     }
 }
 
 struct Server {
     addr: SocketAddr,
-    port: Arc<Port>,
+    port: Arc<StubPort>,
     operators: Option<Operators>,
 }
 
@@ -37,14 +37,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let addr = listener.local_addr().unwrap();
-        let port = Arc::new(Port { reply, asked: Mutex::default() });
-        let shared: Arc<dyn OperatorPort> = Arc::<Port>::clone(&port);
+        let port = Arc::new(StubPort { reply, requests: Mutex::default() });
+        let shared: Arc<dyn OperatorPort> = Arc::<StubPort>::clone(&port);
         let operators = Operators::start(listener, shared, "right").unwrap();
         Server { addr, port, operators: Some(operators) }
     }
 
-    fn asked(&self) -> Vec<OperatorRequest> {
-        self.port.asked.lock().unwrap().clone()
+    fn requests(&self) -> Vec<OperatorRequest> {
+        self.port.requests.lock().unwrap().clone()
     }
 }
 
@@ -73,8 +73,8 @@
             let reply = run(client.apply(&request(&ID.to_string()))).unwrap();
             assert_eq!((reply.id, reply.outcome), (ID.to_string(), Some($expected)));
             let document = "{}".into();
-            let asked = OperatorRequest::Apply { id: Some(ID), base: Offset(41), document };
-            assert_eq!(server.asked(), [asked]);
+            let expected = OperatorRequest::Apply { id: Some(ID), base: Offset(41), document };
+            assert_eq!(server.requests(), [expected]);
         }
     )*};
 }
@@ -100,7 +100,7 @@
     // The port returns the reply to another kind of call, which must not be taken for an outcome.
     let refused = run(Client::new(server.addr, "right").apply(&req)).unwrap_err();
     assert_matches!(refused, Error::Refused { status: 13, .. });
-    assert_eq!(server.asked().len(), 2);
+    assert_eq!(server.requests().len(), 2);
 }
 
 #[test]
@@ -128,7 +128,7 @@
         let refused = run(Client::new(server.addr, token).state()).unwrap_err();
         assert_matches!(refused, Error::Refused { status: 16, .. }, "{token}");
     }
-    assert_eq!(server.asked(), []);
+    assert_eq!(server.requests(), []);
 }
 
 #[test]
@@ -138,7 +138,7 @@
     assert_matches!(refused, Error::Refused { status: 3, message } => {
         assert_eq!(message, "`x` is no record id: a hexadecimal number, `-`, a number");
     });
-    assert_eq!(server.asked(), []);
+    assert_eq!(server.requests(), []);
 }
 
 /// If the control thread is too busy to accept a call, the operator must learn that nothing was done.
--- a/crates/hibiscusgw/tests/report/main.rs
+++ b/crates/hibiscusgw/tests/report/main.rs
@@ -8,9 +8,9 @@
 const LINES: &str = include_str!("lines.log");
 
 /// Lines of a recording in which a customer exceeds its limit.
-const OF_CUSTOMERS: &str = include_str!("customers.log");
+const CUSTOMER_LINES: &str = include_str!("customers.log");
 
-fn reported(args: &[&str], lines: &str) -> String {
+fn run_report(args: &[&str], lines: &str) -> String {
     run_on(&[&["report"], args].concat(), lines)
 }
 
@@ -18,7 +18,7 @@
     ($($name:ident => $args:expr, $lines:expr;)*) => {$(
         #[test]
         fn $name() {
-            insta::assert_snapshot!(reported(&$args, $lines));
+            insta::assert_snapshot!(run_report(&$args, $lines));
         }
     )*};
 }
@@ -26,7 +26,7 @@
 reports! {
     day_of_several_nodes => [], LINES;
     day_with_a_shorter_pause => ["--pause", "150"], LINES;
-    day_with_customers => [], OF_CUSTOMERS;
+    day_with_customers => [], CUSTOMER_LINES;
     no_lines => [], "";
     lines_of_another_program => [], "hello\n{\"time\":1}\n{\"event\":5006}\n[]\n";
     pause_that_is_no_number => ["--pause", "long"], "";
@@ -36,8 +36,8 @@
 #[test]
 fn plot_is_written() {
     let path = std::env::temp_dir().join(format!("hgw-report-{}.svg", std::process::id()));
-    let told = reported(&["--svg", path.to_str().unwrap()], LINES);
-    assert!(told.starts_with("exit code 0"), "{told}");
+    let output = run_report(&["--svg", path.to_str().unwrap()], LINES);
+    assert!(output.starts_with("exit code 0"), "{output}");
     let svg = std::fs::read_to_string(&path).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("longest pause") && svg.contains("<polyline"));
     std::fs::remove_file(path).unwrap();
