--- a/crates/direct/src/quota/purse.rs
+++ b/crates/direct/src/quota/allowance.rs
@@ -1,48 +1,47 @@
+//! Allowances that a node holds.
+
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// An amount that may be used up to a time.
+/// An amount that may be used until it expires.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Lot {
-    /// How much is left.
+pub struct Allowance {
     pub amount: f64,
-    /// When it is void.
-    pub until: Millis,
+    pub expires_at: Millis,
 }
 
-/// An amount on its way to another node, which has a clock of its own.
+/// An allowance sent to another node, whose clock differs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// How much.
     pub amount: f64,
-    /// How long it may still be used when it is given.
-    pub for_ms: Millis,
+    /// Remaining lifetime when it is granted.
+    #[serde(rename = "for_ms")]
+    pub ttl_ms: Millis,
 }
 
-/// What a node may still use of one customer's limit.
+/// Allowances of one customer that a node holds.
 #[derive(Debug, Clone, Default)]
-pub struct Purse {
-    lots: VecDeque<Lot>,
+pub struct AllowancePool {
+    lots: VecDeque<Allowance>,
 }
 
-impl Purse {
-    /// What there is now.
+impl AllowancePool {
     pub fn balance(&mut self, now: Millis) -> f64 {
-        self.lots.retain(|lot| lot.until > now && lot.amount > 0.0);
+        self.lots.retain(|lot| lot.expires_at > now && lot.amount > 0.0);
         self.lots.iter().map(|lot| lot.amount).sum()
     }
 
-    /// Takes an allowance in, or back where it was not used.
-    pub fn add(&mut self, lot: Lot) {
-        let at = self.lots.partition_point(|known| known.until <= lot.until);
+    /// Adds an allowance, or returns an unused one.
+    pub fn add(&mut self, lot: Allowance) {
+        let at = self.lots.partition_point(|known| known.expires_at <= lot.expires_at);
         self.lots.insert(at, lot);
     }
 
-    /// Takes so much at the most, what lapses first first.
-    pub fn take(&mut self, now: Millis, most: f64) -> Vec<Lot> {
+    /// Takes up to this amount, the earliest to expire first.
+    pub fn take(&mut self, now: Millis, most: f64) -> Vec<Allowance> {
         self.balance(now);
         let (mut left, mut taken) = (most, Vec::new());
         while left > 0.0
@@ -50,7 +49,7 @@
         {
             let amount = first.amount.min(left);
             (first.amount, left) = (first.amount - amount, left - amount);
-            taken.push(Lot { amount, until: first.until });
+            taken.push(Allowance { amount, expires_at: first.expires_at });
             if first.amount <= 0.0 {
                 self.lots.pop_front();
             }
@@ -58,8 +57,8 @@
         taken
     }
 
-    /// Takes all that a request needs, or nothing.
-    pub fn spend(&mut self, now: Millis, cost: f64) -> Option<Vec<Lot>> {
+    /// Takes the cost of a request, or nothing if it is not available.
+    pub fn spend(&mut self, now: Millis, cost: f64) -> Option<Vec<Allowance>> {
         (self.balance(now) >= cost).then(|| self.take(now, cost))
     }
 }
--- a/crates/hibiscusgw/src/report/mod.rs
+++ b/crates/hibiscusgw/src/report/mod.rs
@@ -107,8 +107,8 @@
             count(Event::RequestServed),
             count(Event::RequestRefused),
             count(Event::RequestFailed),
-            why(Refusal::OverLimit),
-            why(Refusal::NoAllowance),
+            why(Refusal::QuotaExceeded),
+            why(Refusal::QuotaUnknown),
         )?;
     }
     Ok(())
