--- a/crates/hibiscusgw/src/report/mod.rs
+++ b/crates/hibiscusgw/src/report/mod.rs
@@ -147,8 +147,8 @@
     let mut causes: IndexMap<&str, usize> = IndexMap::new();
     for line in late {
         let resumed = line.number_field("runs").unwrap_or(0.0) > 1.0;
-        let many = line.number_field("at_engine").unwrap_or(0.0) >= CROWDED_ENGINE_REQUESTS;
-        let cause = match (resumed, many) {
+        let crowded = line.number_field("at_engine").unwrap_or(0.0) >= CROWDED_ENGINE_REQUESTS;
+        let cause = match (resumed, crowded) {
             (true, _) => "resumed at another engine",
             (false, true) => "32 or more requests at the engine",
             (false, false) => "fewer requests at the engine",
--- a/crates/hibiscusgw/src/settings.rs
+++ b/crates/hibiscusgw/src/settings.rs
@@ -131,7 +131,7 @@
     pub(crate) fn read(flags: &ServeFlags, env: &Env<'_>) -> Result<PlatformOverrides> {
         let mut reader = SettingsReader { env, errors: Vec::new() };
         let connections = &flags.max_connections;
-        let given = reader.value_of("max-connections", connections).is_some();
+        let is_given = reader.value_of("max-connections", connections).is_some();
         let max = reader.number("max-connections", connections, 8192, 1, 1 << 20);
         let levels = "off, error, warn, info, debug or trace";
         let overrides = PlatformOverrides {
@@ -140,7 +140,7 @@
             callers: reader.optional_addr("callers", &flags.callers),
             peers: reader.optional_addr("peers", &flags.peers),
             metrics: reader.optional_addr("metrics", &flags.metrics),
-            max_connections: given.then_some(max),
+            max_connections: is_given.then_some(max),
         };
         if reader.errors.is_empty() { Ok(overrides) } else { Err(Error::Settings(reader.errors)) }
     }
--- a/crates/hibiscusgw/tests/platform/hubs.rs
+++ b/crates/hibiscusgw/tests/platform/hubs.rs
@@ -116,8 +116,8 @@
     let fleet = start_domain(14);
     let others: Vec<usize> =
         (0..14).filter(|node| !hub_candidates(&fleet).contains(node)).collect();
-    for (tries, pair) in others.chunks_exact(2).enumerate() {
-        let ids = [format!("s-{tries}"), format!("t-{tries}")];
+    for (round, pair) in others.chunks_exact(2).enumerate() {
+        let ids = [format!("s-{round}"), format!("t-{round}")];
         std::thread::scope(|scope| {
             let fleet = &fleet;
             let first = scope.spawn(|| send_long_prompt(fleet, pair[0], &ids[0]));
@@ -145,8 +145,8 @@
     line.and_then(|l| l.split_whitespace().next_back()?.parse().ok()).unwrap_or(0.0)
 }
 
-/// Sends calls to a node; returns whether all were answered.
-fn calls(node: &Node, name: &str) -> bool {
+/// Sends calls to a node; returns whether all succeeded.
+fn all_calls_succeed(node: &Node, name: &str) -> bool {
     let call = |n| node.plain("/look/", &format!("{name}-{}-{n}", node.name));
     (0..8).all(|n| call(n).is_ok_and(|a| a.status == StatusCode::OK))
 }
@@ -164,16 +164,16 @@
     entry["addr"] = addr.to_string().into();
     fleet.store.put("keyed.servers", "desk-3", entry.to_string().as_bytes());
     wait("the first node fails to connect to the lost engine", || {
-        assert!(calls(others[0], "first"));
+        assert!(all_calls_succeed(others[0], "first"));
         failed_connects(others[0]) > 0.0
     });
     // A node may read the engine's entry after the first report about it; the hub repeats the report.
     std::thread::sleep(Duration::from_secs(1));
-    assert!(others[1..].iter().all(|node| calls(node, "other")));
+    assert!(others[1..].iter().all(|node| all_calls_succeed(node, "other")));
     let tried = others[1..].iter().filter(|node| failed_connects(node) > 0.0).count();
     assert_eq!(tried, 0, "nodes that tried the lost engine");
-    let back = TcpListener::bind(addr).unwrap();
-    back.set_nonblocking(true).unwrap();
+    let listener = TcpListener::bind(addr).unwrap();
+    listener.set_nonblocking(true).unwrap();
     let (mut accepted, mut calls) = (Vec::new(), Vec::new());
     wait("the engine that is back is sent calls again", || {
         for node in &others {
@@ -183,7 +183,7 @@
             // The connection is kept open: closing it would cancel the call.
             calls.push(call);
         }
-        while let Ok((stream, _)) = back.accept() {
+        while let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(true).unwrap();
             accepted.push(stream);
         }
--- a/crates/hibiscusgw/tests/platform/limits.rs
+++ b/crates/hibiscusgw/tests/platform/limits.rs
@@ -128,7 +128,7 @@
 /// Total use must stay within the limit while a new issuer takes over from one that was killed, and nodes
 /// must continue with their allowances meanwhile.
 #[test]
-fn limit_holds_while_the_node_that_gives_allowances_is_replaced() {
+fn limit_holds_while_the_issuer_is_replaced() {
     const RATE: f64 = 60.0;
     let mut fleet = fleet(RATE);
     fleet.start("a");
@@ -156,7 +156,7 @@
 /// After a restore that lost the lease of the issuer, allowances that it had granted must not be granted a
 /// second time.
 #[test]
-fn limit_holds_while_the_store_comes_back_from_a_copy() {
+fn limit_holds_while_the_store_is_restored() {
     const RATE: f64 = 60.0;
     let mut fleet = fleet(RATE);
     let empty = fleet.store.backup();
--- a/crates/hibiscusgw/tests/platform/log_lines.rs
+++ b/crates/hibiscusgw/tests/platform/log_lines.rs
@@ -51,29 +51,29 @@
 
 /// Both the loss and the return of an engine must be logged.
 #[test]
-fn engine_that_is_judged_anew_is_named() {
+fn engine_whose_health_changes_is_logged() {
     let mut fleet = new_fleet(Vec::new());
     let (node, path) = fleet.start_logged("judged");
     fleet.to_engines[0].set(Condition::Cut);
     let mut call = 0;
-    let mut until = |well: bool| {
+    let mut wait_for_health = |healthy: bool| {
         wait("it is logged", || {
             call += 1;
             // The call only makes the node try the engine; its result does not matter.
             let _ = fleet.nodes[node].plain("/look/", &format!("c-{call}"));
-            let judged = fleet.lines(&path, 4007);
-            judged.iter().any(|l| l["upstream"] == "desk-1" && (l["opinion"] == "well") == well)
+            let changes = fleet.lines(&path, 4007);
+            changes.iter().any(|l| l["upstream"] == "desk-1" && (l["opinion"] == "well") == healthy)
         });
     };
-    until(false);
+    wait_for_health(false);
     fleet.to_engines[0].set(Condition::Open);
-    until(true);
+    wait_for_health(true);
 }
 
 /// The leader must log which adapter it places where, and another node must log that the paused leader is
 /// unresponsive.
 #[test]
-fn silent_peer_and_placed_adapter_are_named() {
+fn unresponsive_peer_and_placed_adapter_are_logged() {
     let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let (first, first_lines) = fleet.start_logged("first");
     wait("it is the leader", || !fleet.lines(&first_lines, 4001).is_empty());
@@ -92,7 +92,7 @@
 
 /// Each node must log that an engine is draining and whether it learnt this from the store or from a peer.
 #[test]
-fn engine_that_leaves_is_named_with_who_said_so() {
+fn draining_engine_is_logged_with_its_source() {
     let mut fleet = new_fleet(Vec::new());
     let (_, leader_log) = fleet.start_logged("leaves");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
--- a/crates/hibiscusgw/tests/platform/orders.rs
+++ b/crates/hibiscusgw/tests/platform/orders.rs
@@ -54,7 +54,7 @@
 /// With more adapters in use than slots, one node sends all orders, and no engine must be ordered to load
 /// more adapters than it has slots.
 #[test]
-fn one_node_gives_orders_within_the_places_that_there_are() {
+fn one_node_sends_all_orders_within_the_adapter_slots() {
     let fleet = fleet();
     for round in 0..4 {
         for adapter in ["a1", "a2", "a3", "a4", "a5", "a6"] {
--- a/crates/hibiscusgw/tests/platform/restores.rs
+++ b/crates/hibiscusgw/tests/platform/restores.rs
@@ -62,16 +62,16 @@
 }
 
 log_lengths! {
-    engine_that_leaves_is_not_used_after_a_shorter_copy: check_draining_engine_stays_unused(0);
-    engine_that_leaves_is_not_used_after_a_copy_as_long: check_draining_engine_stays_unused(4);
-    engine_that_leaves_is_not_used_after_a_longer_copy: check_draining_engine_stays_unused(9);
-    engine_that_leaves_then_is_seen_in_a_shorter_log: check_draining_after_restore_is_seen(0);
-    engine_that_leaves_then_is_seen_in_a_log_as_long: check_draining_after_restore_is_seen(3);
-    engine_that_leaves_then_is_seen_in_a_longer_log: check_draining_after_restore_is_seen(8);
+    draining_engine_is_not_used_after_a_restore_to_a_shorter_log: check_draining_is_kept(0);
+    draining_engine_is_not_used_after_a_restore_to_a_log_as_long: check_draining_is_kept(4);
+    draining_engine_is_not_used_after_a_restore_to_a_longer_log: check_draining_is_kept(9);
+    engine_that_drains_after_a_restore_is_seen_in_a_shorter_log: check_draining_is_seen(0);
+    engine_that_drains_after_a_restore_is_seen_in_a_log_as_long: check_draining_is_seen(3);
+    engine_that_drains_after_a_restore_is_seen_in_a_longer_log: check_draining_is_seen(8);
 }
 
 /// An engine whose record of draining is lost by a restore must get no work before it repeats the record.
-fn check_draining_engine_stays_unused(heartbeats: u32) {
+fn check_draining_is_kept(heartbeats: u32) {
     let mut fleet = new_fleet(Vec::new());
     let (node, lines) = fleet.start_logged("a");
     let backup = fleet.store.backup();
@@ -90,7 +90,7 @@
 
 /// A node must see that an engine starts to drain just after a restore; reading on from its old offset in
 /// the new log would miss the record.
-fn check_draining_after_restore_is_seen(heartbeats: u32) {
+fn check_draining_is_seen(heartbeats: u32) {
     let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
@@ -263,7 +263,7 @@
 /// If a restore loses both the release of the lease by a stopped leader and its acquisition by the
 /// successor, the successor must continue without waiting for the old lease to expire.
 #[test]
-fn successor_of_a_planned_stop_goes_on_where_that_is_lost() {
+fn successor_of_a_stopped_leader_continues_where_its_lease_is_lost() {
     let mut fleet = fleet();
     let backup = fleet.store.backup();
     let first = fleet.start("a");
