--- a/crates/hibiscusgw/src/check.rs
+++ b/crates/hibiscusgw/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a configuration document and finds its faults, without a platform.
+//! `check`: validates a configuration document offline.
 
 use std::fs;
 
@@ -6,10 +6,11 @@
 
 pub(crate) fn check(file: &str, console: &mut Console<'_>) -> Result<()> {
     let document = read_document(file)?;
-    let invalid = |faults: Vec<String>| Error::Document { file: file.to_owned(), faults };
-    let document = hgw_config::parse(&document).map_err(|e| invalid(vec![e.to_string()]))?;
+    let invalid_document = |errors: Vec<String>| Error::Document { file: file.to_owned(), errors };
+    let document =
+        hgw_config::parse(&document).map_err(|e| invalid_document(vec![e.to_string()]))?;
     hgw_config::check(&document)
-        .map_err(|faults| invalid(faults.iter().map(ToString::to_string).collect()))?;
+        .map_err(|errors| invalid_document(errors.iter().map(ToString::to_string).collect()))?;
     let models: usize = document.services.values().map(|s| s.models.len()).sum();
     writeln!(
         console.out,
@@ -20,7 +21,6 @@
     Ok(())
 }
 
-/// Reads the bytes of a document.
 pub(crate) fn read_document(file: &str) -> Result<Vec<u8>> {
     fs::read(file).map_err(|source| Error::File { file: file.to_owned(), source })
 }
--- a/crates/hibiscusgw/src/client/mod.rs
+++ b/crates/hibiscusgw/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to a node as an operator makes them.
+//! Client for the operator API of a node.
 
 mod error;
 mod framing;
@@ -20,20 +20,19 @@
 
 pub use error::{Error, Result};
 
-/// Longest wait for the answer to a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Largest answer, in bytes: the state of a large node.
-const MAX_ANSWER: usize = 64 << 20;
+/// The state dump of a large node is the largest response.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// HTTP/2's own default. With a larger window, answers of more than that break off with
-/// `FLOW_CONTROL_ERROR`: the server (xitca-http 0.9.6) then sends more than the window allows.
-const STREAM_WINDOW: u32 = 65_535;
+/// The HTTP/2 default. With a larger window, longer responses fail with `FLOW_CONTROL_ERROR`, because
+/// the server (xitca-http 0.9.6) sends more than the window allows.
+const STREAM_WINDOW_BYTES: u32 = 65_535;
 
 const GRPC_STATUS: &str = "grpc-status";
 const GRPC_MESSAGE: &str = "grpc-message";
 
-/// Calls one node.
+/// Client for one node.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: HttpClient<HttpConnector, Full<Bytes>>,
@@ -42,35 +41,35 @@
 }
 
 impl Client {
-    /// Calls the node whose listener for operators is at `addr`; connects at the first call.
+    /// Creates a client for the operator listener at `addr`; the first call connects.
     pub fn new(addr: SocketAddr, token: &str) -> Client {
         let mut http = HttpClient::builder(TokioExecutor::new());
-        http.http2_only(true).http2_initial_stream_window_size(STREAM_WINDOW);
+        http.http2_only(true).http2_initial_stream_window_size(STREAM_WINDOW_BYTES);
         let http = http.build_http();
         Client { http, addr, token: token.to_owned() }
     }
 
-    /// Publishes a configuration.
+    /// Publishes a configuration document.
     pub async fn apply(&self, req: &ApplyRequest) -> Result<ApplyReply> {
         self.call(path::APPLY, req).await
     }
 
-    /// Asks what became of a change.
+    /// Queries the outcome of the change with this id.
     pub async fn outcome(&self, id: &str) -> Result<ApplyReply> {
         self.call(path::OUTCOME, &OutcomeRequest { id: id.to_owned() }).await
     }
 
-    /// Asks for the configuration in force.
+    /// Gets the configuration in force.
     pub async fn get(&self) -> Result<GetReply> {
         self.call(path::GET, &GetRequest {}).await
     }
 
-    /// Asks which nodes are at which version.
+    /// Lists the nodes that the node knows, with their configuration versions.
     pub async fn status(&self) -> Result<StatusReply> {
         self.call(path::STATUS, &StatusRequest {}).await
     }
 
-    /// Asks for the whole state of the process.
+    /// Gets a dump of the node's state, as JSON.
     pub async fn state(&self) -> Result<StateReply> {
         self.call(path::STATE, &StateRequest {}).await
     }
@@ -80,13 +79,15 @@
         path: &str,
         req: &impl Message,
     ) -> Result<Reply> {
-        let answer = tokio::time::timeout(CALL_TIMEOUT, self.send(path, req)).await;
-        let (head, body) = answer.map_err(|_| Error::NoAnswer { addr: self.addr })??;
-        // A refusal has its status in the head, or behind an empty body.
+        let response = tokio::time::timeout(CALL_TIMEOUT, self.send(path, req)).await;
+        let (headers, body) = response.map_err(|_| Error::Timeout { addr: self.addr })??;
+        // A refusal carries its status in the headers, or in the trailers of an empty body.
         let trailers = body.trailers().cloned().unwrap_or_default();
-        let status = [&trailers, &head].into_iter().find_map(status).ok_or(Error::NoStatus)?;
+        let status =
+            [&trailers, &headers].into_iter().find_map(grpc_status).ok_or(Error::MissingStatus)?;
         if status != 0 {
-            let message = [&trailers, &head].into_iter().find_map(message).unwrap_or_default();
+            let message =
+                [&trailers, &headers].into_iter().find_map(grpc_message).unwrap_or_default();
             return Err(Error::Refused { status, message });
         }
         framing::decode(&body.to_bytes())
@@ -102,22 +103,22 @@
             .header(header::TE, "trailers")
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(Full::new(framing::encode(req)))
-            .map_err(|_| Error::Token)?;
+            .map_err(|_| Error::InvalidToken)?;
         let addr = self.addr;
         let unreachable = |source| Error::Unreachable { addr, source };
         let res = self.http.request(req).await.map_err(unreachable)?;
-        let (head, body) = res.into_parts();
-        let body = Limited::new(body, MAX_ANSWER).collect().await;
-        let body = body.map_err(|source| Error::BrokenOff { source })?;
-        Ok((head.headers, body))
+        let (parts, body) = res.into_parts();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|source| Error::IncompleteResponse { source })?;
+        Ok((parts.headers, body))
     }
 }
 
-fn status(headers: &HeaderMap) -> Option<u16> {
+fn grpc_status(headers: &HeaderMap) -> Option<u16> {
     headers.get(GRPC_STATUS)?.to_str().ok()?.parse().ok()
 }
 
-fn message(headers: &HeaderMap) -> Option<String> {
+fn grpc_message(headers: &HeaderMap) -> Option<String> {
     let text = headers.get(GRPC_MESSAGE)?.to_str().ok()?;
     Some(framing::percent_decode(text))
 }
--- a/crates/hibiscusgw/src/lib.rs
+++ b/crates/hibiscusgw/src/lib.rs
@@ -1,12 +1,12 @@
-//! The gateway as a library: command line, settings, logs and assembly.
+//! The gateway as a library: command line, settings, logging and startup.
 
 mod check;
 pub mod client;
 mod command;
 mod error;
 mod explain;
-mod lines;
-mod logs;
+mod log_lines;
+mod logging;
 mod on_platform;
 mod operate;
 mod report;
@@ -18,20 +18,20 @@
 
 pub use command::run;
 pub use error::{Error, Result};
-pub use logs::{LogFormat, start_logs};
-pub use serve::{Assembled, assemble};
-pub use settings::{Fault, ServeSettings};
+pub use logging::{LogFormat, init_logging};
+pub use serve::{RunningNode, start_node};
+pub use settings::{InvalidSetting, ServeSettings};
 
-/// Where a value of an environment variable comes from.
+/// Looks up an environment variable.
 pub type Env<'a> = dyn Fn(&str) -> Option<String> + 'a;
 
-/// Where a command prints its results and its errors.
+/// Output streams of a command: results and errors.
 pub(crate) struct Console<'a> {
     pub(crate) out: &'a mut dyn Write,
     pub(crate) err: &'a mut dyn Write,
 }
 
-/// Exit code for settings, arguments or documents that are not valid.
+/// Exit code for invalid settings, arguments or documents.
 pub(crate) const EXIT_INVALID: u8 = 2;
 
 pub(crate) fn exit_code(error: &Error) -> ExitCode {
--- a/crates/hibiscusgw/src/serve.rs
+++ b/crates/hibiscusgw/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: puts a process together and runs it until its planned stop.
+//! `serve`: starts a node from flags and environment variables and runs it until it stops.
 
 use std::thread;
 
@@ -8,20 +8,18 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::{Error, Result, ServeSettings, start_logs};
+use crate::{Error, Result, ServeSettings, init_logging};
 
-/// A process that is at work.
-pub struct Assembled {
-    /// Its threads.
+/// A started node.
+pub struct RunningNode {
     pub running: Running,
-    /// The addresses that it listens on.
+    /// The addresses that the node listens on.
     pub addrs: Addrs,
-    /// The thread that answers operators.
     operators: Operators,
 }
 
-impl Assembled {
-    /// Waits for the end of the process.
+impl RunningNode {
+    /// Waits until the node has ended.
     pub fn wait(self) -> Exit {
         let exit = self.running.wait();
         self.operators.stop();
@@ -29,8 +27,8 @@
     }
 }
 
-/// Starts a node with these settings; it runs until it is told to stop.
-pub fn assemble(settings: &ServeSettings) -> Result<Assembled> {
+/// Starts a node; it runs until it is stopped through its [`Running`].
+pub fn start_node(settings: &ServeSettings) -> Result<RunningNode> {
     let bound = hgw_net::bind(net_settings(settings))?;
     let addrs = bound.addrs();
     let node = Node::new(hgw_node::Settings {
@@ -46,7 +44,7 @@
     let listener = running.take_operators().expect("nobody has taken the listener yet");
     let port = running.operator_port();
     let operators = Operators::start(listener, port, &settings.operator_token)?;
-    Ok(Assembled { running, addrs, operators })
+    Ok(RunningNode { running, addrs, operators })
 }
 
 fn net_settings(settings: &ServeSettings) -> hgw_net::Settings {
@@ -73,12 +71,12 @@
     }
 }
 
-/// Runs a process until its planned stop: the first signal begins it, a second one ends it at once.
+/// Runs a node until it stops: the first signal starts a graceful shutdown, a second one forces the end.
 pub(crate) fn serve(settings: &ServeSettings) -> Result<()> {
-    start_logs(settings.log_format, settings.log_level)?;
+    init_logging(settings.log_format, settings.log_level)?;
     let signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Signals)?;
-    let process = assemble(settings)?;
-    let addrs = process.addrs;
+    let node = start_node(settings)?;
+    let addrs = node.addrs;
     emit(
         Event::ProcessStarted,
         &[
@@ -89,15 +87,15 @@
             ("operators", &addrs.operators),
         ],
     );
-    let stopper = process.running.stopper();
-    let node = settings.node.clone();
-    thread::spawn(move || stop_on_signals(signals, &stopper, &node));
-    match process.wait() {
+    let stopper = node.running.stopper();
+    let node_id = settings.node.clone();
+    thread::spawn(move || stop_on_signals(signals, &stopper, &node_id));
+    match node.wait() {
         Exit::Stopped => {
             emit(Event::ProcessStopped, &[("node", &settings.node)]);
             Ok(())
         }
-        exit @ (Exit::Killed | Exit::Broken) => Err(Error::NotFinished(exit)),
+        exit @ (Exit::Killed | Exit::Broken) => Err(Error::ShutdownIncomplete(exit)),
     }
 }
 
--- a/crates/hibiscusgw/tests/operator_calls.rs
+++ b/crates/hibiscusgw/tests/operator_calls.rs
@@ -1,5 +1,4 @@
-//! The operators' calls over a real connection, from the client to a port that stands for the control
-//! thread.
+//! Operator calls over a real connection, from the client to a stub of the control thread.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -14,22 +13,22 @@
 
 const ID: RecordId = RecordId { boot: 7, seq: 3 };
 
-/// Answers every call with the same reply and keeps what was asked.
-struct Port {
+/// Returns the same reply to every call and records the requests.
+struct StubPort {
     reply: Option<OperatorReply>,
-    asked: Mutex<Vec<OperatorRequest>>,
+    requests: Mutex<Vec<OperatorRequest>>,
 }
 
-impl OperatorPort for Port {
+impl OperatorPort for StubPort {
     fn call(&self, request: OperatorRequest) -> ReplyFuture<'_> {
-        self.asked.lock().unwrap().push(request);
+        self.requests.lock().unwrap().push(request);
         Box::pin(async { self.reply.clone() })
     }
 }
 
 struct Server {
     addr: SocketAddr,
-    port: Arc<Port>,
+    port: Arc<StubPort>,
     operators: Option<Operators>,
 }
 
@@ -38,14 +37,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let addr = listener.local_addr().unwrap();
-        let port = Arc::new(Port { reply, asked: Mutex::default() });
-        let shared: Arc<dyn OperatorPort> = Arc::<Port>::clone(&port);
+        let port = Arc::new(StubPort { reply, requests: Mutex::default() });
+        let shared: Arc<dyn OperatorPort> = Arc::<StubPort>::clone(&port);
         let operators = Operators::start(listener, shared, "right").unwrap();
         Server { addr, port, operators: Some(operators) }
     }
 
-    fn asked(&self) -> Vec<OperatorRequest> {
-        self.port.asked.lock().unwrap().clone()
+    fn requests(&self) -> Vec<OperatorRequest> {
+        self.port.requests.lock().unwrap().clone()
     }
 }
 
@@ -74,8 +73,8 @@
             let reply = run(client.apply(&request(&ID.to_string()))).unwrap();
             assert_eq!((reply.id, reply.outcome), (ID.to_string(), Some($expected)));
             let document = "{}".into();
-            let asked = OperatorRequest::Apply { id: Some(ID), base: Offset(41), document };
-            assert_eq!(server.asked(), [asked]);
+            let expected = OperatorRequest::Apply { id: Some(ID), base: Offset(41), document };
+            assert_eq!(server.requests(), [expected]);
         }
     )*};
 }
@@ -89,7 +88,7 @@
     unknown: ApplyOutcome::Unknown => Outcome::Unknown(Unknown {});
 }
 
-/// A document near the limit passes in both directions.
+/// A document near the size limit must pass in both directions.
 #[test]
 fn large_document() {
     let document = vec![b' '; 2 * 1024 * 1024];
@@ -98,10 +97,10 @@
     let got = run(Client::new(server.addr, "right").get()).unwrap();
     assert_eq!((got.version, got.document.len()), (9, document.len()));
     let req = ApplyRequest { id: String::new(), base: 0, document };
-    // The port answers another call's reply, which must not pass for an outcome.
+    // The port returns the reply to another kind of call, which must not be taken for an outcome.
     let refused = run(Client::new(server.addr, "right").apply(&req)).unwrap_err();
     assert_matches!(refused, Error::Refused { status: 13, .. });
-    assert_eq!(server.asked().len(), 2);
+    assert_eq!(server.requests().len(), 2);
 }
 
 #[test]
@@ -121,7 +120,7 @@
     assert_eq!(run(Client::new(server.addr, "right").state()).unwrap().json, "{}");
 }
 
-/// Nobody comes in without the token, and nothing of such a call reaches the control thread.
+/// A call without the right token must be refused before it reaches the control thread.
 #[test]
 fn wrong_token_is_refused() {
     let server = Server::start(Some(OperatorReply::State("secret".into())));
@@ -129,7 +128,7 @@
         let refused = run(Client::new(server.addr, token).state()).unwrap_err();
         assert_matches!(refused, Error::Refused { status: 16, .. }, "{token}");
     }
-    assert_eq!(server.asked(), []);
+    assert_eq!(server.requests(), []);
 }
 
 #[test]
@@ -139,10 +138,10 @@
     assert_matches!(refused, Error::Refused { status: 3, message } => {
         assert_eq!(message, "`x` is not a valid record id: expected a hexadecimal number, `-` and a decimal number");
     });
-    assert_eq!(server.asked(), []);
+    assert_eq!(server.requests(), []);
 }
 
-/// The control thread is too busy to take the call: the operator learns that nothing was done.
+/// If the control thread is too busy to accept a call, the operator must learn that nothing was done.
 #[test]
 fn busy_node_says_so() {
     let server = Server::start(None);
--- a/crates/hibiscusgw/tests/platform/heads.rs
+++ b/crates/hibiscusgw/tests/platform/hubs.rs
@@ -1,4 +1,4 @@
-//! Domains with so many nodes that one of them passes on to the others.
+//! Failure domains with so many nodes that one of them, the hub, forwards the leader's updates to the others.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,10 +11,10 @@
 use hgw_standins::fleet::{EngineSettings, Fleet};
 use http::{Method, StatusCode};
 
-use crate::{fleet_of, long_prompt};
+use crate::{new_fleet, send_long_prompt};
 
-/// An engine that reads each prompt for so long that the next request comes meanwhile.
-fn reads(id: &str) -> EngineSettings {
+/// An engine whose prefill takes so long that the next request arrives meanwhile.
+fn slow_prefill_engine(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
         holds: holds(&[("m", &[])]),
@@ -23,20 +23,20 @@
     }
 }
 
-/// So many nodes of one domain, which all take callers and know their head.
-fn domain_of(nodes: usize) -> Fleet {
-    let mut fleet = fleet_of(["i-3", "i-4"].map(reads).to_vec());
+/// Starts `nodes` nodes of one domain, and waits until they are ready and know their hub.
+fn start_domain(nodes: usize) -> Fleet {
+    let mut fleet = new_fleet(["i-3", "i-4"].map(slow_prefill_engine).to_vec());
     let nodes: Vec<usize> = (0..nodes).map(|_| fleet.spawn("a")).collect();
     for node in nodes {
         wait("the node is ready", || fleet.nodes[node].is_ready());
     }
-    // The keeper counts the nodes anew in the first seconds; those that have a head ask it from then on.
+    // The leader counts the nodes again in the first seconds; from then on nodes with a hub poll the hub.
     std::thread::sleep(Duration::from_secs(3));
     fleet
 }
 
-/// The nodes of the domain that may pass on, the first first.
-fn heads(fleet: &Fleet) -> Vec<usize> {
+/// The nodes of the domain that may be its hub, in order of preference.
+fn hub_candidates(fleet: &Fleet) -> Vec<usize> {
     let member = |n: &Node| Member {
         node: n.name.clone(),
         addr: n.peers,
@@ -45,29 +45,29 @@
     };
     let members: Vec<Member> = fleet.nodes.iter().map(member).collect();
     let found = candidates(&members, "a").into_iter();
-    found.filter_map(|head| fleet.nodes.iter().position(|n| n.name == head.node)).collect()
+    found.filter_map(|hub| fleet.nodes.iter().position(|n| n.name == hub.node)).collect()
 }
 
-/// Calls that the store has been asked for since it was last looked at, a second.
-fn calls_a_second(fleet: &Fleet, during: Duration) -> f64 {
+/// Calls to the store per second, measured over `during`.
+fn store_calls_per_second(fleet: &Fleet, during: Duration) -> f64 {
     let calls = || fleet.store.calls().values().sum::<u64>();
     let (before, began) = (calls(), Instant::now());
     std::thread::sleep(during);
     (calls() - before) as f64 / began.elapsed().as_secs_f64()
 }
 
-/// The store refuses every call for some seconds. Each of twelve nodes called three times in every half second, 80 calls
-/// a second; the keeper and the head alone make some ten.
+/// While the store refuses every call, only the leader and the hub may retry; otherwise the load on the
+/// store grows with the number of nodes.
 #[test]
 fn store_that_refuses_is_called_by_few() {
-    let fleet = domain_of(12);
+    let fleet = start_domain(12);
     fleet.store.fault(&Faults { refuse: true, ..Faults::default() });
-    // Every node finds out once that nobody tells it anything any more.
+    // Every node calls the store itself once, when the hub has no updates.
     std::thread::sleep(Duration::from_secs(3));
-    let calls = calls_a_second(&fleet, Duration::from_secs(4));
+    let calls = store_calls_per_second(&fleet, Duration::from_secs(4));
     assert!(calls < 30.0, "{calls} calls a second");
     fleet.store.fault(&Faults::default());
-    fleet.store.put("keyed.op", "config", changed().to_string().as_bytes());
+    fleet.store.put("keyed.op", "config", config_with_new_route().to_string().as_bytes());
     for node in &fleet.nodes {
         wait("the new route is served", || {
             node.plain("/new/", "call-1").is_ok_and(|a| a.status == StatusCode::OK)
@@ -75,8 +75,7 @@
     }
 }
 
-/// A configuration with one more route.
-fn changed() -> serde_json::Value {
+fn config_with_new_route() -> serde_json::Value {
     let mut config = configuration(2);
     let mut route = config["routes"][0].clone();
     route["name"] = "new".into();
@@ -85,19 +84,19 @@
     config
 }
 
-/// Both nodes of a domain that would pass on are killed at once, and an engine begins to leave. The others must hear of
-/// it all the same: work that they sent there would be cut.
+/// Nodes must learn that an engine is draining even if both hubs of their domain are killed at once;
+/// otherwise the engine cuts off the work that they send.
 #[test]
-fn nodes_hear_of_a_leaving_engine_after_their_heads_have_ended() {
-    let mut fleet = domain_of(8);
-    let heads = heads(&fleet);
-    for node in &heads[..2] {
+fn nodes_learn_of_a_draining_engine_after_their_hubs_have_ended() {
+    let mut fleet = start_domain(8);
+    let hub_candidates = hub_candidates(&fleet);
+    for node in &hub_candidates[..2] {
         fleet.nodes[*node].kill();
     }
     fleet.list(fleet.engine("desk-1"), "draining");
-    let left: Vec<usize> = (0..8).filter(|node| !heads[..2].contains(node)).collect();
-    for node in left {
-        wait("calls go to the other engine alone", || {
+    let remaining: Vec<usize> = (0..8).filter(|node| !hub_candidates[..2].contains(node)).collect();
+    for node in remaining {
+        wait("calls go only to the other engine", || {
             let before = fleet.engine("desk-1").record().runs.len();
             for call in 0..10 {
                 let id = format!("call-{node}-{before}-{call}");
@@ -109,21 +108,22 @@
     }
 }
 
-/// With fourteen nodes nobody tells all others of each request. Two callers of one session come to two of them within a
-/// fifth of a second; the second node would send to the engine that keeps the session's prompt, and the request would
-/// wait there for the first while another engine is idle. The sums that the head tells show it.
+/// In a large domain, nodes learn the load of engines only from the sums that the hub reports. Two requests
+/// of one session through two nodes must not queue at the engine with the cached prompt while another
+/// engine is idle.
 #[test]
 fn node_passes_over_an_engine_that_others_are_known_to_use() {
-    let fleet = domain_of(14);
-    let others: Vec<usize> = (0..14).filter(|node| !heads(&fleet).contains(node)).collect();
-    for (tries, pair) in others.chunks_exact(2).enumerate() {
-        let ids = [format!("s-{tries}"), format!("t-{tries}")];
+    let fleet = start_domain(14);
+    let others: Vec<usize> =
+        (0..14).filter(|node| !hub_candidates(&fleet).contains(node)).collect();
+    for (round, pair) in others.chunks_exact(2).enumerate() {
+        let ids = [format!("s-{round}"), format!("t-{round}")];
         std::thread::scope(|scope| {
             let fleet = &fleet;
-            let first = scope.spawn(|| long_prompt(fleet, pair[0], &ids[0]));
+            let first = scope.spawn(|| send_long_prompt(fleet, pair[0], &ids[0]));
             wait("the first is sent", || fleet.runs(&ids[0]) == 1);
             std::thread::sleep(Duration::from_millis(200));
-            assert_eq!(long_prompt(fleet, pair[1], &ids[1]), StatusCode::OK);
+            assert_eq!(send_long_prompt(fleet, pair[1], &ids[1]), StatusCode::OK);
             assert_eq!(first.join().unwrap(), StatusCode::OK);
         });
     }
@@ -132,12 +132,12 @@
         ["i-3", "i-4"].into_iter().find(ran).unwrap()
     };
     let pairs = 0..others.len() / 2;
-    let parted = pairs.clone().filter(|n| at(format!("s-{n}")) != at(format!("t-{n}"))).count();
-    assert_eq!(parted, pairs.len());
+    let separated = pairs.clone().filter(|n| at(format!("s-{n}")) != at(format!("t-{n}"))).count();
+    assert_eq!(separated, pairs.len());
 }
 
-/// Tries of a node that found no connection.
-fn unreached(node: &Node) -> f64 {
+/// Attempts of a node that could not connect to an engine.
+fn failed_connects(node: &Node) -> f64 {
     let metrics = Caller::new(node.metrics).unwrap();
     let text = metrics.call(Method::GET, "/metrics", &[], "").unwrap().body;
     let mut lines = text.lines().filter(|l| l.starts_with("hgw_tries_failed_total"));
@@ -145,48 +145,48 @@
     line.and_then(|l| l.split_whitespace().next_back()?.parse().ok()).unwrap_or(0.0)
 }
 
-/// Sends calls to a node; gives whether all were answered.
-fn calls(node: &Node, name: &str) -> bool {
+/// Sends calls to a node; returns whether all succeeded.
+fn all_calls_succeed(node: &Node, name: &str) -> bool {
     let call = |n| node.plain("/look/", &format!("{name}-{}-{n}", node.name));
     (0..8).all(|n| call(n).is_ok_and(|a| a.status == StatusCode::OK))
 }
 
-/// An engine's process is lost, and thirteen nodes send to it. The first finds no connection; on its word the others
-/// leave the engine alone, and the head alone looks whether it is back.
+/// When one node reports an engine unreachable, the other nodes of the domain must stop using it without
+/// trying it themselves, and the hub probes whether it is back.
 #[test]
 fn engine_that_one_node_cannot_reach_is_left_alone_by_all() {
-    let fleet = domain_of(14);
+    let fleet = start_domain(14);
     let others: Vec<&Node> =
-        (0..14).filter(|n| !heads(&fleet).contains(n)).map(|n| &fleet.nodes[n]).collect();
+        (0..14).filter(|n| !hub_candidates(&fleet).contains(n)).map(|n| &fleet.nodes[n]).collect();
     let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut entry = fleet.entry("desk-1", "ready");
     entry["id"] = "desk-3".into();
     entry["addr"] = addr.to_string().into();
     fleet.store.put("keyed.servers", "desk-3", entry.to_string().as_bytes());
-    wait("the first node meets the lost engine", || {
-        assert!(calls(others[0], "first"));
-        unreached(others[0]) > 0.0
+    wait("the first node fails to connect to the lost engine", || {
+        assert!(all_calls_succeed(others[0], "first"));
+        failed_connects(others[0]) > 0.0
     });
-    // A node may read of the engine after the first word on it; the head says it again.
+    // A node may read the engine's entry after the first report about it; the hub repeats the report.
     std::thread::sleep(Duration::from_secs(1));
-    assert!(others[1..].iter().all(|node| calls(node, "other")));
-    let tried = others[1..].iter().filter(|node| unreached(node) > 0.0).count();
+    assert!(others[1..].iter().all(|node| all_calls_succeed(node, "other")));
+    let tried = others[1..].iter().filter(|node| failed_connects(node) > 0.0).count();
     assert_eq!(tried, 0, "nodes that tried the lost engine");
-    let back = TcpListener::bind(addr).unwrap();
-    back.set_nonblocking(true).unwrap();
-    let (mut met, mut calls) = (Vec::new(), Vec::new());
+    let listener = TcpListener::bind(addr).unwrap();
+    listener.set_nonblocking(true).unwrap();
+    let (mut accepted, mut calls) = (Vec::new(), Vec::new());
     wait("the engine that is back is sent calls again", || {
         for node in &others {
             let mut call = TcpStream::connect(node.callers).unwrap();
             let text = "GET /look/ HTTP/1.1\r\nhost: HOST\r\nx-request-id: back\r\n\r\n";
             call.write_all(text.replace("HOST", HOST).as_bytes()).unwrap();
-            // A caller that left would take its call with it.
+            // The connection is kept open: closing it would cancel the call.
             calls.push(call);
         }
-        while let Ok((stream, _)) = back.accept() {
+        while let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(true).unwrap();
-            met.push(stream);
+            accepted.push(stream);
         }
-        met.iter_mut().any(|stream| stream.read(&mut [0; 64]).is_ok_and(|read| read > 0))
+        accepted.iter_mut().any(|stream| stream.read(&mut [0; 64]).is_ok_and(|read| read > 0))
     });
 }
--- a/crates/hibiscusgw/tests/platform/lines.rs
+++ b/crates/hibiscusgw/tests/platform/log_lines.rs
@@ -1,4 +1,4 @@
-//! What a node logs of what it decides and believes.
+//! Log lines on the decisions and the view of a node.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use http::Method;
 use rustix::process::Signal;
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-fn slow(id: &str) -> EngineSettings {
+fn slow_engine(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
         holds: holds(&[("m", &[])]),
@@ -23,7 +23,7 @@
 
 #[test]
 fn caller_that_leaves_a_stream_is_named() {
-    let mut fleet = fleet_of(vec![slow("i-1")]);
+    let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let (node, path) = fleet.start_logged("left");
     let caller = Caller::new(fleet.nodes[node].callers).unwrap();
     let headers = [
@@ -34,9 +34,9 @@
         ("x-tokens", "100,120"),
         ("x-prompt-prefix", "a1:60,b2:40"),
     ];
-    let answer = caller.stream("/ask/", &headers, &"body").unwrap();
+    let response = caller.stream("/ask/", &headers, &"body").unwrap();
     wait("the stream runs", || fleet.runs("s-1") == 1);
-    drop((answer, caller));
+    drop((response, caller));
     wait("it is logged", || !fleet.lines(&path, 5008).is_empty());
     let line = &fleet.lines(&path, 5008)[0];
     assert_eq!(
@@ -49,34 +49,34 @@
     assert!(text.contains("hgw_second_tries_left"), "{text}");
 }
 
-/// An engine cannot be reached, and then it can: both are said, with what was seen of it.
+/// Both the loss and the return of an engine must be logged.
 #[test]
-fn engine_that_is_judged_anew_is_named() {
-    let mut fleet = fleet_of(Vec::new());
+fn engine_whose_health_changes_is_logged() {
+    let mut fleet = new_fleet(Vec::new());
     let (node, path) = fleet.start_logged("judged");
     fleet.to_engines[0].set(Condition::Cut);
     let mut call = 0;
-    let mut until = |well: bool| {
+    let mut wait_for_health = |healthy: bool| {
         wait("it is logged", || {
             call += 1;
-            // Whether this one is served does not matter here.
+            // The call only makes the node try the engine; its result does not matter.
             let _ = fleet.nodes[node].plain("/look/", &format!("c-{call}"));
-            let judged = fleet.lines(&path, 4007);
-            judged.iter().any(|l| l["upstream"] == "desk-1" && (l["opinion"] == "well") == well)
+            let changes = fleet.lines(&path, 4007);
+            changes.iter().any(|l| l["upstream"] == "desk-1" && (l["opinion"] == "well") == healthy)
         });
     };
-    until(false);
+    wait_for_health(false);
     fleet.to_engines[0].set(Condition::Open);
-    until(true);
+    wait_for_health(true);
 }
 
-/// One node gives the orders and stands still for a while: the other says that it is silent, that it answers again,
-/// and before that, which adapter is to go where.
+/// The leader must log which adapter it places where, and another node must log that the paused leader is
+/// unresponsive.
 #[test]
-fn silent_peer_and_placed_adapter_are_named() {
-    let mut fleet = fleet_of(vec![slow("i-1")]);
+fn unresponsive_peer_and_placed_adapter_are_logged() {
+    let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let (first, first_lines) = fleet.start_logged("first");
-    wait("it gives orders", || !fleet.lines(&first_lines, 4001).is_empty());
+    wait("it is the leader", || !fleet.lines(&first_lines, 4001).is_empty());
     let (second, second_lines) = fleet.start_logged("second");
     wait("an adapter is served", || {
         fleet.nodes[second].stream("/ask/", "s-1", "m/a1").is_ok_and(|a| a.status == 200)
@@ -84,24 +84,24 @@
     let placed = &fleet.lines(&first_lines, 4008)[0];
     assert_eq!((&placed["load"], &placed["upstream"]), (&"m/a1".into(), &"i-1".into()));
     fleet.nodes[first].signal(Signal::STOP);
-    wait("its silence is logged", || !fleet.lines(&second_lines, 2004).is_empty());
+    wait("the unresponsive leader is logged", || !fleet.lines(&second_lines, 2004).is_empty());
     fleet.nodes[first].signal(Signal::CONT);
     let name = fleet.nodes[first].name.clone();
     assert_eq!(fleet.lines(&second_lines, 2004)[0]["peer"], name.as_str());
 }
 
-/// A request reached an engine long after it had said that it leaves, and no line told which node believed what of it.
+/// Each node must log that an engine is draining and whether it learnt this from the store or from a peer.
 #[test]
-fn engine_that_leaves_is_named_with_who_said_so() {
-    let mut fleet = fleet_of(Vec::new());
-    let (_, keeper) = fleet.start_logged("leaves");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
-    let (_, other) = fleet.start_logged("leaves");
+fn draining_engine_is_logged_with_its_source() {
+    let mut fleet = new_fleet(Vec::new());
+    let (_, leader_log) = fleet.start_logged("leaves");
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
+    let (_, other_log) = fleet.start_logged("leaves");
     fleet.list(fleet.engine("desk-1"), "draining");
-    for (path, by) in [(keeper, "store"), (other, "peer")] {
+    for (path, by) in [(leader_log, "store"), (other_log, "peer")] {
         wait("it is logged", || !fleet.lines(&path, 4010).is_empty());
         let line = &fleet.lines(&path, 4010)[0];
-        let told = (&line["upstream"], &line["standing"], &line["by"]);
-        assert_eq!(told, (&"desk-1".into(), &"leaving".into(), &by.into()), "{line}");
+        let fields = (&line["upstream"], &line["standing"], &line["by"]);
+        assert_eq!(fields, (&"desk-1".into(), &"leaving".into(), &by.into()), "{line}");
     }
 }
--- a/crates/hibiscusgw/tests/platform/orders.rs
+++ b/crates/hibiscusgw/tests/platform/orders.rs
@@ -1,4 +1,4 @@
-//! Who gives orders, and what they are counted against.
+//! Orders to engines: which node sends them, and their limits.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use hgw_standins::fleet::deployment::{Fleet, holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
 fn engine(id: &str) -> EngineSettings {
     EngineSettings {
@@ -22,7 +22,7 @@
 }
 
 fn fleet() -> Fleet {
-    let mut fleet = fleet_of(vec![engine("i-1"), engine("i-2")]);
+    let mut fleet = new_fleet(vec![engine("i-1"), engine("i-2")]);
     let mut config = hgw_standins::fleet::deployment::configuration(2);
     config["services"][1]["engine"]["adapterSlots"] = 2.into();
     fleet.store.put("keyed.op", "config", config.to_string().as_bytes());
@@ -40,8 +40,8 @@
     ["i-1", "i-2"].iter().map(|id| fleet.engine(id).record()).collect()
 }
 
-/// Names of the nodes that gave orders.
-fn holders(fleet: &Fleet) -> Vec<String> {
+/// Names of the nodes that sent orders.
+fn order_senders(fleet: &Fleet) -> Vec<String> {
     let all = records(fleet);
     let orders = all.iter().flat_map(|r| &r.orders);
     let mut names: Vec<String> =
@@ -51,10 +51,10 @@
     names
 }
 
-/// More adapters are asked for than there are places, through all nodes: one node gives all orders, and no
-/// engine is ordered to hold more than it has places for.
+/// With more adapters in use than slots, one node sends all orders, and no engine must be ordered to load
+/// more adapters than it has slots.
 #[test]
-fn one_node_gives_orders_within_the_places_that_there_are() {
+fn one_node_sends_all_orders_within_the_adapter_slots() {
     let fleet = fleet();
     for round in 0..4 {
         for adapter in ["a1", "a2", "a3", "a4", "a5", "a6"] {
@@ -62,28 +62,27 @@
             wait("the adapter is served", || served(&fleet, node, &id, &format!("m/{adapter}")));
         }
     }
-    assert_eq!(holders(&fleet).len(), 1, "{:?}", records(&fleet));
+    assert_eq!(order_senders(&fleet).len(), 1, "{:?}", records(&fleet));
     assert!(records(&fleet).iter().all(|r| r.too_much == 0), "{:?}", records(&fleet));
 }
 
-/// The node that gives orders is killed. Another claims the duty with a higher fencing number once the
-/// lease is over, and no engine sees an older number after a newer one.
+/// When the leader is killed, another node takes over after the lease with a higher fencing token, and no
+/// engine must receive a lower token after a higher one.
 #[test]
 fn another_node_takes_the_orders_over() {
     let mut fleet = fleet();
     wait("an adapter is served", || served(&fleet, 0, "s-1", "m/a1"));
-    let first = holders(&fleet);
-    let keeper = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
-    fleet.nodes[keeper].kill();
-    let left = (keeper + 1) % 3;
-    wait("the next adapter is served", || served(&fleet, left, "s-2", "m/a2"));
-    assert_eq!(holders(&fleet).len(), 2, "{:?}", records(&fleet));
+    let first = order_senders(&fleet);
+    let leader = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
+    fleet.nodes[leader].kill();
+    let other = (leader + 1) % 3;
+    wait("the next adapter is served", || served(&fleet, other, "s-2", "m/a2"));
+    assert_eq!(order_senders(&fleet).len(), 2, "{:?}", records(&fleet));
     assert!(records(&fleet).iter().all(|r| r.old_fences == 0), "{:?}", records(&fleet));
 }
 
-/// Engines carry orders out and their answers are lost. What may have come takes its place all the same:
-/// a keeper that counted only what it knows would order more than there is room for, and the engine
-/// would crash.
+/// Orders whose responses were lost must count as carried out; otherwise the leader orders more than an
+/// engine has room for, and the engine would crash.
 #[test]
 fn lost_answers_to_orders_do_not_overfill_an_engine() {
     let fleet = fleet();
@@ -99,24 +98,23 @@
     assert!(records(&fleet).iter().all(|r| r.too_much == 0), "{:?}", records(&fleet));
 }
 
-/// Engines ignore fences, and the holder is cut off from the store: its lease is out, and it may give no order. The
-/// only engine with a model has started anew and holds nothing. Planned all the same, an order takes what makes way
-/// for the model out of the books, and nobody would be sent to a copy that is there.
+/// A leader whose lease has expired must not plan orders that it may not send: the plan would mark the
+/// model to be evicted as gone, and requests would not be sent to a copy that still exists.
 #[test]
-fn holder_that_may_give_no_order_plans_none() {
+fn leader_without_a_lease_plans_no_orders() {
     let one = |id: &str, model: &str| EngineSettings {
         holds: holds(&[(model, &[])]),
         fences: false,
         ..engine(id)
     };
-    let mut fleet = fleet_of(vec![one("i-1", "m"), one("i-2", "n")]);
+    let mut fleet = new_fleet(vec![one("i-1", "m"), one("i-2", "n")]);
     let (node, lines) = fleet.start_logged("a");
     fleet.nodes[node].set("bounds.requireFence=true", "bounds.requireFence=false");
     wait("both models are served", || {
         served(&fleet, node, "s-m", "m") && served(&fleet, node, "s-n", "n")
     });
     fleet.nodes[node].to_store.set(Condition::Cut);
-    // Longer than the lease, which is a second in the settings of these tests.
+    // Longer than the lease, which is one second in the settings of these tests.
     std::thread::sleep(Duration::from_millis(2_000));
     let planned = fleet.lines(&lines, 4006).len();
     fleet.engine("i-2").start_anew();
@@ -125,54 +123,57 @@
         assert!(served(&fleet, node, &format!("s-m-{round}"), "m"));
     }
     let after = fleet.lines(&lines, 4006);
-    assert_eq!(after.len(), planned, "an order is planned that may not be given: {after:?}");
+    assert_eq!(after.len(), planned, "an order was planned that may not be sent: {after:?}");
 }
 
-macro_rules! wakes_up {
-    ($($name:ident: $connections_end:literal;)*) => {$(
-        /// The node that gives orders stands still for longer than its lease, and another takes its place. When it wakes up
-        /// it finds out first whether it still may: an order by its old number would come beside the other's. That its
-        /// connections to the store have ended meanwhile is no answer.
+macro_rules! paused_leaders {
+    ($($name:ident: $cut_connections:literal;)*) => {$(
+        /// A leader that was paused for longer than its lease must check the lease before it sends an order
+        /// with its old fencing token. An error on a closed connection to the store must not count as a
+        /// confirmed lease.
         #[test]
         fn $name() {
-            holder_wakes_up($connections_end);
+            check_resumed_leader($cut_connections);
         }
     )*};
 }
 
-wakes_up! {
-    holder_that_wakes_up_gives_no_order_before_it_has_asked: false;
-    holder_that_wakes_up_with_broken_connections_asks_again: true;
+paused_leaders! {
+    resumed_leader_sends_no_order_before_it_has_checked_its_lease: false;
+    resumed_leader_with_broken_connections_checks_its_lease_again: true;
 }
 
-fn holder_wakes_up(connections_end: bool) {
+fn check_resumed_leader(cut_connections: bool) {
     for round in 0..3 {
         let fleet = fleet();
         wait("an adapter is served", || served(&fleet, 0, "s-1", "m/a1"));
-        let first = holders(&fleet);
-        let keeper = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
-        let left = (keeper + 1) % 3;
-        fleet.nodes[keeper].signal(Signal::STOP);
-        if connections_end {
-            fleet.nodes[keeper].to_store.set(Condition::Cut);
+        let first = order_senders(&fleet);
+        let leader = fleet.nodes.iter().position(|n| first.contains(&n.name)).unwrap();
+        let other = (leader + 1) % 3;
+        fleet.nodes[leader].signal(Signal::STOP);
+        if cut_connections {
+            fleet.nodes[leader].to_store.set(Condition::Cut);
             std::thread::sleep(Duration::from_millis(100));
-            fleet.nodes[keeper].to_store.set(Condition::Open);
+            fleet.nodes[leader].to_store.set(Condition::Open);
         }
         for adapter in ["a2", "a3", "a4", "a5"] {
             let id = format!("s-{adapter}");
-            wait("it is served", || served(&fleet, left, &id, &format!("m/{adapter}")));
+            wait("it is served", || served(&fleet, other, &id, &format!("m/{adapter}")));
         }
-        let asked = std::thread::scope(|scope| {
+        let served_results = std::thread::scope(|scope| {
             let asks = |adapter: &'static str| {
                 let fleet = &fleet;
-                scope.spawn(move || served(fleet, keeper, adapter, &format!("m/{adapter}")))
+                scope.spawn(move || served(fleet, leader, adapter, &format!("m/{adapter}")))
             };
-            let asked = ["a1", "a2", "a3"].map(asks);
+            let served_results = ["a1", "a2", "a3"].map(asks);
             std::thread::sleep(Duration::from_millis(100));
-            fleet.nodes[keeper].signal(Signal::CONT);
-            asked.map(|asked| asked.join().unwrap())
+            fleet.nodes[leader].signal(Signal::CONT);
+            served_results.map(|result| result.join().unwrap())
         });
         let all = records(&fleet);
-        assert!(all.iter().all(|r| r.old_fences == 0), "round {round}, {asked:?}: {all:?}");
+        assert!(
+            all.iter().all(|r| r.old_fences == 0),
+            "round {round}, {served_results:?}: {all:?}"
+        );
     }
 }
--- a/crates/hibiscusgw/tests/platform/stopping.rs
+++ b/crates/hibiscusgw/tests/platform/stopping.rs
@@ -1,4 +1,4 @@
-//! The planned stop, and engines that leave.
+//! Graceful shutdown of nodes, draining engines, and outages of the store.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 
 use hgw_standins::fleet::deployment::{Fleet, holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-fn slow(id: &str) -> EngineSettings {
+fn slow_engine(id: &str) -> EngineSettings {
     EngineSettings {
         id: id.into(),
         holds: holds(&[("m", &[])]),
@@ -21,11 +21,11 @@
     }
 }
 
-/// A node is told to stop while it gives an answer, and callers are still sent to it for a moment: the
-/// answer is given to its end, new calls are served, and the process ends with success.
+/// A node that is told to stop must complete open responses, serve calls that still arrive for a moment,
+/// and exit with success.
 #[test]
 fn planned_stop_cuts_nothing() {
-    let mut fleet = fleet_of(vec![slow("i-1")]);
+    let mut fleet = new_fleet(vec![slow_engine("i-1")]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -41,11 +41,11 @@
     wait("the process ends", || fleet.nodes[node].ended() == Some(true));
 }
 
-/// A request comes long after the signal to stop, too late to be sure of its end: it is refused with a time
-/// and goes to another node. Begun and cut, it would be lost.
+/// A stopping node must refuse calls unrun, with a `Retry-After`, once they might not complete before the
+/// process ends.
 #[test]
 fn late_call_to_a_stopping_node_is_refused_unrun() {
-    let mut fleet = fleet_of(vec![EngineSettings { events: 200, ..slow("i-1") }]);
+    let mut fleet = new_fleet(vec![EngineSettings { events: 200, ..slow_engine("i-1") }]);
     let node = fleet.start("a");
     std::thread::scope(|scope| {
         let fleet = &fleet;
@@ -55,23 +55,23 @@
         fleet.nodes[node].signal(Signal::TERM);
         let mut refused = None;
         wait("late calls are refused", || {
-            let answer = fleet.nodes[node].plain("/print/", "call-1").unwrap();
-            refused = (answer.status == StatusCode::SERVICE_UNAVAILABLE).then_some(answer);
+            let response = fleet.nodes[node].plain("/print/", "call-1").unwrap();
+            refused = (response.status == StatusCode::SERVICE_UNAVAILABLE).then_some(response);
             refused.is_some()
         });
         assert!(refused.unwrap().headers.contains_key("retry-after"));
     });
 }
 
-/// An engine says that it leaves. Once a node has read that, no request reaches it.
+/// A node that has read that an engine is draining must not send requests to it.
 #[test]
 fn engine_that_leaves_gets_no_more_work() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     fleet.list(fleet.engine("desk-1"), "draining");
     let calls = |fleet: &Fleet| fleet.store.calls().get("/api/log-read").copied().unwrap_or(0);
     let seen = calls(&fleet);
-    // Two reads of the list, and those of the other topics between them.
+    // Enough calls for two reads of the list of engines, with those of other topics between them.
     wait("the node has read the list", || calls(&fleet) > seen + 10);
     for n in 0..20 {
         fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
@@ -80,17 +80,17 @@
     assert_eq!(fleet.engine("desk-2").record().runs.len(), 20);
 }
 
-/// The store goes down and engines go on: callers are served all the while, also when it comes back
-/// without the entries that lapsed meanwhile.
+/// Callers must be served during an outage of the store, and after it while the store lacks the entries
+/// that expired.
 #[test]
 fn outage_of_the_store_stops_no_calls() {
-    let mut fleet = fleet_of(Vec::new());
+    let mut fleet = new_fleet(Vec::new());
     let node = fleet.start("a");
     fleet.store.fault(&Faults { down: true, ..Faults::default() });
-    // Longer than two of the engines' heartbeats: entries may lapse.
+    // Longer than two heartbeats of engines, so that entries may expire.
     for n in 0..25 {
-        let answer = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
+        assert_eq!(response.status, StatusCode::OK);
         std::thread::sleep(Duration::from_millis(100));
     }
     fleet.store.put("keyed.servers", "desk-1", b"");
@@ -99,17 +99,17 @@
     std::thread::sleep(Duration::from_millis(500));
     fleet.list_all();
     for n in 25..35 {
-        let answer = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
-        assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
+        let response = fleet.nodes[node].plain("/print/", &format!("call-{n}")).unwrap();
+        assert_eq!(response.status, StatusCode::OK, "{response:?}");
         std::thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// Three nodes, of which one reads the store for all. It is cut off from the store, and then an engine says
-/// that it leaves: the others read for themselves before the engine must get no more work.
+/// Only the leader reads the store. When it is paused, the other nodes must read the store themselves, in
+/// time to learn that an engine is draining.
 #[test]
-fn nodes_read_for_themselves_when_the_keeper_cannot() {
-    let mut fleet = fleet_of(Vec::new());
+fn nodes_read_for_themselves_when_the_leader_cannot() {
+    let mut fleet = new_fleet(Vec::new());
     for zone in ["a", "b", "c"] {
         fleet.start(zone);
     }
@@ -118,24 +118,25 @@
     let before = reads(&fleet);
     std::thread::sleep(Duration::from_millis(2_000));
     let for_all = reads(&fleet) - before;
-    // One node's calls: four reads of the list a second, and one each of the configuration and the claim.
+    // Calls of one node per second: four reads of the list, one of the configuration and one of the lease
+    // log.
     assert!(for_all < 30, "{for_all} calls in two seconds");
-    // The keeper stands still: it answers no node, and reads nothing.
+    // The paused leader responds to no node and reads nothing.
     let claims = fleet.store.records("hgw-claims");
     let newest = String::from_utf8_lossy(claims.last().expect("there is a claim")).into_owned();
-    let keeper = fleet.nodes.iter().position(|n| newest.contains(&format!("\"{}\"", n.name)));
-    let keeper = keeper.expect("a node holds the claim");
-    fleet.nodes[keeper].signal(Signal::STOP);
+    let leader = fleet.nodes.iter().position(|n| newest.contains(&format!("\"{}\"", n.name)));
+    let leader = leader.expect("a node holds the claim");
+    fleet.nodes[leader].signal(Signal::STOP);
     fleet.list(fleet.engine("desk-1"), "draining");
-    let left = (keeper + 1) % 3;
+    let other = (leader + 1) % 3;
     let mut round = 0;
-    wait("no call reaches the engine any more", || {
+    wait("no call reaches the draining engine", || {
         round += 1;
         let before = fleet.engine("desk-1").record().runs.len();
         for n in 0..10 {
-            fleet.nodes[left].plain("/print/", &format!("call-{round}-{n}")).unwrap();
+            fleet.nodes[other].plain("/print/", &format!("call-{round}-{n}")).unwrap();
         }
         fleet.engine("desk-1").record().runs.len() == before
     });
-    fleet.nodes[keeper].signal(Signal::CONT);
+    fleet.nodes[leader].signal(Signal::CONT);
 }
--- a/crates/hibiscusgw/tests/platform/apart.rs
+++ b/crates/hibiscusgw/tests/platform/store_disconnects.rs
@@ -1,4 +1,4 @@
-//! Nodes that parts of the platform cannot be reached from.
+//! Nodes that are cut off from parts of the platform.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 
 use hgw_standins::fleet::deployment::{configuration, holds, wait};
 
-use crate::fleet_of;
+use crate::new_fleet;
 
-/// The store turns one node away and serves the others, and the configuration changes. The node hears of it from
-/// the one that reads for all; callers who are sent to it must not be refused on a route that there is.
+/// A node without a connection to the store must get configuration changes from the leader; otherwise it
+/// refuses callers on a new route.
 #[test]
-fn node_that_the_store_turns_away_takes_the_configuration_from_another() {
+fn node_without_the_store_takes_the_configuration_from_another() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
-    let mut fleet = fleet_of(vec![models]);
-    let keeper = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    let mut fleet = new_fleet(vec![models]);
+    let leader = fleet.start("a");
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     fleet.nodes[other].to_store.set(Condition::Cut);
     let mut config = configuration(2);
@@ -28,26 +28,25 @@
     routes[4]["name"] = "new".into();
     routes[4]["prefix"] = "/new/".into();
     fleet.store.put("keyed.op", "config", config.to_string().as_bytes());
-    for node in [keeper, other] {
+    for node in [leader, other] {
         wait("the new route is served", || {
             fleet.nodes[node].plain("/new/", "call-1").is_ok_and(|a| a.status == StatusCode::OK)
         });
     }
 }
 
-/// The store turns one node away, and an engine begins to leave. The node hears of it from the one that reads for
-/// all: work that it sent there would be cut.
+/// A node without a connection to the store must learn from the leader that an engine is draining;
+/// otherwise the engine cuts off the work that the node sends.
 #[test]
-fn node_that_loses_the_store_goes_on_with_the_keepers_word() {
+fn node_without_the_store_learns_of_draining_engines_from_the_leader() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
-    let mut fleet = fleet_of(vec![models]);
+    let mut fleet = new_fleet(vec![models]);
     fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
     let other = fleet.start("b");
     fleet.nodes[other].to_store.set(Condition::Cut);
     fleet.list(fleet.engine("desk-1"), "draining");
-    // The engine that leaves gets no work from the node that hears of it only from the keeper.
-    wait("calls go to the other engine alone", || {
+    wait("calls go only to the other engine", || {
         let before = fleet.engine("desk-1").record().runs.len();
         for call in 0..10 {
             let id = format!("call-{before}-{call}");
@@ -58,27 +57,26 @@
     });
 }
 
-/// The keeper stands still, another node asks the store itself, and its call gets no answer. The keeper goes on and tells of
-/// a new configuration. The node must not wait for its call to end first: callers were refused on a new route for two
-/// seconds.
+/// A node reads the store itself while the leader is paused, and its read gets no response. When the leader
+/// continues, the node must take a new configuration from it without waiting for its own read to time out.
 #[test]
 fn node_that_waits_for_the_store_takes_a_configuration_from_another() {
     let models = EngineSettings { holds: holds(&[("m", &[])]), ..EngineSettings::default() };
-    let mut fleet = fleet_of(vec![models]);
-    let keeper = fleet.start("a");
-    wait("the first node gives orders", || fleet.store.records("hgw-claims").len() > 1);
-    let (other, path) = fleet.start_logged("b");
+    let mut fleet = new_fleet(vec![models]);
+    let leader = fleet.start("a");
+    wait("the first node is the leader", || fleet.store.records("hgw-claims").len() > 1);
+    let (other, log) = fleet.start_logged("b");
     std::thread::sleep(Duration::from_secs(1));
-    // Connections that are open end; new ones carry nothing.
+    // Closes open connections; new ones are accepted and carry no data.
     fleet.nodes[other].to_store.set(Condition::Cut);
     std::thread::sleep(Duration::from_millis(200));
     fleet.nodes[other].to_store.set(Condition::Silent);
-    fleet.nodes[keeper].signal(Signal::STOP);
-    wait("the other hears nothing of the keeper", || !fleet.lines(&path, 2004).is_empty());
+    fleet.nodes[leader].signal(Signal::STOP);
+    wait("the other node cannot reach the leader", || !fleet.lines(&log, 2004).is_empty());
     std::thread::sleep(Duration::from_millis(600));
-    fleet.nodes[keeper].signal(Signal::CONT);
+    fleet.nodes[leader].signal(Signal::CONT);
     fleet.store.put("keyed.op", "config", configuration(2).to_string().as_bytes());
-    wait("the new configuration is in force", || fleet.lines(&path, 3001).len() == 2);
-    let down = fleet.lines(&path, 3101);
-    assert!(down.iter().all(|line| line["what"] != "configuration"), "{down:?}");
+    wait("the new configuration is in force", || fleet.lines(&log, 3001).len() == 2);
+    let log_down = fleet.lines(&log, 3101);
+    assert!(log_down.iter().all(|line| line["what"] != "configuration"), "{log_down:?}");
 }
--- a/crates/hibiscusgw/tests/processes/configuration.rs
+++ b/crates/hibiscusgw/tests/processes/configuration.rs
@@ -1,6 +1,6 @@
-//! An accepted configuration is in force everywhere and never reverts.
+//! An accepted configuration takes effect on every node and is never reverted.
 //!
-//! Each change names a marker adapter, which the list of models then shows.
+//! Each change adds a marker adapter, which then appears in the list of models.
 
 use hgw_config::{Adapter, Document};
 use hgw_standins::Faults;
@@ -9,9 +9,9 @@
 use hgw_types::{AdapterId, MemSize, ModelId, ServiceId};
 use http::Method;
 
-use crate::{FIRST, fault, nowhere, settings, start};
+use crate::{FIRST_VERSION, fault, settings, start, unreachable_addr};
 
-/// The document with a marker by which callers can tell it.
+/// The document with a marker adapter that callers can see.
 pub(crate) fn marked(document: &Document, marker: &str) -> Document {
     let mut document = document.clone();
     let service = &mut document.services[&name::<ServiceId>(MODEL_SERVICE)];
@@ -21,10 +21,10 @@
     document
 }
 
-/// The marker that a node's list of models shows; empty where it shows none.
+/// The marker in the list of models of a node; empty if there is none.
 pub(crate) fn marker(node: &Node) -> Option<String> {
-    let answer = node.plain(Method::GET, "/v1/models", &[], "").ok()?;
-    let list: serde_json::Value = answer.json().ok()?;
+    let response = node.plain(Method::GET, "/v1/models", &[], "").ok()?;
+    let list: serde_json::Value = response.json().ok()?;
     let names = list["data"].as_array()?.iter().filter_map(|model| model["id"].as_str());
     let marker = names.filter_map(|id| id.strip_prefix("rules:mark-")).next();
     Some(marker.unwrap_or_default().to_owned())
@@ -33,12 +33,12 @@
 fn wait_marker(cluster: &Cluster, expected: &str) {
     for node in &cluster.nodes {
         wait("the change is in force", || marker(node).is_some_and(|found| found == expected))
-            .expect("it is in force on every node");
+            .expect("the change is in force on every node");
     }
 }
 
-/// Two operators publish changes made from the same version. The log puts them in an order, every node
-/// accepts the first and rejects the second, and all show the same one, now and after the next change.
+/// Of two changes made from the same version, every node must accept the first one in the log and reject the
+/// second one.
 #[test]
 fn of_two_racing_changes_one_wins_everywhere() {
     let cluster = start(settings());
@@ -46,35 +46,35 @@
     let offsets = std::thread::scope(|scope| {
         let publish = |marker: &'static str| {
             let (change, cluster) = (marked(document, marker), &cluster);
-            scope.spawn(move || cluster.publish(FIRST, &change).expect("the log takes it"))
+            scope.spawn(move || {
+                cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record")
+            })
         };
         [publish("mark-x"), publish("mark-y")].map(|thread| thread.join().expect("no panic"))
     });
     let winner = if offsets[0] < offsets[1] { "x" } else { "y" };
     wait_marker(&cluster, winner);
-    // A change made from the loser's version was made from nothing that was ever in force.
+    // A change based on the rejected version must be rejected too.
     let lost = offsets[0].max(offsets[1]);
-    cluster.publish(lost, &marked(document, "mark-z")).expect("the log takes it");
+    cluster.publish(lost, &marked(document, "mark-z")).expect("the log accepts the record");
     cluster
         .publish(offsets[0].min(offsets[1]), &marked(document, "mark-next"))
-        .expect("it is taken");
+        .expect("the log accepts the record");
     wait_marker(&cluster, "next");
 }
 
-/// A node shows changes in their order and never one that is older than what it has shown, while
-/// changes come one after the other.
+/// Under a sequence of changes, no node may go back to an older one.
 #[test]
 fn no_node_shows_an_older_configuration_than_before() {
-    /// Changes, which take longer than a look at a node.
     const CHANGES: u64 = 30;
     let cluster = start(settings());
     std::thread::scope(|scope| {
         let watchers: Vec<_> =
             cluster.nodes.iter().map(|node| scope.spawn(|| watch(node, CHANGES))).collect();
-        let mut version = FIRST;
+        let mut version = FIRST_VERSION;
         for n in 1..=CHANGES {
             let change = marked(&cluster.deployment.document, &format!("mark-{n}"));
-            version = cluster.publish(version, &change).expect("the log takes it");
+            version = cluster.publish(version, &change).expect("the log accepts the record");
         }
         for watcher in watchers {
             watcher.join().expect("the node shows no older version");
@@ -82,7 +82,7 @@
     });
 }
 
-/// Looks at a node until it shows change number `last`; panics where it goes back.
+/// Polls a node until it shows change number `last`; panics if it goes back to an older one.
 fn watch(node: &Node, last: u64) {
     let mut shown = 0;
     wait("the last change is in force", || {
@@ -92,16 +92,16 @@
         shown = found;
         shown == last
     })
-    .expect("it is in force on every node");
+    .expect("the change is in force on every node");
 }
 
-/// A new node serves with the newest configuration. All records of the log have expired when it
-/// starts, so that it has to ask its peers.
+/// A node that starts after all records of the log have expired must get the newest configuration from its
+/// peers.
 #[test]
 fn a_node_that_starts_after_the_records_expired_has_the_configuration() {
     let mut cluster = start(settings());
     let change = marked(&cluster.deployment.document, "mark-new");
-    cluster.publish(FIRST, &change).expect("the log takes it");
+    cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
     wait_marker(&cluster, "new");
     fault(&cluster.deployment.platform, &Faults { expire: true, ..Faults::default() });
     let node = cluster.start_node("b2", "stgo-b").expect("the node starts");
@@ -111,13 +111,13 @@
     cluster.wait_served().expect("it serves every model");
 }
 
-/// Nodes show what they have, and nothing older, while the log is down and after it has come back
-/// without its records; a change that is published then is in force.
+/// Nodes must keep the configuration during an outage of the log and after the log lost its records, and then
+/// accept the next change.
 #[test]
 fn the_configuration_outlives_an_outage_of_the_log() {
     let cluster = start(settings());
     let change = marked(&cluster.deployment.document, "mark-before");
-    let version = cluster.publish(FIRST, &change).expect("the log takes it");
+    let version = cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
     wait_marker(&cluster, "before");
     let log = &cluster.deployment.platform;
     fault(log, &Faults { down: true, ..Faults::default() });
@@ -125,19 +125,20 @@
     fault(log, &Faults { expire: true, ..Faults::default() });
     wait_marker(&cluster, "before");
     let change = marked(&cluster.deployment.document, "mark-after");
-    cluster.publish(version, &change).expect("the log takes it");
+    cluster.publish(version, &change).expect("the log accepts the record");
     wait_marker(&cluster, "after");
 }
 
-/// A node that cannot reach the log has a change that was accepted meanwhile: its peers tell it.
+/// A node that cannot reach the log must get changes from its peers.
 #[test]
 fn a_node_without_the_log_gets_a_change_from_its_peers() {
     let mut cluster = start(settings());
-    // It learns of its peers when one of them calls, since it cannot read the list of VMs.
-    let cut_off = cluster.start_node_at("b2", "stgo-b", nowhere(), &[]).expect("the node starts");
+    // The node cannot read the list of VMs, so it learns of its peers when one of them connects.
+    let cut_off =
+        cluster.start_node_at("b2", "stgo-b", unreachable_addr(), &[]).expect("the node starts");
     cluster.nodes.push(cut_off);
     cluster.list_vms().expect("the list can be set");
     let change = marked(&cluster.deployment.document, "mark-far");
-    cluster.publish(FIRST, &change).expect("the log takes it");
+    cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
     wait_marker(&cluster, "far");
 }
