--- a/crates/gateway/src/attempt_guard.rs
+++ b/crates/gateway/src/attempt_guard.rs
@@ -39,7 +39,8 @@
             }
         }
         if let Some(id) = pending_prefill {
-            node.peer_socket.broadcast(node, &Datagram::Sent(engine.clone(), started_at, id, tokens));
+            node.peer_socket
+                .broadcast(node, &Datagram::Sent(engine.clone(), started_at, id, tokens));
         }
         AttemptGuard { node: Rc::clone(node), engine: engine.clone(), started_at, pending_prefill }
     }
@@ -85,9 +86,10 @@
     pub(crate) fn record_response_start(&mut self, load: Option<Load>) {
         let Some(id) = self.pending_prefill.take() else { return };
         let load = load.map(|load| (load.running, load.waiting));
-        self.node
-            .peer_socket
-            .broadcast(&self.node, &Datagram::ResponseStarted(self.engine.clone(), self.started_at, id, load));
+        self.node.peer_socket.broadcast(
+            &self.node,
+            &Datagram::ResponseStarted(self.engine.clone(), self.started_at, id, load),
+        );
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let Some(engine) = state.engines.get_mut(&self.engine) else { return };
--- a/crates/gateway/src/election/lease_record.rs
+++ b/crates/gateway/src/election/lease_record.rs
@@ -6,8 +6,8 @@
 use hgw_direct::Era;
 use serde::{Deserialize, Serialize};
 
-use crate::protocol::{Cursor, Record};
 use crate::eras;
+use crate::protocol::{Cursor, Record};
 use crate::shared::Node;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/gateway/src/election/mod.rs
+++ b/crates/gateway/src/election/mod.rs
@@ -109,13 +109,13 @@
     if !node.leadership.borrow().is_leader() {
         return;
     }
-    let Ok(log) = node.dialects.store.poll_lease_log(None, Duration::ZERO).await else { return };
+    let Ok(log) = node.protocols.store.poll_lease_log(None, Duration::ZERO).await else { return };
     let last = log.records.iter().rev().find_map(parse);
     let own_name = node.settings.borrow().node.clone();
     node.leadership.borrow_mut().step_down();
     if last.is_some_and(|entry| entry.node == own_name) {
         // If this fails, the successor waits until the lease expires.
         let released = serialize(&node, RecordKind::Release, log.end);
-        let _ = node.dialects.store.append_lease_record(log.end, released).await;
+        let _ = node.protocols.store.append_lease_record(log.end, released).await;
     }
 }
--- a/crates/gateway/src/election/participant.rs
+++ b/crates/gateway/src/election/participant.rs
@@ -10,10 +10,10 @@
 
 use crate::backoff::wait_to_retry;
 use crate::clock::boot_time;
-use crate::protocol::{LeaseLogUpdate, Cursor, DecodeError, Record, StoreError};
 use crate::eras;
 use crate::follow::StoreLink;
 use crate::leader;
+use crate::protocol::{Cursor, DecodeError, LeaseLogUpdate, Record, StoreError};
 use crate::quotas;
 use crate::shared::Node;
 
@@ -101,7 +101,7 @@
         let sent_at = boot_time();
         node.leadership.borrow_mut().record_attempt(sent_at, lease);
         let renewal = serialize(&node, RecordKind::Renewal, end);
-        match node.dialects.store.append_lease_record(end, renewal).await {
+        match node.protocols.store.append_lease_record(end, renewal).await {
             Ok(()) => {
                 self.log_end = Some(end.plus(1));
                 node.leadership.borrow_mut().record_renewal(sent_at, end.plus(1));
@@ -236,7 +236,12 @@
         };
         let node = Rc::clone(&self.node);
         let sent_at = boot_time();
-        match node.dialects.store.append_lease_record(end, serialize(&node, RecordKind::Claim, end)).await {
+        match node
+            .protocols
+            .store
+            .append_lease_record(end, serialize(&node, RecordKind::Claim, end))
+            .await
+        {
             Ok(()) => {
                 self.log_end = Some(end.plus(1));
                 Ok(Some((fence, self.become_leader(end, fence, sent_at))))
@@ -269,7 +274,7 @@
 
     async fn read_log(&mut self, wait: Duration) -> Result<(), StoreError> {
         let sent_at = boot_time();
-        let update = self.node.dialects.store.poll_lease_log(self.log_end, wait).await?;
+        let update = self.node.protocols.store.poll_lease_log(self.log_end, wait).await?;
         let LeaseLogUpdate { end, records } = update;
         if self.log_end.is_some_and(|known| end < known) {
             // The log was rewound, so what was read before is void.
--- a/crates/gateway/src/eras.rs
+++ b/crates/gateway/src/eras.rs
@@ -17,7 +17,7 @@
 
 /// Checks for a new era after a call to the store.
 pub(crate) fn check(node: &Shared) {
-    record(node, node.dialects.store.era(), Duration::ZERO, "store");
+    record(node, node.protocols.store.era(), Duration::ZERO, "store");
 }
 
 /// Era for other nodes and its least age in milliseconds; none in the first era.
@@ -30,7 +30,7 @@
 /// Takes in the era that another node reported.
 pub(crate) fn record_reported(node: &Shared, reported: Option<(Era, u64)>) {
     let Some((era, lasted_ms)) = reported else { return };
-    node.dialects.store.observe_era(era);
+    node.protocols.store.observe_era(era);
     record(node, era, Duration::from_millis(lasted_ms), "peer");
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -10,12 +10,12 @@
 
 use crate::backoff::{retry_pause, wait_to_retry};
 use crate::clock::boot_time;
-use crate::dialect::{Cursor, EngineChange, EngineEntry, EngineNews, StoreError};
 use crate::eras;
+use crate::freshness;
 use crate::leader;
 use crate::meter;
 use crate::peers;
-use crate::proof;
+use crate::protocol::{Cursor, EngineChange, EngineEntry, EngineListUpdate, StoreError};
 use crate::shared::{ListSource, Node};
 
 /// Pause before the next read while the store has no configuration.
@@ -98,7 +98,8 @@
         }
         // After an outage, a call that waits for update would delay the detection that the store is
         // back.
-        let default_wait = proof::longest_wait(&node, node.settings.borrow().max_catalog_wait());
+        let default_wait =
+            freshness::max_poll_wait(&node, node.settings.borrow().max_catalog_wait());
         let wait = if link.is_down() || has_leader_updates { Duration::ZERO } else { default_wait };
         let asked_at = boot_time();
         if let Some((version, at)) =
@@ -106,7 +107,7 @@
         {
             (newest, cursor) = (Some(version), Some(at));
         }
-        let call = node.dialects.store.catalog(cursor, wait);
+        let call = node.protocols.store.poll_catalog(cursor, wait);
         let response = if is_reported {
             call.await
         } else {
@@ -125,7 +126,7 @@
                     newest = adopt(&node, text).map(|adopted| adopted.version);
                 }
                 if let Some(newest) = newest {
-                    proof::read(&node, VersionCheck { newest, asked_at });
+                    freshness::record_store_read(&node, VersionCheck { newest, asked_at });
                     node.catalog_position.set(cursor.map(|at| (newest, at)));
                 }
                 if is_unchanged && node.state.borrow().catalog.is_none() {
@@ -136,7 +137,7 @@
                 link.record_failure(&e);
                 if has_leader_updates {
                     // Another node may still report that the configuration is current.
-                    sleep(retry_pause(&node).min(proof::longest_pause(&node))).await;
+                    sleep(retry_pause(&node).min(freshness::max_retry_delay(&node))).await;
                 } else {
                     wait_to_retry(&node).await;
                 }
@@ -157,7 +158,7 @@
 
 /// Whether this node must ask the store if its configuration is current.
 fn needs_store_check(node: &Node) -> bool {
-    proof::is_due(node, node.has_hub())
+    freshness::needs_store_check(node, node.has_hub())
 }
 
 /// Resolves when another node reports a newer configuration. Requests would be served with the old
@@ -187,7 +188,7 @@
     {
         return Some(Adopted { version, is_newer: false });
     }
-    let catalog = match node.dialects.store.read_catalog(&text) {
+    let catalog = match node.protocols.store.parse_catalog(&text) {
         Ok(catalog) => catalog,
         Err(e) => {
             emit(Event::ConfigRejected, &[("node", &node.settings.borrow().node), ("why", &e)]);
@@ -222,7 +223,7 @@
             node.pool.sweep();
             continue;
         }
-        match node.dialects.store.engines(cursor).await {
+        match node.protocols.store.read_engines(cursor).await {
             Ok(update) => {
                 node.list_read_at.set(node.now());
                 node.must_read_list.set(false);
@@ -273,14 +274,14 @@
     Duration::from_millis(node.now().saturating_sub(last))
 }
 
-fn apply_list_update(node: &Node, update: EngineNews, keep_missing: bool) {
+fn apply_list_update(node: &Node, update: EngineListUpdate, keep_missing: bool) {
     let now = node.now();
     if let Some(first) = update.malformed.first() {
         let (name, entries) = (&node.settings.borrow().node, update.malformed.len());
         emit(Event::ConfigRejected, &[("node", name), ("why", first), ("entries", &entries)]);
     }
     let mut state = node.state.borrow_mut();
-    if update.whole && update.cursor.era > Era::FIRST {
+    if update.is_full_list && update.cursor.era > Era::FIRST {
         state.engines.set_backup_end(update.cursor);
     }
     let mut snapshot = Vec::new();
@@ -293,7 +294,7 @@
                 }
                 listed.position = at;
                 keep_reported_models(&state.engines, &mut listed);
-                if update.whole {
+                if update.is_full_list {
                     snapshot.push(*listed);
                 } else {
                     state.engines.upsert(*listed);
@@ -306,13 +307,13 @@
             }
             EngineEntry::Unreadable(id) => {
                 state.engines.mark_unreadable(&id, at);
-                if update.whole {
+                if update.is_full_list {
                     snapshot.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
             }
         }
     }
-    if update.whole {
+    if update.is_full_list {
         state.engines.apply_snapshot(snapshot, update.cursor, keep_missing);
     }
     drop(state);
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -42,7 +42,7 @@
 pub(crate) fn record_store_read(node: &Shared, check: VersionCheck) {
     let known_version = node.state.borrow().catalog.as_ref().map_or(0, |c| c.version);
     let is_store_outdated = node.era.get().era() > Era::FIRST && check.newest < known_version;
-    if !is_store_outdated && check.asked_at >= eras::written_again_at(node) {
+    if !is_store_outdated && check.asked_at >= eras::recovered_at(node) {
         record(node, check);
     }
 }
@@ -88,7 +88,7 @@
 
 /// Whether this node must query the store itself because no other node reports a recent result.
 pub(crate) fn needs_store_check(node: &Shared, is_behind_hub: bool) -> bool {
-    let spread = STORE_CHECK_SPREAD * f64::from(node.draw) / f64::from(u32::MAX);
+    let spread = STORE_CHECK_SPREAD * f64::from(node.jitter) / f64::from(u32::MAX);
     !is_younger_than(
         node,
         if is_behind_hub { STORE_CHECK_AFTER_BEHIND_HUB + spread } else { STORE_CHECK_AFTER },
--- a/crates/gateway/src/leader/adapters.rs
+++ b/crates/gateway/src/leader/adapters.rs
@@ -9,8 +9,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::protocol::OrderKind;
 use crate::peers::Placement;
+use crate::protocol::OrderKind;
 use crate::shared::Node;
 
 use super::order::{OrderResult, count_accepted, may_send_orders, send_order};
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -7,8 +7,8 @@
 use hgw_http1::{BodyDecoder, Request};
 use tokio::time::timeout;
 
-use crate::protocol::{Order, OrderKind, Report};
 use crate::meter;
+use crate::protocol::{Order, OrderKind, Report};
 use crate::shared::Node;
 
 use super::placement_changed;
@@ -56,7 +56,7 @@
     let known = node.engine(engine, |e| (e.info.addr, e.accepted_orders, e.info.started_at));
     let Some((addr, seq, start)) = known else { return OrderResult::Refused };
     let order = Order { addr, engine, kind, wanted: model_ref, seq, holder: &own_name, fence };
-    let req = node.dialects.upstreams.order_request(&order);
+    let req = node.protocols.upstreams.order_request(&order);
     let result = match call(node, engine, &req).await {
         CallResult::Responded(status, body) => {
             let is_same_start =
@@ -142,9 +142,9 @@
 /// Asks an engine for its state; none if it does not respond.
 pub(super) async fn fetch_report(node: &Node, engine: &EngineId) -> Option<Idle> {
     let addr = node.engine(engine, |e| e.info.addr)?;
-    let req = node.dialects.upstreams.report_request(addr, engine);
+    let req = node.protocols.upstreams.report_request(addr, engine);
     let CallResult::Responded(200, body) = call(node, engine, &req).await else { return None };
-    match node.dialects.upstreams.parse_report(&body) {
+    match node.protocols.upstreams.parse_report(&body) {
         Ok(report) => {
             let idle = Idle(!report.busy && report.loading_adapters.is_empty());
             apply_report(node, engine, report).then_some(idle)
@@ -191,7 +191,7 @@
 
 async fn call(node: &Node, engine: &EngineId, req: &Request) -> CallResult {
     let Some(addr) = node.engine(engine, |e| e.info.addr) else { return CallResult::NotSent };
-    let connected = timeout(RESPONSE_TIMEOUT, node.pool.get(addr, node.connect_limits())).await;
+    let connected = timeout(RESPONSE_TIMEOUT, node.pool.get(addr, node.conn_timeouts())).await;
     let Ok(Ok(mut conn)) = connected else { return CallResult::NotSent };
     let response = async {
         let head = conn.round_trip(req).await.ok()?;
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -76,11 +76,11 @@
         }
     };
     let entry = serde_json::to_vec(&member).expect("a member is valid JSON");
-    node.dialects.store.register_node(&member.node, entry.into()).await.is_ok()
+    node.protocols.store.register_node(&member.node, entry.into()).await.is_ok()
 }
 
 async fn count_nodes(node: &Node) -> bool {
-    let Ok(nodes) = node.dialects.store.registered_nodes().await else { return false };
+    let Ok(nodes) = node.protocols.store.registered_nodes().await else { return false };
     // An entry that cannot be parsed is from another version of the program and still counts.
     let count = u32::try_from(nodes.len()).unwrap_or(u32::MAX);
     let members = nodes.iter().filter_map(|(_, entry)| serde_json::from_slice(entry).ok());
--- a/crates/gateway/src/peers/datagrams.rs
+++ b/crates/gateway/src/peers/datagrams.rs
@@ -170,6 +170,6 @@
     drop(state);
     node.handle_restarts();
     if ends_prefill {
-        node.turns.changed.notify_waiters();
+        node.prefill_queue.changed.notify_waiters();
     }
 }
--- a/crates/gateway/src/peers/in_flight.rs
+++ b/crates/gateway/src/peers/in_flight.rs
@@ -157,5 +157,5 @@
         engine.in_flight_elsewhere =
             aggregator.is_fresh().then(|| aggregator.in_flight_elsewhere(engine.key()));
     }
-    node.turns.changed.notify_waiters();
+    node.prefill_queue.changed.notify_waiters();
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -24,11 +24,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::eras;
 use crate::follow;
 use crate::leader;
 use crate::quotas;
+use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::shared::Node;
 
 pub(crate) use children::Children;
@@ -156,7 +156,7 @@
     max_wait: Duration,
 ) -> Result<Bytes, CallError> {
     let roundtrip = async {
-        let mut conn = node.pool.get(addr, node.connect_limits()).await?;
+        let mut conn = node.pool.get(addr, node.conn_timeouts()).await?;
         let head = conn.round_trip(req).await?;
         let body = conn.read_body(BodyDecoder::new(head.framing), MAX_MESSAGE_BYTES).await?;
         node.pool.put(addr, conn);
--- a/crates/gateway/src/peers/poll.rs
+++ b/crates/gateway/src/peers/poll.rs
@@ -11,8 +11,8 @@
 
 use crate::clock::boot_time;
 use crate::eras;
-use crate::leader;
 use crate::freshness;
+use crate::leader;
 use crate::shared::Node;
 
 use super::list::{apply_list_update, apply_placements};
--- a/crates/gateway/src/peers/poll_response.rs
+++ b/crates/gateway/src/peers/poll_response.rs
@@ -5,8 +5,8 @@
 use tokio::time::timeout;
 
 use crate::eras;
-use crate::leader;
 use crate::freshness;
+use crate::leader;
 use crate::shared::Node;
 
 use super::MAX_POLL_WAIT;
--- a/crates/gateway/src/peers/unreachable.rs
+++ b/crates/gateway/src/peers/unreachable.rs
@@ -97,7 +97,7 @@
         let Some(addr) = engine_addr(node, key) else { return };
         announce(node, key, true);
         // A lost engine refuses the connection at once, or the attempt times out.
-        if Conn::connect(addr, node.connect_limits()).await.is_ok() {
+        if Conn::connect(addr, node.conn_timeouts()).await.is_ok() {
             announce(node, key, false);
             return;
         }
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -223,7 +223,8 @@
             let (Err(NoEngine::NotLoaded(_)), Some(model_ref)) = (&result, self.model_ref()) else {
                 return result;
             };
-            let placement = peers::request_placement(&self.node, model_ref, self.stale_engine.as_ref());
+            let placement =
+                peers::request_placement(&self.node, model_ref, self.stale_engine.as_ref());
             match timeout_at(wait_until, placement).await {
                 Ok(Placement::Placed) => {
                     if let Ok(choice) = self.choose_now() {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,12 +12,13 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-use crate::answer::{Answer, AnswerBody, Answered, own};
 use crate::clock::boot_time;
-use crate::dialect::Dialects;
+use crate::protocol::Protocols;
+use crate::response::{CallerResponse, ResponseBody, ResponseResult, json_error};
 use crate::shared::{Node, Shared};
 use crate::{
-    Settings, election, follow, front, listen, members, meter, peers, proof, quotas, shutdown,
+    Settings, caller_listener, election, follow, freshness, listen, members, meter, peers, quotas,
+    shutdown,
 };
 
 #[derive(Debug, Clone)]
@@ -47,7 +48,7 @@
 /// Runs a node until it is told to end.
 pub fn run(
     settings: Settings,
-    dialects: Dialects,
+    dialects: Protocols,
     signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -59,7 +60,7 @@
 
 async fn serve(
     settings: Settings,
-    dialects: Dialects,
+    dialects: Protocols,
     mut signals: mpsc::UnboundedReceiver<Signal>,
 ) -> io::Result<Ended> {
     let callers = listen::listen(settings.caller_addr)?;
@@ -76,12 +77,12 @@
     spawn(Box::pin(election::take_part(Rc::clone(&node))));
     spawn(Box::pin(peers::poll(Rc::clone(&node))));
     spawn(Box::pin(peers::report_in_flight(Rc::clone(&node))));
-    spawn(Box::pin(quotas::keep(Rc::clone(&node))));
+    spawn(Box::pin(quotas::refill(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::handle_request)));
     spawn(Box::pin(members::register_and_count(Rc::clone(&node))));
     spawn(Box::pin(watch_clocks(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
-    spawn(Box::pin(front::serve(Rc::clone(&node), callers)));
+    spawn(Box::pin(caller_listener::serve(Rc::clone(&node), callers)));
     match datagrams {
         Ok(datagrams) => spawn(Box::pin(peers::receive(Rc::clone(&node), Rc::new(datagrams)))),
         // Without datagrams a node balances by its own requests only.
@@ -134,32 +135,32 @@
         }
         last = now;
         node.update_isolation();
-        proof::look(&node);
+        freshness::log_change(&node);
     }
 }
 
 async fn serve_metrics(node: Node, listener: TcpListener) {
-    let Some(recorder) = meter::recorder() else { return };
+    let Some(recorder) = meter::install_recorder() else { return };
     let answer = move |node: Node, _| {
-        meter::beliefs(&node);
+        meter::update_gauges(&node);
         let text = recorder.render();
-        async { Ok(Response::new(AnswerBody::whole(text))) }
+        async { Ok(Response::new(ResponseBody::full(text))) }
     };
     listen::serve(node, listener, answer).await;
 }
 
-async fn answer_ready(node: Node, req: http::Request<Incoming>) -> Answered {
+async fn answer_ready(node: Node, req: http::Request<Incoming>) -> ResponseResult {
     let (parts, _) = req.into_parts();
     Ok(ready_answer(&node, &parts))
 }
 
-fn ready_answer(node: &Node, parts: &http::request::Parts) -> Answer {
-    if !node.dialects.callers.asks_ready(parts) {
-        return own(StatusCode::NOT_FOUND, "unknown path");
+fn ready_answer(node: &Node, parts: &http::request::Parts) -> CallerResponse {
+    if !node.protocols.callers.is_readiness_probe(parts) {
+        return json_error(StatusCode::NOT_FOUND, "unknown path");
     }
     if node.is_ready() {
-        Response::new(AnswerBody::Whole(None))
+        Response::new(ResponseBody::Full(None))
     } else {
-        own(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        json_error(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -22,16 +22,16 @@
 use crate::Settings;
 use crate::backoff::Backoff;
 use crate::clock::Clock;
-use crate::protocol::{Cursor, Protocols};
 use crate::election::Leadership;
+use crate::freshness::{self, Freshness};
 use crate::leader::LeaderState;
 use crate::peers::{Children, PeerSocket, PlacementChanges};
 use crate::pool::Pool;
-use crate::freshness::{self, Freshness};
+use crate::prefill_queue::PrefillQueue;
+use crate::protocol::{Cursor, Protocols};
 use crate::quotas::Quotas;
 use crate::shutdown::Shutdown;
 use crate::state::State;
-use crate::prefill_queue::PrefillQueue;
 
 /// Engines are a few milliseconds away, so a slower connection attempt has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/hibiscusgw/src/on_platform.rs
+++ b/crates/hibiscusgw/src/on_platform.rs
@@ -31,8 +31,8 @@
         &[
             ("node", &node),
             ("domain", &settings.domain),
-            ("callers", &settings.callers),
-            ("peers", &settings.peers),
+            ("callers", &settings.caller_addr),
+            ("peers", &settings.peer_addr),
             ("operators", &"none"),
         ],
     );
@@ -42,7 +42,7 @@
     thread::spawn(move || watcher.poll(&watcher_tx));
     let watcher = SettingsWatcher { path: path.to_owned(), overrides, current: settings.clone() };
     thread::spawn(move || forward_signals(signals, watcher, &node_tx));
-    let ended = hgw_gateway::run(settings, hgw_platform::dialects(store), node_rx);
+    let ended = hgw_gateway::run(settings, hgw_platform::protocols(store), node_rx);
     match ended.map_err(Error::Listen)? {
         Ended::Stopped => {
             emit(Event::ProcessStopped, &[("node", &node)]);
