--- a/crates/hibiscusgw/tests/platform/calls.rs
+++ b/crates/hibiscusgw/tests/platform/calls.rs
@@ -23,7 +23,7 @@
     assert_eq!(fleet.nodes[node].plain("/nowhere/", "call-1").unwrap().status, 404);
     let response = fleet.nodes[node].call(Method::GET, "/look/", &[]).unwrap();
     assert_eq!(response.status, 400);
-    assert_eq!(response.body, r#"{"error":"X-Request-Id is ``: a name of this attempt"}"#);
+    assert_eq!(response.body, r#"{"error":"X-Request-Id is ``: a unique id for this attempt"}"#);
 }
 
 /// A call that is not idempotent must not be retried after its response was lost, and its caller must not
