--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -42,7 +42,7 @@
     pub max_event_gap: Option<Duration>,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Whether callers without a key are served.
     pub is_public: bool,
     /// Maximum number of engines that one request is sent to.
     pub max_attempts: u32,
@@ -97,7 +97,7 @@
     pub slots: u32,
     /// Memory for weights and adapters.
     pub weights_mb: f64,
-    /// Adapters that an engine holds at the same time.
+    /// Maximum number of adapters that an engine has loaded at the same time.
     pub adapter_slots: u32,
     /// Limit on loads from the weight store, over all engines.
     pub loads_per_s: f64,
@@ -163,7 +163,7 @@
 }
 
 impl Catalog {
-    /// Whether less urgent requests than these may go to the service. A customer's priority
+    /// Whether requests less urgent than `priority` may go to the service. A customer's priority
     /// overrides the priority of a route.
     pub fn has_less_urgent(&self, service: &ServiceId, priority: u8) -> bool {
         let targets_service =
--- a/crates/direct/src/hubs.rs
+++ b/crates/direct/src/hubs.rs
@@ -15,14 +15,15 @@
 /// than it saves.
 const MIN_NODES: usize = 5;
 
-/// Maximum number of hub candidates per domain. If none of them responds, each node asks the leader.
+/// Maximum number of hub candidates per domain. If none of them responds, each node polls the
+/// leader.
 const MAX_CANDIDATES: usize = 3;
 
-/// Minimum CPU share of a candidate, as a part of the largest in its domain. Small VMs would
+/// Minimum CPU share of a candidate, relative to the largest in its domain. Small VMs would
 /// saturate their links and delay requests.
 const MIN_CPU_RATIO: f64 = 0.5;
 
-/// Number of nodes that may poll the same node at the full rate.
+/// Number of children of one node, or of nodes in total, per step of the poll interval factor.
 const CHILDREN_PER_STEP: u32 = 10;
 
 /// Maximum poll interval factor; with longer intervals updates would be outdated on arrival.
@@ -67,7 +68,7 @@
     in_domain.into_iter().take(MAX_CANDIDATES).cloned().collect()
 }
 
-/// The node that is asked for updates.
+/// The node that is polled for updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Parent {
     Leader,
@@ -108,11 +109,11 @@
         self.skipped.insert(addr, (reason, now + time));
     }
 
-    /// The node that the node at `me` asks, with the leader at `leader`.
+    /// The node that the node at `me` polls, with the leader at `leader`.
     ///
-    /// If all candidates are outdated the leader is asked, as the store may refuse a whole domain.
-    /// If the leader is outdated too, the store is down for all nodes, and the first candidate that
-    /// responds is asked.
+    /// If all candidates are outdated, the leader is polled: the store may be unreachable from a
+    /// whole domain. If the leader is outdated too, the store is down for all nodes, and the first
+    /// candidate that responds is polled.
     pub fn parent(&self, me: SocketAddr, leader: Option<SocketAddr>, now: Millis) -> Parent {
         let candidates =
             || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != leader);
--- a/crates/direct/src/isolation.rs
+++ b/crates/direct/src/isolation.rs
@@ -2,19 +2,20 @@
 
 use crate::{Engines, Millis};
 
-/// Part of the engines of other failure domains that an isolated node cannot reach.
+/// Minimum share of unreachable engines in other failure domains for a node to count as isolated.
 const UNREACHABLE_RATIO: f64 = 0.8;
 
-/// Minimum number of engines to decide by.
+/// Minimum number of engines in other failure domains; with fewer, no node counts as isolated.
 const MIN_ENGINES: usize = 3;
 
-/// Time without a response from the store; reads of the store's logs end twice per second.
+/// Time without a response after which the store counts as unreachable. Reads of its logs normally
+/// return at least twice per second.
 const STORE_TIMEOUT: Millis = 1_200;
 
-/// Whether the node reaches neither the store nor the engines of other failure domains. It then
+/// Whether the node reaches neither the store nor most engines of other failure domains. It then
 /// reports that it is not ready, so that callers go to other nodes.
 ///
-/// The store alone is not enough: during a store outage all nodes would report not ready.
+/// An unreachable store alone is not enough: during its outage all nodes would report not ready.
 pub fn is_isolated(
     store_unresponsive_for: Millis,
     engines: &Engines,
--- a/crates/direct/tests/in_flight.rs
+++ b/crates/direct/tests/in_flight.rs
@@ -55,7 +55,7 @@
     assert_eq!(reports.sum(key(2)).requests, 1);
 }
 
-/// Guards against a load that stays after the datagram with its end was lost.
+/// Guards against a load that remains after the datagram that reported its end was lost.
 #[test]
 fn full_update_makes_up_for_a_lost_one() {
     let mut reports = PeerReports::default();
@@ -112,8 +112,8 @@
     );
 }
 
-/// Guards against datagrams beyond the MTU, and against dropping engines that another datagram
-/// covers.
+/// Guards against datagrams larger than the MTU, and against applying one datagram of a complete
+/// report as if it were all of it.
 #[test]
 fn many_engines_take_several_datagrams() {
     let flights: IndexMap<EngineKey, InFlightLoad> =
@@ -130,8 +130,8 @@
 }
 
 proptest! {
-    /// After lost datagrams, complete reports correct the sums; nothing is left once all nodes are
-    /// gone.
+    /// After lost datagrams, complete reports correct the sums; nothing is left once the reports of
+    /// all nodes have expired.
     #[test]
     fn sums_are_those_of_the_last_updates(
         steps in vec((0_u16..4, vec((0_u32..6, 0_u32..9), 0..6), any::<bool>()), 1..40),
