--- a/crates/gateway/src/election/mod.rs
+++ b/crates/gateway/src/election/mod.rs
@@ -24,7 +24,7 @@
     pub(crate) fence: u64,
 }
 
-/// What a node knows of the lease and the leader.
+/// A node's view of the lease and the leader.
 #[derive(Debug, Default)]
 pub(crate) struct Leadership {
     /// Author of the newest claim, unless it was released.
@@ -71,7 +71,7 @@
         self.renewal_end.filter(|_| self.is_leader()).map(|end| (end, age))
     }
 
-    /// Takes in a leader that another node reported.
+    /// Records a leader that another node reported, if its claim is newer than the known one.
     pub(crate) fn record_reported_leader(&mut self, leader: LeaderInfo) {
         let is_newer = self.newest_fence.is_none_or(|newest| newest < leader.fence);
         if is_newer && !self.is_leader() {
@@ -81,7 +81,7 @@
     }
 
     /// Records an attempt to renew, unless the last one is at least a lease ago: another node may
-    /// lead by now, so that only the response decides whether this node may act.
+    /// be the leader by now, so that this node may act only after a successful renewal.
     fn record_attempt(&mut self, sent_at: Duration, lease: Duration) {
         if sent_at.saturating_sub(self.attempted_at) < lease {
             self.attempted_at = sent_at;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Releases the lease in a planned shutdown.
+/// Releases the lease in a graceful shutdown.
 pub(crate) async fn release(node: Node) {
     if !node.leadership.borrow().is_leader() {
         return;
--- a/crates/gateway/src/leader/adapters.rs
+++ b/crates/gateway/src/leader/adapters.rs
@@ -16,7 +16,7 @@
 use super::order::{OrderResult, count_accepted, may_send_orders, send_order};
 use super::{model_pools, models, order_lock, placement_changed};
 
-/// Pause before the first check of a load, about the time that one takes.
+/// Pause before the first check of a load; a load takes about this long.
 const MIN_CHECK_PAUSE: Duration = Duration::from_millis(6);
 
 /// Maximum pause between checks, each of which is an order.
@@ -52,9 +52,9 @@
     if model_ref.adapter.is_none() || !is_loaded(node, &model) {
         return Placement::Coming(models::expected_load_ms(node, &model_ref.model));
     }
-    // Runs as a task of its own, because the caller may leave while an order is pending.
+    // Runs as a separate task, because the caller may disconnect while an order is pending.
     let done = start_placement(node, model_ref, domain);
-    // The check below shows whether the adapter was loaded.
+    // A timeout is ignored: the check below shows whether the adapter was loaded.
     let _ = timeout(LOAD_TIMEOUT, done.notified()).await;
     if is_loaded(node, model_ref) { Placement::Placed } else { Placement::Unknown }
 }
@@ -71,7 +71,8 @@
     placement_changed(node, engine);
 }
 
-/// Starts to place an adapter unless that is in progress. The result is notified at the end.
+/// Starts to place an adapter unless that is in progress. The returned `Notify` is notified at the
+/// end.
 fn start_placement(node: &Node, model_ref: &ModelRef, domain: &str) -> Rc<Notify> {
     let mut leader = node.leader_state.borrow_mut();
     if let Some(in_progress) = leader.placing.get(model_ref) {
@@ -113,7 +114,8 @@
 }
 
 async fn place_adapter_now(node: &Node, model_ref: &ModelRef, domain: &str) {
-    // An evicted adapter leaves the engine's state before the order is sent.
+    // Checked first: an evicted adapter is removed from the engine's state before the order is
+    // sent.
     if !may_send_orders(node) {
         return;
     }
@@ -246,7 +248,7 @@
                 sleep(pause).await;
                 pause = (pause * 2).min(MAX_CHECK_PAUSE);
             }
-            // An unknown order is in progress, whose outcome a new survey has to find.
+            // The engine executes or has accepted another order; a new survey determines its state.
             OrderResult::Conflict => break,
             OrderResult::NoResponse | OrderResult::NotSent => sleep(MAX_CHECK_PAUSE).await,
             OrderResult::Superseded | OrderResult::Refused => break,
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -26,17 +26,18 @@
 /// engines keeps a small machine busy, and the nodes need responses meanwhile.
 const PLAN_REST_FACTOR: u32 = 10;
 
-/// Maximum number of engines asked at a time: connecting to thousands at once would keep a small
+/// Maximum number of engines surveyed at a time: connecting to thousands at once would keep a small
 /// machine from responding to other nodes.
 const MAX_CONCURRENT_SURVEYS: usize = 64;
 
 /// Maximum age of the state in an engine's report.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// Leases after the claim by which the previous leader has noticed that its lease expired.
+/// Number of lease durations after a claim, by which time the previous leader has noticed that its
+/// lease expired.
 const SOLE_LEADER_AFTER_LEASES: Millis = 2;
 
-/// Pause before an engine is asked again that executes an order of an earlier leader.
+/// Pause before an engine that still executes an order of an earlier leader is surveyed again.
 const BUSY_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 /// Loads that the previous leader may have started without reporting them.
@@ -60,7 +61,7 @@
     loading: IndexMap<EngineId, Millis>,
     /// Engines that reported their state to this leader, and their start at that time.
     surveyed: IndexMap<EngineId, StartTime>,
-    /// Engines seen by this leader, and their start at that time.
+    /// Engines known to this leader, and their start when it last checked.
     seen: IndexMap<EngineId, StartTime>,
     /// Engines with a survey in progress.
     surveying: IndexSet<EngineId>,
@@ -77,7 +78,7 @@
     notified_list_version: ListVersion,
 }
 
-/// Bounds the number of engines asked at a time.
+/// Bounds the number of engines surveyed at a time.
 #[derive(Debug)]
 struct SurveyPermits(Semaphore);
 
@@ -118,8 +119,8 @@
     node.update_available.notify_waiters();
 }
 
-/// Start times of loads from the weight store under a claim, if this node led then or was told of
-/// them.
+/// Start times of loads from the weight store under a claim, if this node was the leader then or
+/// has received them.
 fn loads_started_under(node: &Node, claim: Option<u64>) -> Option<Vec<Millis>> {
     let claim = claim?;
     let leader = node.leader_state.borrow();
@@ -248,7 +249,7 @@
     }
 }
 
-/// Adds the demand that a node saw before it knew this leader.
+/// Adds the demand that a node recorded before it knew this leader.
 pub(crate) fn add_earlier_demand(node: &Node, from: SocketAddr, earlier: &EarlierDemand) {
     let now = node.now();
     if !node.leader_state.borrow_mut().demand_reporters.insert(from) {
@@ -275,7 +276,7 @@
     node.leader_state.borrow().load_limiter.load_ages(node.now())
 }
 
-/// Contents of the engines that have `model_ref` loaded.
+/// Engines that have `model_ref` loaded, with all their loaded models.
 pub(crate) fn placements_of(node: &Node, model_ref: &ModelRef) -> Vec<EnginePlacement> {
     let state = node.state.borrow();
     let engines = state.engines.iter().filter(|e| e.has_loaded(model_ref));
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -1,4 +1,4 @@
-//! Metrics: one function for each thing that is counted.
+//! Prometheus metrics, with one function for each recorded event.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -1,4 +1,4 @@
-//! Takes in the engine list and the loaded models that other nodes send.
+//! Applies the engine list and the loaded models that other nodes send.
 
 use hgw_direct::{
     CachedWeights, EngineInfo, EngineRecord, EngineState, Engines, ListUpdate, ListUpdateKind,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -94,8 +94,8 @@
     send_request(node, addr, &req, RESPONSE_TIMEOUT).await.ok().filter(|text| !text.is_empty())
 }
 
-/// Fetches a newer configuration from a node that polls this one. The store may have lost that
-/// version in a restore, and this node may have started since.
+/// Fetches a newer configuration from a node that polls this one. This node cannot read it from the
+/// store if a restore from a backup lost that version and the node started afterwards.
 fn fetch_newer_catalog(node: &Node, from: SocketAddr, newest: u64) {
     if newest <= poll_response::catalog_version(node) || node.is_fetching_catalog.replace(true) {
         return;
@@ -243,7 +243,7 @@
     })
 }
 
-/// A new node counts at once, because the next count in the store takes seconds.
+/// Counts a new node immediately, because the next count in the store may be seconds away.
 fn add_peer(node: &Node, peer: SocketAddr) {
     let known = u32::try_from(node.peer_socket.add_peer(peer)).unwrap_or(u32::MAX);
     let mut state = node.state.borrow_mut();
--- a/crates/gateway/src/quotas/grant.rs
+++ b/crates/gateway/src/quotas/grant.rs
@@ -11,10 +11,10 @@
 use super::message::{GrantRequest, GrantResponse};
 use super::{AllowanceSource, WaitGuard, allowance_source, boot_now, customer_quota, with_account};
 
-/// Longest time that a hub delays a response to request more itself.
+/// Maximum time that a hub delays a response while it requests more from the issuer.
 const MAX_HUB_DELAY: Duration = Duration::from_millis(60);
 
-/// Grants allowances if this node's lease ensures that no other node issues.
+/// Grants allowances as the issuer; `None` unless this node's lease ensures that there is no other.
 pub(super) fn issue(node: &Node, request: &GrantRequest) -> Option<GrantResponse> {
     let lease = node.settings.borrow().lease;
     let fence = node.leadership.borrow().exclusive_fence(lease)?;
@@ -46,7 +46,7 @@
     Some(response)
 }
 
-/// Continues to issue under a new fencing token of this node; what was granted before still counts.
+/// Keeps the issuer's state, with all earlier grants, when this node's fencing token changes.
 pub(crate) fn move_to_fence(node: &Node, old_fence: u64, fence: u64) {
     if let Some((current, _)) = node.quotas.issuer.borrow_mut().as_mut()
         && *current == old_fence
@@ -73,8 +73,8 @@
     response.map(|response| serde_json::to_vec(&response)).transpose()
 }
 
-/// Grants from the allowances of this node, which acts as a hub. Where they are short, waits briefly
-/// for more from the issuer.
+/// Grants from the allowances of this node, which acts as a hub. If they do not suffice, waits
+/// briefly for more from the issuer.
 async fn forward(node: &Node, request: &GrantRequest) -> GrantResponse {
     let mut waiters = Vec::new();
     for (customer, requested, _) in &request.rows {
--- a/crates/gateway/src/relay/buffered.rs
+++ b/crates/gateway/src/relay/buffered.rs
@@ -1,4 +1,4 @@
-//! Responses that are buffered and returned at once.
+//! Buffered responses: read in full from the engine before they are returned to the caller.
 
 use hgw_direct::{AttemptOutcome, NoEngine};
 use hgw_http1::BodyDecoder;
@@ -13,8 +13,8 @@
 /// Largest response that is buffered; a larger one counts as incomplete.
 const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// Serves a request with a buffered response. An incomplete one can be retried if the
-/// route allows it, and is reported as an error otherwise.
+/// Serves a request with a buffered response. If the response is incomplete, the request is retried
+/// if the route allows it, and otherwise fails.
 pub(super) async fn serve(mut req: RelayedRequest) -> CallerResponse {
     let mut failure = None;
     loop {
@@ -62,7 +62,7 @@
 enum Failure {
     /// A complete and signed error response.
     Response(CallerResponse),
-    /// Nothing that can be passed on.
+    /// No response that can be passed on, and why.
     Reason(&'static str),
 }
 
--- a/crates/gateway/src/relay/identity.rs
+++ b/crates/gateway/src/relay/identity.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Identity {
     credentials: Credentials,
-    /// Whether customers are configured, so that only they and public routes are served.
+    /// Whether customers are configured; then other callers are served on public routes only.
     has_customers: bool,
     pub(super) customer: Option<CustomerId>,
 }
@@ -45,8 +45,7 @@
                 (Some(name.clone()), Some(customer.clone()))
             }
             CallerIdentity::Anonymous => (None, None),
-            // A key may have been added since: with a possibly outdated list it is not rejected as
-            // unknown.
+            // An unknown key is rejected only if the list is current: it may have been added since.
             CallerIdentity::Unauthorized if freshness::is_fresh(node) => {
                 return Err(AuthError::Unauthorized);
             }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -23,9 +23,9 @@
 
 #[derive(Debug, Clone)]
 pub enum Signal {
-    /// Shut down as planned.
+    /// Shut down gracefully.
     Stop,
-    /// End at once.
+    /// End immediately.
     Kill,
     /// Replace the settings; changed listen addresses have no effect.
     Settings(Box<Settings>),
@@ -33,9 +33,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// After a planned shutdown.
+    /// After a graceful shutdown.
     Stopped,
-    /// Immediately.
+    /// Without a graceful shutdown.
     Killed,
 }
 
@@ -45,7 +45,7 @@
 /// Pauses longer than this count as suspended: pooled connections may be dead.
 const MIN_SUSPEND_TIME: Duration = Duration::from_millis(1_000);
 
-/// Runs a node until it is told to end.
+/// Runs a node until a signal ends it.
 pub fn run(
     settings: Settings,
     dialects: Protocols,
@@ -85,7 +85,7 @@
     spawn(Box::pin(caller_listener::serve(Rc::clone(&node), callers)));
     match datagrams {
         Ok(datagrams) => spawn(Box::pin(peers::receive(Rc::clone(&node), Rc::new(datagrams)))),
-        // Without datagrams a node balances by its own requests only.
+        // Without datagrams a node balances load by its own requests only.
         Err(e) => listener_failed(&node, "words of other nodes", &e),
     }
     match metrics {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the configuration, the engines and the demand.
+//! A node's view of the configuration, the engines and the demand.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 };
 use indexmap::IndexMap;
 
-/// Bounds the memory used for names that callers make up while no leader collects them.
+/// Bounds the memory for unreported demand while there is no leader, as callers can send any name.
 const MAX_UNREPORTED_NAMES: usize = 4_096;
 
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
     /// Changes in the engine list, for other nodes.
     pub(crate) list_changes: ListChanges,
     pub(crate) budgets: IndexMap<ServiceId, RetryBudget>,
-    /// Demand seen by this node, which a new leader starts from.
+    /// Demand recorded by this node, which a new leader starts from.
     pub(crate) demand: Demand,
     /// Requests by model and adapter since the last report to the leader.
     pub(crate) unreported_demand: IndexMap<ModelRef, f64>,
