--- a/crates/types/tests/text_forms.rs
+++ b/crates/types/tests/text_forms.rs
@@ -1,5 +1,4 @@
-//! Text forms of the newtypes: they parse back, and an invalid value yields an error that says what is
-//! expected.
+//! Text forms of the newtypes round-trip, and the error for an invalid value names the expected form.
 
 use std::fmt::{Debug, Display};
 use std::str::FromStr;
