--- a/crates/hibiscusgw/tests/processes/authentication.rs
+++ b/crates/hibiscusgw/tests/processes/authentication.rs
@@ -6,8 +6,7 @@
 use crate::configuration::{marked, marker};
 use crate::{FIRST_VERSION, engine_record, settings, start, unreachable_addr};
 
-/// A node on the list of VMs that has another secret must not get the configuration, while one with the right
-/// secret gets it.
+/// A listed node with a wrong secret must not get the configuration; one with the right secret must.
 #[test]
 fn a_peer_with_another_secret_gets_no_configuration() {
     let mut cluster = start(settings());
