--- a/crates/placement/src/api.rs
+++ b/crates/placement/src/api.rs
@@ -7,132 +7,109 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Which engines must keep which model: the planner's record.
+/// The residency floor: the replicas that must stay loaded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Floor {
-    /// The configuration that it was made from.
+    /// Version of the configuration that the floor was computed from.
     pub config: Offset,
-    /// Engines by model, the one to prefer first.
+    /// Engines by model, in order of preference.
     pub models: IndexMap<ModelId, Vec<UpstreamId>>,
 }
 
-/// What the keeper of a failure domain records in its stream.
+/// An entry that the leader of a failure domain appends to its log stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeeperEntry {
-    /// An order that can grow the memory of an engine that ignores fencing numbers, before it is sent.
+    /// Recorded before the leader sends an order that can increase memory use to an engine that
+    /// ignores fencing tokens.
     Intent {
-        /// The engine.
         upstream: UpstreamId,
-        /// The start of the engine that the order is meant for.
+        /// Generation of the engine for which the order is meant.
         generation: Generation,
-        /// The order's id.
         order: RecordId,
-        /// The order.
         kind: OrderKind,
-        /// The engine's bound for late orders when this was recorded, in milliseconds: it bounds the
-        /// order also where the engine has left the configuration. Without end where it is not given.
+        /// The engine's `late_order_ms` when this was recorded. It limits the order also after the
+        /// engine has been removed from the configuration. Unlimited in entries without this field.
         #[serde(default = "no_bound")]
         late_order_ms: u64,
     },
-    /// Orders that can have no effect any more, seen done or refused by the engine itself.
-    Settled {
-        /// The orders.
-        orders: Vec<RecordId>,
-    },
+    /// Orders that can no longer take effect.
+    Settled { orders: Vec<RecordId> },
 }
 
 fn no_bound() -> u64 {
     u64::MAX
 }
 
-/// Answer to an order, or its loss.
+/// Result of sending an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The engine answered.
     Answered(OrderOutcome),
-    /// No byte of the order can have reached the engine.
+    /// No byte of the order was sent to the engine.
     NotSent,
-    /// No answer: the order may have taken effect, or may yet.
+    /// No response: the order may have taken effect or may still do so.
     Lost,
 }
 
-/// What a keeper is told.
+/// Input of the leader.
 #[derive(Debug, Clone)]
 pub enum KeeperEvent {
-    /// The configuration in force.
     Config {
-        /// Its version.
         version: Offset,
-        /// The document.
         document: Arc<Document>,
     },
-    /// The floor in force.
     Floor(Floor),
-    /// This node holds the keeper's scope; all entries before the claim have been applied.
+    /// This node became leader; all entries before its claim have been applied.
     Gained(Term),
-    /// This node holds the scope no longer: nothing may be sent from now on.
+    /// This node is no longer leader and must send no more orders.
     Lost,
-    /// A valid entry of the scope's stream, by whichever keeper.
+    /// A valid log entry, written by this or another leader.
     Apply {
-        /// Its record id.
         id: RecordId,
-        /// The entry.
         entry: KeeperEntry,
     },
-    /// A snapshot that replaces all that was applied before: the open intents.
+    /// A snapshot of the open intents, which replaces all entries applied before.
     Restore(Vec<KeeperEntry>),
-    /// An entry that this keeper recorded will never be applied.
+    /// An entry from this node that will never be applied.
     Dropped(RecordId),
     /// Answer to [`KeeperAction::AskState`].
     State {
-        /// The engine.
         upstream: UpstreamId,
-        /// When it was asked.
+        /// When the state was requested.
         asked: Time,
-        /// What it holds, or nothing where it did not answer.
+        /// `None` if the engine did not respond.
         state: Option<EngineState>,
     },
     /// Answer to [`KeeperAction::Order`].
     Answer {
-        /// The order.
         order: RecordId,
-        /// What became of it.
         result: OrderResult,
     },
-    /// Demand in the domain, from one dispatcher.
+    /// Demand in the domain as observed by one dispatcher.
     Demand(Vec<Demand>),
-    /// Upstreams that the platform, or their own load report, calls leaving; whole list.
+    /// All upstreams that are leaving according to the platform or their own load report.
     Leaving(Vec<UpstreamId>),
-    /// Whether the log can be appended to.
+    /// Whether the log accepts appends.
     LogUp(bool),
-    /// Time has passed.
     Tick,
 }
 
-/// What a keeper asks for.
+/// Output of the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeeperAction {
-    /// Record this entry.
-    Record {
-        /// Its record id.
-        id: RecordId,
-        /// The entry.
-        entry: KeeperEntry,
-    },
-    /// Send this order.
+    /// Append this entry to the log stream.
+    Record { id: RecordId, entry: KeeperEntry },
     Order {
-        /// The engine.
         upstream: UpstreamId,
-        /// The order.
         order: Order,
-        /// Never to be sent after this time, which is checked when the first byte is written: a
-        /// process that stood still with the order in hand answers [`OrderResult::NotSent`] instead.
+        /// The order must not be sent after this time. The sender checks it when it writes the
+        /// first byte and reports [`OrderResult::NotSent`] if the time has passed, for example
+        /// after a pause of the process.
         send_by: Time,
     },
-    /// Ask an engine what it holds.
+    /// Read the engine's state.
     AskState(UpstreamId),
-    /// What these engines hold ready and may be given work for has changed.
+    /// Ready items of the engines for which they changed.
     Placement(IndexMap<UpstreamId, Holding>),
-    /// Engines that do not answer, whole list, when it changes.
+    /// All unreachable engines, sent when the list changes.
     LostEngines(Vec<UpstreamId>),
 }
--- a/crates/placement/src/demand/api.rs
+++ b/crates/placement/src/demand/api.rs
@@ -2,69 +2,62 @@
 
 use hgw_types::{MemSize, ModelId, UpstreamId};
 
-/// What the keeper's ledger says of one engine.
+/// The planner's view of one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineView {
-    /// The engine.
     pub upstream: UpstreamId,
-    /// Its memory.
     pub memory: MemSize,
-    /// Memory that is resident, loading, or promised to an order that may still take effect.
+    /// Memory that is in use, loading, or reserved for orders that may still take effect.
     pub reserved: MemSize,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// What it holds or loads.
+    /// Models that are loaded or loading.
     pub models: Vec<HeldView>,
 }
 
-/// A model at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldView {
-    /// The model.
     pub model: ModelId,
-    /// Memory that it takes there, its adapters included.
+    /// Memory of the model and its adapters on this engine.
     pub size: MemSize,
-    /// Whether the residency floor names it; such a copy is never evicted for demand.
+    /// Whether the residency floor requires this replica; such a replica is not evicted for demand.
     pub floor: bool,
-    /// Whether it may be given work; false while it loads, or while it is to be evicted.
+    /// Whether the replica accepts requests; false while it is loading or draining.
     pub ready: bool,
 }
 
-/// A model to load, after these evictions at the same engine have been confirmed.
+/// A model to load once the models in `evict` have been evicted from the same engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
-    /// The engine.
     pub upstream: UpstreamId,
-    /// The model to load.
     pub load: ModelId,
-    /// Demand replicas to evict first; empty where there is room.
+    /// Demand replicas to evict first; empty if there is enough free memory.
     pub evict: Vec<ModelId>,
 }
 
 /// Limits of the demand planner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DemandSettings {
-    /// Half-life of the demand estimate: long enough to see through a few seconds of noise, short
-    /// enough to follow a burst of minutes.
+    /// Half-life of the demand estimate: long enough to smooth noise of a few seconds, short enough
+    /// to follow bursts of minutes.
     pub half_life: Duration,
-    /// How long a replica is expected to go on earning what it earns now.
+    /// Period over which the gain of a replica is estimated.
     pub horizon: Duration,
-    /// Time after a load in which that replica is not evicted.
-    ///
-    /// Two models that are both short of room would otherwise evict each other in turn.
+    /// Time after a load during which the replica is not evicted. Prevents two models that lack
+    /// capacity from evicting each other in turn.
     pub cool_down: Duration,
-    /// Time after a replica of a model got ready before the next one is loaded in the domain: the
-    /// demand estimate must first have seen what it does.
+    /// Time after a load before another replica of the model is loaded in the domain, so that the
+    /// demand estimate first reflects the new replica.
     pub settle: Duration,
-    /// Gain over cost that a move must reach; above 1, so that noise causes none.
+    /// Minimum ratio of gain to cost of a move; above 1 so that noise causes no moves.
     pub hysteresis: f64,
-    /// Weight of demand for a model that no engine of the domain holds: another domain may have no
-    /// room for it, or be cut off.
+    /// Weight of demand for a model with no replica in the domain: other domains may be full or
+    /// unreachable.
     pub absent_weight: f64,
-    /// Share of an engine's slots that urgent work may be planned to fill. Above it, waits grow
-    /// faster than what is served.
+    /// Maximum fraction of an engine's slots planned for urgent requests; above it, queueing delay
+    /// grows quickly.
     pub fill: f64,
-    /// Moves that one call of `plan` may give: the weight store serves a few loads at once.
+    /// Maximum number of moves per call of `plan`, since the weight store serves few loads at once.
     pub moves_at_once: usize,
 }
 
--- a/crates/placement/src/demand/mod.rs
+++ b/crates/placement/src/demand/mod.rs
@@ -1,4 +1,5 @@
-//! Demand replicas: which model to load where, beyond the floor, and what to evict for it.
+//! Demand replicas: which models to load beyond the residency floor, on which engines, and what to
+//! evict for them.
 
 mod api;
 mod planner;
--- a/crates/placement/src/demand/planner.rs
+++ b/crates/placement/src/demand/planner.rs
@@ -8,25 +8,24 @@
 use super::seen::Seen;
 use super::{DemandSettings, EngineView, Move};
 
-/// Plans demand replicas in one failure domain, for its keeper.
+/// Plans demand replicas in one failure domain.
 ///
-/// Load: demand that shifts between models and comes in bursts, tenfold within minutes.
-/// Harm: urgent requests refused at the few engines that hold the model in demand while others
-/// idle; or, chasing each burst, loads that come too late and evictions that are regretted.
-/// Limit: a move must gain more urgent answers within the horizon than it costs by the service's own
-/// weight. Without unmet demand, or without an engine with spare slots, nothing moves.
+/// A move is planned only if the urgent requests that it is expected to serve within the horizon
+/// outweigh the service's configured move cost. Without unmet demand, or without an engine with
+/// free slots, it plans no moves. This prevents urgent refusals while other engines are idle, and
+/// also loads and evictions that follow short bursts too late.
 #[derive(Debug)]
 pub struct DemandPlanner {
     settings: DemandSettings,
     seen: Seen,
-    /// When each replica was asked for or last seen not ready.
+    /// When each replica was planned or last observed not ready.
     loaded: IndexMap<(UpstreamId, ModelId), Time>,
-    /// Keepers of several domains see the same shortage; each has its own threshold, so that not
-    /// all answer it at once.
+    /// Random factor on the threshold, so that the leaders of several domains do not all react to
+    /// the same shortage.
     jitter: f64,
 }
 
-/// A model as the configuration has it.
+/// Properties of a model from the configuration.
 struct Wanted {
     size: MemSize,
     move_cost: f64,
@@ -39,20 +38,19 @@
 }
 
 impl DemandPlanner {
-    /// A planner that has seen no demand yet.
     pub fn new(settings: DemandSettings, seed: u64) -> Self {
         let jitter = (xxh3_64_with_seed(b"jitter", seed) % 1000) as f64 / 1000.0;
         let seen = Seen::new(settings.half_life);
         DemandPlanner { settings, seen, loaded: IndexMap::new(), jitter: 1.0 + jitter * 0.5 }
     }
 
-    /// Takes in what dispatchers and entry nodes of the domain have seen.
+    /// Adds demand observed by dispatchers and entry nodes of the domain.
     pub fn observe(&mut self, now: Time, demand: &[Demand]) {
         self.seen.add(now, demand);
     }
 
-    /// The moves to make now, most useful first. The caller may leave some out; what is not carried
-    /// out is planned again.
+    /// Returns the moves to make now, most useful first. Moves that the caller does not carry out
+    /// are planned again.
     pub fn plan(&mut self, now: Time, document: &Document, engines: &[EngineView]) -> Vec<Move> {
         self.seen.fade(now);
         self.note_loads(now, engines);
@@ -99,13 +97,13 @@
         best
     }
 
-    /// Whether what earlier loads of the model do is in the estimate already.
+    /// Whether the demand estimate reflects the earlier loads of the model.
     fn settled(&self, now: Time, model: &ModelId) -> bool {
         let mut loads = self.loaded.iter().filter(|((_, m), _)| m == model);
         !loads.any(|(_, at)| now.since(*at) < self.settings.settle)
     }
 
-    /// What loading the model there would be worth, if it is worth its cost.
+    /// Returns the load of the model on the engine, if its gain exceeds its cost.
     fn option(
         &self,
         now: Time,
@@ -128,8 +126,8 @@
         worth.then_some(Candidate { gain: gain - cost, served, order })
     }
 
-    /// The demand replicas that are missed least and make room, with the urgent requests a second
-    /// that their going would leave unmet.
+    /// Returns the least used demand replicas whose eviction frees enough memory, and the urgent
+    /// requests per second that would then be unmet.
     fn evictions(
         &self,
         now: Time,
@@ -164,7 +162,7 @@
     }
 }
 
-/// The model's memory, its adapters included, and what moving it costs.
+/// Returns the model's memory including adapters, and the cost of moving it.
 fn wanted(document: &Document, model: &ModelId) -> Option<Wanted> {
     let service = document.services.values().find(|s| s.models.contains_key(model))?;
     let found = &service.models[model];
--- a/crates/placement/src/demand/room.rs
+++ b/crates/placement/src/demand/room.rs
@@ -4,15 +4,14 @@
 use super::seen::Seen;
 use super::{EngineView, Move};
 
-/// Slots that urgent work leaves at each engine of the domain, by the demand for what each holds.
+/// Free slots of each engine after urgent demand for its models.
 ///
-/// The demand for a model is taken to spread evenly over its copies, as the entry's choice by delay
-/// makes it.
+/// Assumes that demand for a model is spread evenly over its replicas.
 #[derive(Debug)]
 pub(super) struct Room {
     spare: IndexMap<UpstreamId, f64>,
     holders: IndexMap<ModelId, Vec<UpstreamId>>,
-    /// Engines with a move in this plan.
+    /// Engines that already have a move in this plan.
     taken: IndexSet<UpstreamId>,
 }
 
@@ -25,8 +24,7 @@
             }
         }
         let spare = |e: &EngineView| {
-            // Requests refused for want of room show that the holders are full, before the slot
-            // time of those that were served does.
+            // Includes unmet requests, since `busy` counts only requests that were served.
             let wanted = |m: &ModelId| seen.load(m) + seen.unmet(m) * seen.service(m);
             let share = |m: &ModelId| wanted(m) / holders[m].len() as f64;
             let used: f64 = e.models.iter().map(|h| share(&h.model)).sum();
@@ -36,17 +34,15 @@
         Room { spare, holders, taken: IndexSet::new() }
     }
 
-    /// Slots of the engine that urgent work leaves.
     pub(super) fn spare(&self, upstream: &UpstreamId) -> f64 {
         self.spare.get(upstream).copied().unwrap_or(0.0)
     }
 
-    /// Copies of the model in the domain.
     pub(super) fn copies(&self, model: &ModelId) -> usize {
         self.holders.get(model).map_or(0, Vec::len)
     }
 
-    /// Urgent requests a second that would find no room if this copy went.
+    /// Urgent requests per second that would be unmet if this replica were evicted.
     pub(super) fn loss(&self, seen: &Seen, upstream: &UpstreamId, model: &ModelId) -> f64 {
         let copies = self.copies(model).max(1) as f64;
         let share = seen.load(model) / copies;
@@ -57,12 +53,11 @@
         homeless / seen.service(model)
     }
 
-    /// Whether this plan has a move there already.
     pub(super) fn is_taken(&self, upstream: &UpstreamId) -> bool {
         self.taken.contains(upstream)
     }
 
-    /// Notes a move that fills this many slots.
+    /// Records a move and the slots that it will use.
     pub(super) fn take(&mut self, order: &Move, slots: f64) {
         self.taken.insert(order.upstream.clone());
         if let Some(spare) = self.spare.get_mut(&order.upstream) {
--- a/crates/placement/src/demand/seen.rs
+++ b/crates/placement/src/demand/seen.rs
@@ -4,16 +4,17 @@
 use hgw_wire::peer::Demand;
 use indexmap::IndexMap;
 
-/// Slot time of an urgent request until one was measured, in seconds.
+/// Assumed service time of an urgent request before one is observed, in seconds.
 const USUAL_SERVICE: f64 = 0.3;
 
-/// Least sum of recent requests that a model is remembered for.
+/// Models whose decayed request count is at most this are removed.
 const FORGOTTEN: f64 = 0.01;
 
-/// Least time that the first message covers, in seconds: too short makes engines look too busy.
+/// Assumed period that the first report covers, in seconds; without it the first rates would be far
+/// too high.
 const FIRST_MESSAGE: f64 = 1.0;
 
-/// Demand for one model as sums that fade.
+/// Exponentially decaying sums of demand for one model.
 #[derive(Debug, Default)]
 struct Sums {
     urgent: f64,
@@ -21,7 +22,7 @@
     busy: f64,
 }
 
-/// Recent demand in the domain.
+/// Estimate of recent demand in the domain.
 #[derive(Debug)]
 pub(super) struct Seen {
     half_life: f64,
@@ -62,28 +63,28 @@
         self.models.retain(|_, s| s.urgent + s.unmet > FORGOTTEN);
     }
 
-    /// Urgent requests a second that found no room.
+    /// Urgent requests per second that found no capacity.
     pub(super) fn unmet(&self, model: &ModelId) -> f64 {
         self.models.get(model).map_or(0.0, |s| s.unmet) * self.per_second()
     }
 
-    /// Models of which some requests found no room.
+    /// Models with unmet requests.
     pub(super) fn short(&self) -> impl Iterator<Item = &ModelId> {
         self.models.iter().filter(|(_, s)| s.unmet > 0.0).map(|(model, _)| model)
     }
 
-    /// Slots that urgent work for the model keeps busy on average.
+    /// Average number of slots used by urgent requests for the model.
     pub(super) fn load(&self, model: &ModelId) -> f64 {
         self.models.get(model).map_or(0.0, |s| s.busy) * self.per_second()
     }
 
-    /// Slot time of one urgent request, in seconds.
+    /// Service time of an urgent request, in seconds.
     pub(super) fn service(&self, model: &ModelId) -> f64 {
         let measured = self.models.get(model).filter(|s| s.urgent >= 1.0 && s.busy > 0.0);
         measured.map_or(USUAL_SERVICE, |s| s.busy / s.urgent)
     }
 
-    /// A replica that will serve this many of the unmet requests a second has been asked for.
+    /// Reduces the unmet demand by `rate` requests per second that a planned replica will serve.
     pub(super) fn answered(&mut self, model: &ModelId, rate: f64) {
         let per_second = self.per_second();
         if let Some(sums) = self.models.get_mut(model) {
@@ -91,10 +92,10 @@
         }
     }
 
-    /// What turns a sum into a rate.
+    /// Factor that converts a decayed sum to a rate.
     ///
-    /// A new keeper's sums cover less time than those of one that has watched for long; taken for
-    /// the same they would make busy engines look idle, and the first thing it did would be moves.
+    /// Corrects for sums that cover less time than the decay window, as on a new leader. Without
+    /// that, busy engines would look idle to it.
     fn per_second(&self) -> f64 {
         let watched = self.began.map_or(0.0, |t| self.at.since(t).as_secs_f64()) + FIRST_MESSAGE;
         let covered = 1.0 - 0.5_f64.powf(watched / self.half_life);
--- a/crates/placement/src/floor/mod.rs
+++ b/crates/placement/src/floor/mod.rs
@@ -1,7 +1,7 @@
-//! The residency floor: which engines must keep which model.
+//! The residency floor: the replicas that must stay loaded, by model and engine.
 //!
-//! A pure function of the configuration, the engines that are lost and the floor before it. It does
-//! not look at load, so that it changes with configuration and lost engines only, and moves little.
+//! A pure function of the configuration, the unreachable engines and the previous floor. It ignores
+//! load, so it changes only when configuration or reachability do.
 
 mod region;
 
@@ -12,14 +12,14 @@
 use crate::Floor;
 use region::Packing;
 
-/// Works out the floor.
+/// Computes the floor.
 ///
-/// Each region gets a floor of its own, so that regions cut off from each other still reach every
-/// model that fits. Models that have no copy yet in an earlier region go first, so that a model left
-/// out of one region for want of memory is the last to be left out of the next.
+/// Each region gets its own floor, so that regions that cannot reach each other still serve every
+/// model that fits. Models without a replica in an earlier region are placed first, so that a model
+/// left out of one region for lack of memory is included in the next.
 ///
-/// `lost` are engines that do not answer; they and the leaving ones get no copy. What `previous` holds
-/// is kept where it still fits.
+/// Unreachable (`lost`) and leaving engines get no replicas. Replicas in `previous` are kept where
+/// they still fit.
 pub fn floor(
     document: &Document,
     version: Offset,
--- a/crates/placement/src/floor/region.rs
+++ b/crates/placement/src/floor/region.rs
@@ -6,14 +6,14 @@
 
 use crate::Floor;
 
-/// An engine with what is left of its memory.
+/// An engine and its free memory.
 #[derive(Debug, Clone)]
 pub(super) struct Room<'a> {
     id: &'a UpstreamId,
     domain: &'a DomainId,
-    /// What its models leave if each is given room for its largest adapter.
+    /// Free memory if each model is given space for its largest adapter.
     free: MemSize,
-    /// What its models alone leave.
+    /// Free memory if only the models themselves are counted.
     bare: MemSize,
 }
 
@@ -23,27 +23,27 @@
     }
 }
 
-/// Which engine of those that fit takes a copy.
+/// Strategy that selects an engine among those that fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fit {
-    /// The one with most room: spreads the work.
+    /// Most free memory: spreads the load.
     Worst,
-    /// The one with least room: packs more.
+    /// Least free memory: fits more models.
     Best,
 }
 
-/// The copies of one service's models in one region.
+/// Replicas of one service's models in one region.
 #[derive(Debug, Clone)]
 pub(super) struct Packing<'a> {
     rooms: Vec<Room<'a>>,
     fit: Fit,
-    /// Positions in `rooms`, the first copy first.
+    /// Indexes into `rooms`, by model; the primary replica first.
     copies: IndexMap<&'a ModelId, Vec<usize>>,
 }
 
 impl<'a> Packing<'a> {
-    /// The packing that leaves out the fewest models, above all those that no region before has; of
-    /// equals the one that moves least, and of those the one that spreads most.
+    /// Returns the packing that places the most models, counting first those without a replica in
+    /// an earlier region. Among equals it prefers keeping previous replicas, then spreading them.
     pub(super) fn best(
         service: &'a Service,
         rooms: Vec<Room<'a>>,
@@ -72,8 +72,8 @@
         best
     }
 
-    /// First copies of all models go before any second copy; kept ones before new ones; ones with
-    /// room for an adapter before ones without.
+    /// Places the first replicas of all models before any second one; previous placements before
+    /// new ones; engines with space for an adapter before those without.
     fn fill(&mut self, order: &[(&'a ModelId, &'a Model)], previous: Option<&Floor>) {
         let before: Vec<Vec<usize>> = order.iter().map(|(id, _)| self.kept(id, previous)).collect();
         for (i, (id, model)) in order.iter().enumerate() {
@@ -93,8 +93,8 @@
         self.fill_second(order, &before);
     }
 
-    /// Second copies, in another failure domain than the first, in what the first ones leave but for
-    /// the room that a version change of the largest model needs on one engine.
+    /// Places second replicas, each in another failure domain than the first. Keeps enough memory
+    /// free on one engine for a version change of the largest model.
     fn fill_second(&mut self, order: &[(&'a ModelId, &'a Model)], before: &[Vec<usize>]) {
         let largest = order.iter().map(|(_, m)| need(m)).max().unwrap_or_default();
         let spare = (0..self.rooms.len()).max_by_key(|r| (self.rooms[*r].free, Reverse(*r)));
@@ -104,7 +104,8 @@
                 let Some(&[first]) = self.copies.get(id).map(Vec::as_slice) else { continue };
                 let other = |r: &usize| self.rooms[*r].domain != self.rooms[first].domain;
                 let room = if only_kept {
-                    // A kept copy does not give way to the spare room: the floor moves little.
+                    // A previous replica may use the reserved memory, so that the floor changes
+                    // little.
                     let fits = |r: &usize| other(r) && self.rooms[*r].bare >= model.size;
                     before[i].iter().copied().find(fits)
                 } else {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What new second copies may take of an engine.
+    /// Memory of an engine available for new second replicas.
     fn left(&self, room: usize, spare: Option<usize>, largest: MemSize) -> MemSize {
         let free = self.rooms[room].free;
         if spare == Some(room) { free.saturating_sub(largest) } else { free }
@@ -156,7 +157,7 @@
     }
 }
 
-/// Memory that a copy is given where that fits: the model, and its largest adapter.
+/// Memory of the model with its largest adapter.
 fn need(model: &Model) -> MemSize {
     model.size + model.adapters.values().map(|a| a.size).max().unwrap_or_default()
 }
--- a/crates/placement/src/keeper/domain.rs
+++ b/crates/placement/src/keeper/domain.rs
@@ -6,16 +6,16 @@
 
 use crate::{Floor, Item};
 
-/// What configuration and floor say of one failure domain.
+/// Configuration and residency floor of one failure domain.
 #[derive(Debug)]
 pub(super) struct Domain {
     id: DomainId,
     version: Offset,
     document: Arc<Document>,
     floor: Floor,
-    /// Floor models by engine, each with the engine's place in the model's list.
+    /// Floor models by engine, each with the engine's rank in the model's list.
     targets: IndexMap<UpstreamId, IndexMap<ModelId, usize>>,
-    /// Models that the floor gives to this domain, each with one of its engines.
+    /// Models with a floor replica in this domain, each with one of its engines.
     floor_models: IndexMap<ModelId, UpstreamId>,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The engines of this domain.
+    /// Model engines of this domain.
     pub(super) fn engines(&self) -> impl Iterator<Item = (&UpstreamId, &Upstream)> {
         let is_engine = |u: &Upstream| {
             self.document.services.get(&u.service).is_some_and(|s| s.kind == ServiceKind::Model)
@@ -79,24 +79,24 @@
         self.document.upstreams.get(engine)
     }
 
-    /// Whether the engine refuses old fencing numbers. An unknown one is taken to ignore them.
+    /// Whether the engine rejects old fencing tokens. Unknown engines are assumed to ignore them.
     pub(super) fn refuses(&self, engine: &UpstreamId) -> bool {
         self.upstream(engine).is_some_and(|u| u.fencing == Fencing::Refuses)
     }
 
-    /// The model as the engine's service has it.
+    /// Looks the model up in the engine's service.
     pub(super) fn model(&self, engine: &UpstreamId, model: &ModelId) -> Option<&Model> {
         let service = &self.upstream(engine)?.service;
         self.document.services.get(service)?.models.get(model)
     }
 
-    /// The current version of the model, and its size.
+    /// The configured version of the model, and its size.
     pub(super) fn current(&self, engine: &UpstreamId, model: &ModelId) -> Option<(Item, MemSize)> {
         let found = self.model(engine, model)?;
         Some((Item::Model(model.clone(), found.version.clone()), found.size))
     }
 
-    /// Whether the item is a version that callers get.
+    /// Whether the item's version is the configured one.
     pub(super) fn is_current(&self, engine: &UpstreamId, item: &Item) -> bool {
         let Some(model) = self.model(engine, item.model()) else { return false };
         match item {
@@ -107,17 +107,17 @@
         }
     }
 
-    /// The floor's models on an engine, each with the engine's place in the model's list.
+    /// Floor models of an engine, each with the engine's rank in the model's list.
     pub(super) fn targets(&self, engine: &UpstreamId) -> impl Iterator<Item = (&ModelId, usize)> {
         self.targets.get(engine).into_iter().flatten().map(|(model, rank)| (model, *rank))
     }
 
-    /// Models that the floor gives to this domain, each with one of its engines.
+    /// Models with a floor replica in this domain, each with one of its engines.
     pub(super) fn floor_models(&self) -> &IndexMap<ModelId, UpstreamId> {
         &self.floor_models
     }
 
-    /// The engine's place in the floor's list of the model.
+    /// The engine's rank in the floor's list of the model.
     pub(super) fn rank(&self, engine: &UpstreamId, model: &ModelId) -> Option<usize> {
         self.targets.get(engine)?.get(model).copied()
     }
--- a/crates/placement/src/keeper/engine.rs
+++ b/crates/placement/src/keeper/engine.rs
@@ -7,48 +7,48 @@
 
 use crate::{Item, Ledger, Reading};
 
-/// How far the keeper is with an engine.
+/// Progress of taking over an engine after a leader change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Its fencing number has to be raised first, not before this time.
+    /// Its fencing token must be raised, not before this time.
     Fence(Time),
-    /// Its state has to be read, asked for after this time.
+    /// Its state must be read by a request made after this time.
     Read(Time),
-    /// Its memory is counted.
+    /// Its state is known.
     Counted,
 }
 
-/// An item that is to be evicted.
+/// An item that is being drained before its eviction.
 #[derive(Debug, Clone)]
 pub(super) struct Drain {
-    /// When the placement without it was published.
+    /// When the item was withdrawn from the placement.
     pub(super) since: Time,
-    /// The order, once it is sent.
+    /// The eviction order, once it is sent.
     pub(super) order: Option<RecordId>,
 }
 
-/// One engine as its keeper sees it.
+/// The leader's state of one engine.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) ledger: Ledger,
     pub(super) phase: Phase,
-    /// Whether it is configured to refuse old fencing numbers.
+    /// Whether it is configured to reject old fencing tokens.
     fenced: bool,
-    /// The operator's bound for late orders; the last one stated where the engine has left the
-    /// configuration.
+    /// Maximum delay of late orders, as configured. Keeps the last value after the engine is
+    /// removed from the configuration.
     pub(super) late: Duration,
-    /// Whether the configuration still names it for this domain.
+    /// Whether the configuration lists it in this domain.
     pub(super) configured: bool,
-    /// When the read under way was asked for.
+    /// When the pending state read was requested.
     pub(super) asking: Option<Time>,
     pub(super) next_ask: Time,
-    /// Reads and orders in a row without an answer.
+    /// Consecutive reads and orders without a response.
     pub(super) misses: u32,
     pub(super) lost: bool,
-    /// Whether it calls itself leaving.
+    /// Whether it reports itself as leaving.
     pub(super) says_leaving: bool,
     pub(super) drains: IndexMap<Item, Drain>,
-    /// No new order before this time, since the last one was refused.
+    /// No new orders before this time, since the last one was rejected.
     pub(super) pause: Time,
 }
 
@@ -70,7 +70,6 @@
         }
     }
 
-    /// Takes over the settings of its upstream.
     pub(super) fn reconfigure(&mut self, now: Time, upstream: &Upstream) {
         self.ledger.set_memory(upstream.memory);
         if upstream.fencing == Fencing::Refuses && !self.fenced {
@@ -80,32 +79,33 @@
         self.late = Duration::from_millis(upstream.late_order_ms);
     }
 
-    /// Whether its memory is counted and it answers.
+    /// Whether its state is known and it is reachable.
     pub(super) fn is_counted(&self) -> bool {
         self.configured && !self.lost && self.phase == Phase::Counted
     }
 
-    /// Whether the first read has come or the engine has been given up.
+    /// Whether its state is known or it is considered unreachable.
     pub(super) fn is_known(&self) -> bool {
         self.lost || self.phase == Phase::Counted
     }
 
-    /// Whether it holds the item ready and is not about to lose it.
+    /// Whether the item is ready and not draining.
     pub(super) fn serves(&self, item: &Item) -> bool {
         self.is_counted() && self.ledger.is_ready(item) && !self.drains.contains_key(item)
     }
 
-    /// Whether something is under way that the next read may show.
+    /// Whether an operation is in progress whose result the next read may show.
     pub(super) fn is_busy(&self) -> bool {
         self.phase != Phase::Counted || !self.drains.is_empty() || self.ledger.is_unsettled()
     }
 
-    /// Memory that is free once what drains is gone.
+    /// Free memory after all drains complete.
     pub(super) fn coming_free(&self) -> MemSize {
         self.ledger.free() + self.drains.keys().map(|i| self.freed_by(i)).sum()
     }
 
-    /// Memory that evicting the item frees: with the last version of a model go its adapters.
+    /// Memory that evicting the item frees. Evicting the last version of a model also evicts its
+    /// adapters.
     pub(super) fn freed_by(&self, item: &Item) -> MemSize {
         let held = self.ledger.held();
         let versions = held.keys().filter(|i| i.is_model() && i.model() == item.model()).count();
@@ -116,13 +116,13 @@
         held.iter().filter(|(i, _)| goes(i)).map(|(_, h)| h.size).sum()
     }
 
-    /// Withdraws the item; it is evicted once nobody uses it.
+    /// Withdraws the item from the placement; it is evicted once it is unused.
     pub(super) fn drain(&mut self, now: Time, item: Item) {
         self.drains.entry(item).or_insert(Drain { since: now, order: None });
     }
 
-    /// An eviction has been answered or given up: it is ordered again only on a later read that
-    /// still shows the item.
+    /// An eviction got a response or was cancelled. It is ordered again only if a later read still
+    /// shows the item.
     pub(super) fn order_over(&mut self, now: Time, order: RecordId) {
         for drain in self.drains.values_mut().filter(|d| d.order == Some(order)) {
             *drain = Drain { since: now, order: None };
@@ -134,11 +134,11 @@
         self.lost = self.lost || self.misses >= lost_after;
     }
 
-    /// Takes a state, unless the engine's fencing number must be raised first.
+    /// Applies a state, unless the engine's fencing token must be raised first.
     ///
-    /// On an engine that refuses old numbers only a state with this keeper's own number counts: under
-    /// an older one (the engine has restarted) a predecessor's order could still grow its memory after
-    /// the read, under a newer one this keeper has a successor.
+    /// On an engine that rejects old tokens, only a state with this leader's own token counts. With
+    /// an older token (the engine has restarted), a previous leader's order could still be accepted
+    /// after the read. With a newer one, another leader has taken over.
     pub(super) fn read(
         &mut self,
         now: Time,
@@ -176,7 +176,7 @@
     pub(super) fn first(now: Time, fencing: Fencing) -> Phase {
         match fencing {
             Fencing::Refuses => Phase::Fence(now),
-            // Asked at `now` or later; the state must be asked for after the claim was read.
+            // The state must be requested after the claim was read, that is at `now` or later.
             Fencing::Ignores => Phase::Read(now - Duration::from_micros(1)),
         }
     }
--- a/crates/placement/src/keeper/intents.rs
+++ b/crates/placement/src/keeper/intents.rs
@@ -6,7 +6,7 @@
 
 use crate::KeeperEntry;
 
-/// The orders in the scope's stream that may still take effect, as every node folds them.
+/// Recorded orders that may still take effect; every node derives them from the log stream.
 #[derive(Debug, Default)]
 pub(super) struct Intents {
     open: IndexMap<RecordId, KeeperEntry>,
@@ -35,7 +35,7 @@
         self.open.values().cloned().collect()
     }
 
-    /// The orders, with their engines and the bounds for late orders that they were recorded under.
+    /// Returns the orders with their engines and the recorded bounds for late orders.
     pub(super) fn orders(&self) -> impl Iterator<Item = (RecordId, &UpstreamId, Duration)> {
         self.open.values().filter_map(|entry| match entry {
             KeeperEntry::Intent { upstream, order, late_order_ms, .. } => {
--- a/crates/placement/src/keeper/mod.rs
+++ b/crates/placement/src/keeper/mod.rs
@@ -1,21 +1,7 @@
-//! The keeper of a failure domain: the only sender of orders to the engines of its domain.
+//! The leader of a failure domain: the only sender of orders to the engines of its domain.
 //!
-//! Pure: it is told events and the time, and asks for actions. Every node of the domain feeds it the
-//! entries of the scope's stream; only the holder of the scope gets anything done by it.
-//!
-//! | file | what it does |
-//! |---|---|
-//! | `intents` | folds the stream: orders that may still take effect |
-//! | `domain` | what configuration and floor say of this domain |
-//! | `engine` | one engine: its ledger, and how far it is counted |
-//! | `reading` | raises fencing numbers, reads states, finds lost engines |
-//! | `orders` | records, sends and repeats orders |
-//! | `wants` | which engine should hold what |
-//! | `plan` | turns wants into loads, and makes room for them |
-//! | `replicas` | asks the demand planner, and begins its moves |
-//! | `room` | makes way for floor copies that find no room |
-//! | `retire` | what is to go, and evicts it once nobody uses it |
-//! | `publish` | tells the others what is ready where |
+//! It does no I/O: it takes events with the time and returns actions. Every node of the domain
+//! applies the entries of the log stream, but only the node with the lease produces actions.
 
 mod domain;
 mod engine;
@@ -47,7 +33,7 @@
 use orders::Flight;
 use wants::Homes;
 
-/// The keeper of one failure domain.
+/// The leader of one failure domain.
 #[derive(Debug)]
 pub struct Keeper {
     settings: KeeperSettings,
@@ -57,25 +43,25 @@
     intents: Intents,
     leaving: Vec<UpstreamId>,
     log_up: bool,
-    /// Set while this node holds the scope.
+    /// Set while this node has the lease.
     term: Option<Term>,
     gained: Time,
-    /// When the first placement of this term was published.
+    /// When this term's first placement was published.
     opened: Option<Time>,
     engines: IndexMap<UpstreamId, Engine>,
     flights: IndexMap<RecordId, Flight>,
-    /// The record under way of intents that can have no effect any more.
+    /// The pending record that settles intents.
     settling: Option<RecordId>,
     shares: Shares,
     demand: DemandPlanner,
     demand_due: Time,
-    /// Loads that the demand planner asked for and that are not held yet, with when it asked.
+    /// Loads requested by the demand planner that are not ready yet, with the time of the request.
     replicas: IndexMap<(UpstreamId, ModelId), Time>,
-    /// Models that callers of this domain asked for and found on no engine of it.
+    /// Models with unmet requests in this domain, with the time of the last one.
     missing: IndexMap<ModelId, Time>,
-    /// Adapters that callers asked for and found on no engine, with when they last did.
+    /// Adapters that callers requested and no engine had, with the time of the last request.
     adapters: IndexMap<(ModelId, AdapterId), Time>,
-    /// Since when a version has found no room in the whole domain.
+    /// Since when a floor replica has found no memory on its engine.
     no_room: IndexMap<(UpstreamId, ModelId), Time>,
     homes: Homes,
     planned: Option<Time>,
@@ -84,7 +70,8 @@
 }
 
 impl Keeper {
-    /// A keeper that holds nothing. `boot` is drawn at random by the process; it makes ids unique.
+    /// Creates a leader without the lease. `boot` is a random number of this process that makes its
+    /// ids unique.
     pub fn new(settings: KeeperSettings, domain: DomainId, boot: u64) -> Keeper {
         Keeper {
             settings,
@@ -114,7 +101,7 @@
         }
     }
 
-    /// Takes one event at time `now`, which never goes back, and adds the actions that follow.
+    /// Handles one event and appends the resulting actions to `out`. `now` must not decrease.
     pub fn handle(&mut self, now: Time, event: KeeperEvent, out: &mut Vec<KeeperAction>) {
         let every = match event {
             KeeperEvent::Tick => self.settings.plan_idle,
@@ -142,28 +129,29 @@
         }
     }
 
-    /// The open intents: what a snapshot of the scope's stream must hold.
+    /// The open intents, which a snapshot of the log stream must contain.
     pub fn snapshot(&self) -> Vec<KeeperEntry> {
         self.intents.snapshot()
     }
 
-    /// What each engine of the domain holds ready and may be given work for.
+    /// Ready items of each engine that accept requests.
     pub fn placement(&self) -> &IndexMap<UpstreamId, Holding> {
         &self.placement
     }
 
-    /// Whether every engine has been read, or given up, since the scope was gained.
+    /// Whether the state of every engine has been read, or the engine found unreachable, since the
+    /// lease was acquired.
     pub fn is_complete(&self) -> bool {
         self.term.is_some() && self.engines.values().all(|e| !e.configured || e.is_known())
     }
 
-    /// Engines that do not answer.
+    /// Unreachable engines.
     pub fn lost(&self) -> Vec<UpstreamId> {
         let lost = self.engines.iter().filter(|(_, e)| e.configured && e.lost);
         lost.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Memory of an engine that is, or may come to be, in use, while this node holds the scope.
+    /// Reserved memory of an engine, while this node is leader.
     pub fn reserved(&self, engine: &UpstreamId) -> Option<MemSize> {
         self.engines.get(engine).map(|e| e.ledger.reserved())
     }
@@ -183,7 +171,7 @@
         self.sync_engines(now);
     }
 
-    /// Forgets all that only the holder may act on. Orders sent before are the successor's to count.
+    /// Clears the state of the term. The next leader accounts for orders that were sent before.
     fn lose(&mut self) {
         self.term = None;
         self.opened = None;
@@ -200,8 +188,8 @@
         self.told_lost = None;
     }
 
-    /// Brings the engines in line with the configuration. An engine that left the configuration is
-    /// kept, since orders to it may still take effect if it comes back.
+    /// Updates the engines from the configuration. An engine removed from the configuration is
+    /// kept, since orders to it may still take effect if it is added again.
     fn sync_engines(&mut self, now: Time) {
         self.shares.configure(self.domain.document(), self.domain.id());
         let wanted: IndexSet<UpstreamId> =
@@ -224,10 +212,10 @@
         }
     }
 
-    /// Everything that may have become possible, in the order in which one thing allows the next.
+    /// Runs all steps in the order of their dependencies.
     ///
-    /// The plan looks at all engines, and events come many a second: it is made at most once in
-    /// `every`.
+    /// Planning looks at all engines while events arrive many times a second, so it runs at most
+    /// once per `every`.
     fn step(&mut self, now: Time, every: Duration, out: &mut Vec<KeeperAction>) {
         self.poll(now, out);
         self.close_orders(now, out);
--- a/crates/placement/src/keeper/orders.rs
+++ b/crates/placement/src/keeper/orders.rs
@@ -1,11 +1,11 @@
-//! Records, sends and repeats orders.
+//! Records, sends and retries orders.
 //!
-//! To an engine that ignores fencing numbers, an order that can grow memory is sent only after its
-//! intent has been recorded and read back, and only within [`SEND_WINDOW`] of being proposed. Counted
-//! from the proposal and not from the read-back: a keeper may read its own record late, when its
-//! successor has long read the claim behind it.
+//! An order that can increase memory use is sent to an engine that ignores fencing tokens only
+//! after its intent was recorded and read back, and only within [`SEND_WINDOW`] of the proposal.
+//! The window starts at the proposal, because a leader may read its own record back after another
+//! leader has taken over.
 //!
-//! An order is repeated under its own id, which an engine carries out once.
+//! A retry uses the same order id, and engines execute each id once.
 
 use std::time::Duration;
 
@@ -16,30 +16,29 @@
 use super::{Keeper, SEND_WINDOW};
 use crate::{Item, KeeperAction, KeeperEntry, OrderResult, ReserveError};
 
-/// An order that this keeper has given.
+/// An order of this leader without a final result.
 #[derive(Debug)]
 pub(super) struct Flight {
     upstream: UpstreamId,
     kind: OrderKind,
     stage: Stage,
-    /// The record of its intent.
     record: RecordId,
-    /// The last time to send it; nothing where the engine itself refuses it after a takeover.
+    /// Deadline for sending; `None` if the engine itself rejects the order after a leader change.
     until: Option<Time>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Its intent is not read back yet.
+    /// Its intent has not been read back yet.
     Recording,
-    /// Its answer is awaited.
+    /// Waits for the response.
     Sent,
-    /// It is to be sent again at this time.
+    /// Will be retried at this time.
     Again(Time),
 }
 
 impl Keeper {
-    /// Gives an order; memory that it can grow is reserved first.
+    /// Issues an order, after reserving the memory that it can use.
     pub(super) fn give(
         &mut self,
         now: Time,
@@ -75,8 +74,9 @@
         self.send(now, order, out);
     }
 
-    /// Sends an order again that a predecessor recorded, or that this keeper lost the right to send:
-    /// under its own id and, where it needs a record, on a new one, from which a successor counts it anew.
+    /// Retries an order that a previous leader recorded or whose send window has passed. The order
+    /// keeps its id. If it needs a record, a new one is written, so that the next leader counts it
+    /// from that record.
     pub(super) fn adopt(
         &mut self,
         now: Time,
@@ -120,19 +120,19 @@
         out.push(KeeperAction::Record { id: record, entry });
     }
 
-    /// The order of this flight that waits for its record.
+    /// Finds the order that waits for this record.
     fn recorded_by(&self, record: RecordId) -> Option<RecordId> {
         let waits = |f: &Flight| f.record == record && f.stage == Stage::Recording;
         self.flights.iter().find(|(_, f)| waits(f)).map(|(order, _)| *order)
     }
 
-    /// Items that orders on their way to the engine load.
+    /// Items that orders in flight to the engine load.
     pub(super) fn flying_to(&self, engine: &UpstreamId) -> impl Iterator<Item = Item> {
         let there = self.flights.values().filter(move |f| f.upstream == *engine);
         there.filter_map(|f| Some(Item::loaded_by(&f.kind)?.0))
     }
 
-    /// Whether an order that loads the item there is on its way.
+    /// Whether an order in flight loads the item on the engine.
     pub(super) fn is_flying(&self, engine: &UpstreamId, item: &Item) -> bool {
         self.flying_to(engine).any(|i| i == *item)
     }
@@ -155,7 +155,7 @@
         out.push(KeeperAction::Order { upstream: flight.upstream.clone(), order, send_by });
     }
 
-    /// Sends the order no more. Copies sent before go on counting.
+    /// Stops sending the order. Copies already sent still count.
     fn give_up(&mut self, now: Time, id: RecordId) {
         if let Some(flight) = self.flights.shift_remove(&id)
             && let Some(e) = self.engines.get_mut(&flight.upstream)
@@ -213,7 +213,7 @@
         self.read_soon(now, &engine);
     }
 
-    /// Sends again what got no answer, while it may still be wanted and may still be sent.
+    /// Retries orders without a response, if they are still needed and may still be sent.
     pub(super) fn repeat_orders(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
         let due = |f: &Flight| matches!(f.stage, Stage::Again(t) if now >= t);
         let due: Vec<RecordId> =
@@ -241,11 +241,12 @@
         }
     }
 
-    /// Frees what can no longer take effect, and has it recorded where an intent is open.
+    /// Releases orders that can no longer take effect and records them as settled if their intent
+    /// is open.
     ///
-    /// An engine that left the configuration before this term has no ledger, and nothing will be heard
-    /// of it. Its intents would stay in every snapshot; they go after the wait of any successor, by the
-    /// bound that they were recorded under. If the engine comes back before, they count.
+    /// An engine removed from the configuration before this term has no ledger and is not read. Its
+    /// intents are settled after the successor's wait for the recorded bound; otherwise they would
+    /// stay in every snapshot. They count if the engine is added again before that.
     pub(super) fn close_orders(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
         self.engines.values_mut().for_each(|e| e.ledger.expire(now));
         if self.settling.is_some() || !self.log_up {
@@ -268,12 +269,12 @@
         out.push(KeeperAction::Record { id, entry: KeeperEntry::Settled { orders } });
     }
 
-    /// Orders to the engine that are recorded, sent or to be sent again.
+    /// Number of orders to the engine that are being recorded, sent or retried.
     pub(super) fn in_flight(&self, engine: &UpstreamId) -> usize {
         self.flights.values().filter(|f| f.upstream == *engine).count()
     }
 
-    /// Loads of the whole domain that draw on the weight store, or are about to.
+    /// Number of loads in the domain that use the weight store or are about to.
     pub(super) fn loads_running(&self) -> usize {
         let recording = self.flights.values().filter(|f| f.stage == Stage::Recording).count();
         let answering = self.engines.values().filter(|e| e.configured && !e.lost);
--- a/crates/placement/src/keeper/plan.rs
+++ b/crates/placement/src/keeper/plan.rs
@@ -1,10 +1,7 @@
-//! Turns wants into loads, and makes room for them.
+//! Issues loads for missing items and evicts others to free memory for them.
 //!
-//! The load it is for: all models of the domain at a start, a lost engine's models at once, a version
-//! change of many models, and demand that moves tenfold within an hour. The harm: a caller that finds
-//! its model nowhere while memory goes to a third copy of another, or a weight store so crowded that
-//! all loads are slow. So wants are met in the order of need; a want that waits for room or for the
-//! weight store keeps its claim on the memory, so that smaller ones behind it cannot starve it.
+//! Requests are handled in order of priority. One that waits for memory or for the weight store
+//! keeps its memory reservation, so that smaller ones of lower priority cannot starve it.
 
 use std::cmp::Reverse;
 
@@ -15,14 +12,14 @@
 use super::wants::{Cause, Want};
 use crate::{Item, KeeperAction};
 
-/// What one plan has given away so far.
+/// Resources assigned so far in one plan.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
-    /// Memory that wants wait for, by engine.
+    /// Memory reserved for waiting loads, by engine.
     claims: IndexMap<UpstreamId, MemSize>,
-    /// Loads of the domain that draw on the weight store.
+    /// Loads of the domain that use the weight store.
     running: usize,
-    /// Whether the weight store's share is used up for now.
+    /// Whether the domain's share of the weight store is used up for now.
     used_up: bool,
 }
 
@@ -50,7 +47,7 @@
                 unmet.push(want);
             }
         }
-        // An engine that is not read yet may hold what seems to have no home.
+        // Before the first placement, an engine that has not been read may already have the model.
         let homeless = if self.opened.is_some() { self.homeless(now) } else { Vec::new() };
         for (model, cause) in homeless {
             if !placed.contains(&model) {
@@ -60,7 +57,7 @@
         self.make_way(now, &unmet, &mut plan, out);
     }
 
-    /// Gives the model to the engine of the domain with most room for it.
+    /// Loads the model on the engine of the domain with most memory available for it.
     pub(super) fn place_anywhere(
         &mut self,
         now: Time,
@@ -79,8 +76,8 @@
         let _ = wants.iter().any(|w| self.place(now, w, plan, out));
     }
 
-    /// Orders the load, or claims the memory that it waits for; false where there is no room and
-    /// none can be made.
+    /// Issues the load or reserves the memory that it waits for; returns false if there is not
+    /// enough memory and none can be freed.
     fn place(
         &mut self,
         now: Time,
@@ -90,7 +87,7 @@
     ) -> bool {
         let Some(engine) = self.engines.get(&want.engine) else { return false };
         if let Some((order, size)) = engine.ledger.repeatable(&want.item) {
-            // Its memory is reserved already.
+            // Its memory is already reserved.
             if self.may_load(now, want, plan) {
                 self.adopt(now, &want.engine, order, want.item.load(size), out);
             }
@@ -133,8 +130,9 @@
         !paused && recordable && self.in_flight(&want.engine) < self.settings.orders_per_engine
     }
 
-    /// What to evict for the want: never a floor copy, and nothing unless it is enough. With `force`
-    /// also copies that are the only ones of their model to serve in the domain.
+    /// Selects items to evict for the load. Never selects a floor replica, and returns `None` if
+    /// the eviction would not free enough memory. With `force`, it may select the only serving
+    /// replica of a model in the domain.
     pub(super) fn victims(&self, want: &Want, short: MemSize, force: bool) -> Option<Vec<Item>> {
         if short == MemSize::default() {
             return Some(Vec::new());
@@ -155,7 +153,8 @@
                 }
         };
         let mut candidates: Vec<&Item> = engine.ledger.held().keys().filter(may_go).collect();
-        // The oldest adapter goes first for an adapter, the least used replica for a model.
+        // For an adapter, evicts the oldest adapters first; for a model, adapters and then the
+        // least used replicas.
         candidates.sort_by_key(|item| match want.cause {
             Cause::Adapter => (false, 0),
             _ => (!item.is_model(), engine.ledger.held()[*item].active),
@@ -175,8 +174,8 @@
         (freed >= short).then_some(victims)
     }
 
-    /// Whether the model is a demand replica here: not of the floor, and served elsewhere in the
-    /// domain if the floor gives it to the domain at all.
+    /// Whether the model here is a demand replica that can be evicted: not in the floor on this
+    /// engine, and served elsewhere in the domain if the floor has it in the domain.
     pub(super) fn is_spare(&self, engine: &UpstreamId, item: &Item) -> bool {
         if !self.is_extra(engine, item) {
             return false;
@@ -185,12 +184,12 @@
         !of_floor || self.serves_elsewhere(engine, item)
     }
 
-    /// Whether the floor does not give the model to the engine.
+    /// Whether the floor does not include the model on the engine.
     pub(super) fn is_extra(&self, engine: &UpstreamId, item: &Item) -> bool {
         self.domain.rank(engine, item.model()).is_none()
     }
 
-    /// Whether another engine that stays serves the same version.
+    /// Whether another usable engine serves the same version.
     pub(super) fn serves_elsewhere(&self, engine: &UpstreamId, item: &Item) -> bool {
         let mut others = self.engines.iter().filter(|(id, _)| *id != engine && self.is_usable(id));
         others.any(|(_, e)| e.serves(item))
--- a/crates/placement/src/keeper/publish.rs
+++ b/crates/placement/src/keeper/publish.rs
@@ -1,4 +1,4 @@
-//! Tells the others what is ready where, and which engines are lost.
+//! Publishes the ready items of each engine and the unreachable engines.
 
 use hgw_types::{Time, UpstreamId};
 use hgw_wire::peer::Holding;
@@ -8,10 +8,11 @@
 use crate::{Item, KeeperAction};
 
 impl Keeper {
-    /// Publishes what has changed.
+    /// Publishes changes.
     ///
-    /// The first placement of a term waits until all engines are read or given up, within a bound: it
-    /// replaces the predecessor's, and callers must not lose routes to engines not yet read.
+    /// The first placement of a term waits, up to a limit, until all engines are read or found
+    /// unreachable. It replaces the previous leader's placement, and callers must not lose routes
+    /// to engines that have not been read yet.
     pub(super) fn publish(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
         let waited = now.since(self.gained) >= self.settings.first_publish;
         if self.opened.is_none() && !self.is_complete() && !waited {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// What the engine may be given work for; nothing where it is lost or leaving.
+    /// Items for which the engine accepts requests; empty if it is unreachable or leaving.
     fn holding(&self, engine: &UpstreamId) -> Holding {
         let mut holding = Holding::default();
         if !self.is_usable(engine) {
--- a/crates/placement/src/keeper/reading.rs
+++ b/crates/placement/src/keeper/reading.rs
@@ -1,4 +1,4 @@
-//! Raises fencing numbers, reads states and finds lost engines.
+//! Raises fencing tokens, reads engine states and detects unreachable engines.
 
 use hgw_types::{Term, Time, UpstreamId};
 use hgw_wire::upstream::{EngineState, OrderKind, OrderOutcome};
@@ -50,7 +50,7 @@
                 e.asking = None;
                 e.next_ask = now + std::time::Duration::from_micros(1);
             }
-            // A successor is at work; it will be seen in the log.
+            // Another leader has taken over; the log will show its claim.
             OrderResult::Answered(_) => e.phase = Phase::Fence(now + settings.poll_idle),
             OrderResult::NotSent | OrderResult::Lost => {
                 e.missed(settings.lost_after);
@@ -81,7 +81,7 @@
         e.next_ask = now + if busy { settings.poll_busy } else { settings.poll_idle };
     }
 
-    /// Reads the engine at the next chance.
+    /// Schedules a read of the engine at the next poll.
     pub(super) fn read_soon(&mut self, now: Time, engine: &UpstreamId) {
         if let Some(e) = self.engines.get_mut(engine) {
             e.next_ask = e.next_ask.min(now);
--- a/crates/placement/src/keeper/replicas.rs
+++ b/crates/placement/src/keeper/replicas.rs
@@ -1,4 +1,4 @@
-//! Joins the demand planner to the ledgers.
+//! Passes engine state to the demand planner and carries out its moves.
 
 use hgw_types::{Time, UpstreamId};
 use hgw_wire::peer::Demand;
@@ -22,10 +22,10 @@
         }
     }
 
-    /// Asks the planner for moves, and begins them.
+    /// Asks the planner for moves and starts them.
     ///
-    /// Only once the placement of this term is out: a keeper that has not read all its engines would
-    /// load what stands on one that it has not read yet.
+    /// Only after this term's first placement was published: before that, a model may be loaded on
+    /// an engine that has not been read yet.
     pub(super) fn plan_demand(&mut self, now: Time) {
         let settings = &self.settings;
         self.replicas.retain(|_, since| now.since(*since) < settings.replica_want);
@@ -41,7 +41,7 @@
             going.into_iter().for_each(|item| e.drain(now, item));
             self.replicas.insert((order.upstream, order.load), now);
         }
-        // What has arrived is wanted no longer: it must not come back by itself when it is evicted.
+        // Removes completed loads, so that a replica is not loaded again after its eviction.
         let (domain, engines) = (&self.domain, &self.engines);
         self.replicas.retain(|(id, model), _| {
             let current = domain.current(id, model);
--- a/crates/placement/src/keeper/retire.rs
+++ b/crates/placement/src/keeper/retire.rs
@@ -1,8 +1,8 @@
-//! What is to go, and its eviction once nobody uses it.
+//! Drains items that are no longer needed and evicts them once they are unused.
 //!
-//! An item is first left out of the published placement. It is evicted when a read, asked for at
-//! least the settle time later, shows no request for it: routes are hints, so one that was chosen
-//! before may still be on its way when the placement changes.
+//! An item is first withdrawn from the published placement. It is evicted when a read made at least
+//! the settle time later shows no request for it. Requests routed by the old placement may arrive
+//! until then.
 
 use hgw_types::{ModelId, Time, UpstreamId};
 
@@ -11,8 +11,8 @@
 use crate::{Item, KeeperAction};
 
 impl Keeper {
-    /// Withdraws what the configuration no longer names, old versions once the new ones serve, and
-    /// all old versions but one on the same engine.
+    /// Withdraws items that are not in the configuration, old versions once the new ones serve, and
+    /// all but one old version of a model on the same engine.
     pub(super) fn plan_retirement(&mut self, now: Time) {
         for id in self.usable() {
             let Some(e) = self.engines.get(&id) else { continue };
@@ -20,8 +20,9 @@
             let going: Vec<Item> =
                 serving.filter(|i| self.is_to_go(now, &id, i)).cloned().collect();
             for item in going {
-                // One old version of a model at a time: its other copies carry the load meanwhile.
-                // The one that an extra version leaves behind does so on the same engine.
+                // One old version of a model is drained at a time, while its other replicas serve
+                // its requests. Extra versions on the same engine are exempt, because another one
+                // stays there.
                 let may_go_now = self.domain.model(&id, item.model()).is_none()
                     || self.is_extra_version(&id, &item);
                 if may_go_now || !self.is_draining(item.model()) {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Serves again what was to go and is the floor's after all.
+    /// Cancels the drain of items that the floor requires again.
     fn take_back(&mut self, engine: &UpstreamId) {
         let domain = &self.domain;
         let Some(e) = self.engines.get_mut(engine) else { return };
@@ -77,13 +78,12 @@
         }
     }
 
-    /// Whether the engine serves the old version beside one that it came to hold later, also old.
+    /// Whether the engine serves this old version along with a later one that is old too.
     ///
-    /// The load it is for: versions published faster than they load. The harm: old versions that wait
-    /// for the newest one fill the engine, which then has no room for it, and nothing goes until
-    /// `swap_only`. One is enough, since versions on one engine share its slots: a second one serves no
-    /// more callers. The later one stays, as the nearest to the configuration. One that still loads
-    /// does not count, so that callers always find one that serves.
+    /// When versions are published faster than they load, old versions that wait for the newest one
+    /// would fill the engine and block it until `swap_only` has passed. One old version is enough,
+    /// since versions on one engine share its slots. The latest is kept. Versions that are still
+    /// loading do not count, so that one version always serves.
     fn is_extra_version(&self, engine: &UpstreamId, item: &Item) -> bool {
         let Some(e) = self.engines.get(engine) else { return false };
         let is_old = |i: &&Item| {
--- a/crates/placement/src/keeper/room.rs
+++ b/crates/placement/src/keeper/room.rs
@@ -1,10 +1,10 @@
-//! Makes way for floor copies that have found no room for long.
+//! Frees memory for floor replicas that have waited long for it.
 //!
-//! The floor always fits, but the way from what is loaded to it may not: an engine is full with the
-//! old version of the very model; or two engines hold each other's models, each the only copy. Both
-//! would stand for ever. What is done about it costs more the longer it takes: after a while the copy
-//! in the way is loaded somewhere else; at last it goes although its model cannot be reached in this
-//! domain until the floor copy is loaded, for the time of a load or two.
+//! The floor always fits, but an engine may be full with the old version of the same model, or two
+//! engines may each have the only replica of the other's model. Neither is resolved by normal
+//! evictions. After `swap_second`, the blocking replica's model is loaded on another engine. After
+//! `swap_only`, the blocking replica is evicted even if its model is then unavailable in this
+//! domain until the floor replica is loaded.
 
 use std::time::Duration;
 
@@ -40,13 +40,13 @@
         }
     }
 
-    /// A copy that is not the first in the floor's list goes after a shorter wait: the first one, in
-    /// another domain, goes on serving.
+    /// A replica that is not the primary one in the floor waits less, because the primary in
+    /// another domain keeps serving.
     fn swap_after(&self, want: &Want) -> Duration {
         if want.rank > 0 { self.settings.swap_second } else { self.settings.swap_only }
     }
 
-    /// Models whose copy at the engine is not the floor's, and that no other engine of the domain has.
+    /// Models that are not in the floor for this engine and that no other engine of the domain has.
     fn in_the_way(&self, engine: &UpstreamId) -> Vec<ModelId> {
         let Some(e) = self.engines.get(engine) else { return Vec::new() };
         let held = e.ledger.held().keys().filter(|i| i.is_model() && e.serves(i));
@@ -54,7 +54,7 @@
         alone.map(|i| i.model().clone()).collect()
     }
 
-    /// Withdraws the old version, and copies that are not the floor's where that is not enough.
+    /// Withdraws the old version, and non-floor replicas if that does not free enough memory.
     fn swap(&mut self, now: Time, want: &Want, force: bool) {
         let Some(e) = self.engines.get(&want.engine) else { return };
         let stale = |i: &&Item| i.is_model() && i.model() == want.item.model() && e.serves(i);
--- a/crates/placement/src/keeper/settings.rs
+++ b/crates/placement/src/keeper/settings.rs
@@ -1,51 +1,53 @@
 use std::time::Duration;
 
-/// Time from proposing an order to its sending, at most; the same for every keeper.
+/// Maximum time between proposing an order and sending it; must be the same for every leader.
 ///
-/// A successor counts a predecessor's order on an engine that ignores fencing numbers until this
-/// time and the engine's bound for late orders have passed since the successor read its own claim.
+/// For an engine that ignores fencing tokens, a new leader counts a previous leader's order until
+/// this time and the engine's bound for late orders have passed since it read its own claim.
 pub const SEND_WINDOW: Duration = Duration::from_secs(10);
 
-/// What a keeper waits and bounds.
+/// Delays and limits of the leader.
 #[derive(Debug, Clone)]
 pub struct KeeperSettings {
-    /// Shortest time between two plans while events come.
+    /// Minimum time between plans while events arrive.
     pub plan_busy: Duration,
-    /// Time between two plans while only time passes.
+    /// Time between plans without events.
     pub plan_idle: Duration,
-    /// Time between reads of an engine on which something is under way.
+    /// Poll interval of an engine with an operation in progress.
     pub poll_busy: Duration,
-    /// Time between reads of an engine on which nothing is.
+    /// Poll interval of an idle engine.
     pub poll_idle: Duration,
-    /// Time after which a read that was never answered is asked again.
+    /// Time after which a read without a response is repeated.
     pub ask_timeout: Duration,
-    /// Reads or orders in a row without an answer, after which an engine counts as lost.
+    /// Consecutive reads or orders without a response after which an engine counts as unreachable.
     pub lost_after: u32,
-    /// Time after a takeover at which a placement is published although some engine is not read.
+    /// Time after a leader change at which a placement is published although some engines have not
+    /// been read.
     pub first_publish: Duration,
-    /// Time from publishing a placement without an item to the read that must show it unused.
+    /// Time between withdrawing an item and the read that must show it unused.
     pub settle: Duration,
-    /// Time after which an item is evicted although it is still used.
+    /// Time after which an item is evicted although it is in use.
     pub drain_limit: Duration,
-    /// Loads and evictions at once on one engine.
+    /// Maximum number of orders in flight per engine.
     pub orders_per_engine: usize,
-    /// Time before an order whose answer was lost, or that was refused, is sent again.
+    /// Delay before an order that was rejected or got no response is sent again.
     pub retry: Duration,
-    /// Time that an adapter is wanted for after it was last asked for in vain.
+    /// Time after the last unmet request during which an adapter is loaded on demand.
     pub adapter_want: Duration,
-    /// Time that a model is wanted for after it was last asked for in vain, while cut off.
+    /// Time after the last unmet request during which a model is loaded while the domain cannot
+    /// reach the log.
     pub missing_want: Duration,
-    /// Time that a demand replica is wanted for before its move is given up.
+    /// Time after which a planned load of a demand replica is given up.
     pub replica_want: Duration,
-    /// Time after a takeover during which nothing unknown is evicted: the configuration of this node
-    /// may be older than the predecessor's.
+    /// Time after a leader change during which items missing from the configuration are not
+    /// evicted: this node's configuration may be older than the previous leader's.
     pub unknown_wait: Duration,
-    /// Time between two plans for demand replicas.
+    /// Time between plans for demand replicas.
     pub demand_every: Duration,
-    /// Time without room for a new version anywhere in the domain, after which a second copy of the
-    /// old one is given up for it.
+    /// Time that a new version waits for memory in the domain before a second replica of the old
+    /// one is evicted for it.
     pub swap_second: Duration,
-    /// The same for a copy that may be the only one that can serve.
+    /// As `swap_second`, for a replica that may be the only one serving.
     pub swap_only: Duration,
 }
 
@@ -74,13 +76,12 @@
     }
 }
 
-/// The wait of a successor for a bound that another node counts by its own clock, which may run
-/// slower by up to one part in sixty-four.
+/// Extends a bound that another node measures, whose clock may run slower by up to 1/64.
 fn on_any_clock(bound: Duration) -> Duration {
     bound.saturating_add(bound / 64)
 }
 
-/// How long a successor counts an order that it finds recorded, from its own read of its claim.
+/// How long a new leader counts a recorded order, from its read of its own claim.
 pub(super) fn successor_wait(late: Duration) -> Duration {
     on_any_clock(SEND_WINDOW.saturating_add(late))
 }
--- a/crates/placement/src/keeper/wants.rs
+++ b/crates/placement/src/keeper/wants.rs
@@ -1,4 +1,4 @@
-//! Which engine should hold what.
+//! Determines which items each engine should load.
 
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 use indexmap::IndexSet;
@@ -6,58 +6,57 @@
 use super::Keeper;
 use crate::Item;
 
-/// Why an engine should hold an item; the more pressing first.
+/// Why an engine should load an item, in order of priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Cause {
-    /// The floor names the engine.
+    /// The floor includes the model on the engine.
     Floor,
-    /// The floor's engine in this domain is lost, leaving, or has no room.
+    /// The floor's engine in this domain is unreachable, leaving, or full.
     Substitute,
-    /// Callers ask for it, and no other domain may be in reach.
+    /// Callers request it, and other domains may be unreachable.
     Missing,
-    /// Callers ask for the adapter, or its version has changed.
+    /// Callers request the adapter, or its version has changed.
     Adapter,
-    /// The demand planner expects a gain.
     Demand,
 }
 
-/// An item that an engine should hold and does not.
+/// An item that an engine should load.
 #[derive(Debug, Clone)]
 pub(super) struct Want {
     pub(super) engine: UpstreamId,
     pub(super) item: Item,
     pub(super) size: MemSize,
     pub(super) cause: Cause,
-    /// Whether some version of the model serves in this domain already.
+    /// Whether some version of the model is served in this domain.
     pub(super) served: bool,
-    /// The engine's place in the floor's list.
+    /// The engine's rank in the floor's list.
     pub(super) rank: usize,
 }
 
 impl Want {
-    /// Wants are met in this order: what no caller of the domain can reach goes first.
+    /// Sort key: models that callers of the domain cannot reach come first.
     pub(super) fn order(&self) -> (bool, bool, Cause, usize) {
         (self.cause > Cause::Missing, self.served, self.cause, self.rank)
     }
 }
 
-/// What the usable engines of the domain have.
+/// Items on the usable engines of the domain.
 #[derive(Debug, Default)]
 pub(super) struct Homes {
-    /// Models that some version of is served.
+    /// Models of which some version is served.
     served: IndexSet<ModelId>,
-    /// What is held and not to go, or on its way. An order that is lost, or a predecessor's, takes
-    /// memory and promises nothing.
+    /// Items that are loaded and not draining, or loading by an order in flight. Orders that were
+    /// lost, or are from a previous leader, reserve memory but may never load the item.
     coming: IndexSet<Item>,
 }
 
 impl Keeper {
-    /// Whether loads may be given to the engine.
+    /// Whether loads may be ordered on the engine.
     pub(super) fn is_usable(&self, engine: &UpstreamId) -> bool {
         self.engines.get(engine).is_some_and(|e| e.is_counted()) && !self.is_leaving(engine)
     }
 
-    /// Whether the configuration, the platform or the engine itself calls the engine leaving.
+    /// Whether the engine is leaving according to the configuration, the platform or itself.
     pub(super) fn is_leaving(&self, engine: &UpstreamId) -> bool {
         self.leaving.contains(engine)
             || self.domain.upstream(engine).is_some_and(|u| u.leaving)
@@ -68,7 +67,6 @@
         self.engines.keys().filter(|id| self.is_usable(id)).cloned().collect()
     }
 
-    /// What the domain has, for one plan.
     pub(super) fn find_homes(&self) -> Homes {
         let mut homes = Homes::default();
         for (id, e) in self.engines.iter().filter(|(id, _)| self.is_usable(id)) {
@@ -83,7 +81,7 @@
         homes
     }
 
-    /// Whether the engine lacks the item, and nothing is on its way or stands against it.
+    /// Whether the engine lacks the item and no order in flight or reservation prevents a load.
     fn may_want(&self, engine: &UpstreamId, item: &Item) -> bool {
         let Some(e) = self.engines.get(engine) else { return false };
         if !e.ledger.has(item) {
@@ -92,7 +90,7 @@
         e.ledger.repeatable(item).is_some() && !self.is_flying(engine, item)
     }
 
-    /// A want of the model's current version at the engine, unless the engine has it.
+    /// Returns the load of the model's current version on the engine, unless the engine has it.
     pub(super) fn want(&self, engine: &UpstreamId, model: &ModelId, cause: Cause) -> Option<Want> {
         let (item, size) = self.domain.current(engine, model)?;
         if !self.may_want(engine, &item) {
@@ -103,7 +101,7 @@
         Some(Want { engine: engine.clone(), item, size, cause, served, rank })
     }
 
-    /// What the floor and the demand ask for, the most pressing first.
+    /// Returns the loads that floor and demand require, by priority.
     pub(super) fn wants(&self) -> Vec<Want> {
         let mut wants = Vec::new();
         for engine in self.usable() {
@@ -121,7 +119,7 @@
         wants
     }
 
-    /// New versions beside the old ones of demand replicas and adapters.
+    /// Adds new versions of demand replicas and adapters, next to the old ones.
     fn want_new_versions(&self, engine: &UpstreamId, wants: &mut Vec<Want>) {
         let Some(e) = self.engines.get(engine) else { return };
         for item in e.ledger.held().keys().filter(|i| e.serves(i)) {
@@ -155,7 +153,8 @@
         Some(Want { engine, item, size, cause: Cause::Adapter, served: true, rank: 0 })
     }
 
-    /// The engine with most room that serves the model, unless the adapter is somewhere already.
+    /// The engine with most free memory that serves the model, unless the adapter is loaded or
+    /// loading on any engine.
     fn engine_for_adapter(
         &self,
         model: &ModelId,
@@ -177,12 +176,12 @@
         serving.into_iter().max_by_key(|id| self.engines[id].ledger.free())
     }
 
-    /// Models that the floor gives to this domain, or that its callers miss while it may be cut off,
+    /// Floor models of this domain, and models that callers request while the log is unreachable,
     /// whose current version no usable engine has.
     pub(super) fn homeless(&self, now: Time) -> Vec<(ModelId, Cause)> {
         let of_floor = self.domain.floor_models();
         let missed = self.missing.iter().filter(|(m, asked)| {
-            // The log stands for all that is outside of the domain.
+            // If the log is unreachable, other domains may be too.
             let recent = now.since(**asked) < self.settings.missing_want;
             !self.log_up && recent && !of_floor.contains_key(*m)
         });
@@ -195,7 +194,7 @@
         homeless.map(|(m, _, cause)| (m.clone(), cause)).collect()
     }
 
-    /// Whether another usable engine has the model's current version, or it is on its way there.
+    /// Whether another usable engine has, or is loading, the model's current version.
     pub(super) fn has_home_besides(&self, engine: &UpstreamId, item: &Item) -> bool {
         let mut others = self.engines.iter().filter(|(id, _)| *id != engine && self.is_usable(id));
         others.any(|(id, e)| {
@@ -206,7 +205,7 @@
         })
     }
 
-    /// An engine of the service that has the model.
+    /// Any engine whose service has the model.
     fn any_engine(&self, model: &ModelId) -> Option<&UpstreamId> {
         self.engines.keys().find(|id| self.domain.model(id, model).is_some())
     }
--- a/crates/placement/src/ledger/mod.rs
+++ b/crates/placement/src/ledger/mod.rs
@@ -1,12 +1,12 @@
-//! The memory of one engine, as its keeper must count it.
+//! Accounting of one engine's memory.
 //!
-//! *Reserved* is what is resident or loading, and what every order that may still take effect would
-//! load. Memory is reserved before an order is sent. It is freed only by what the engine itself says:
-//! a state, asked after the fact, in which the item is gone; or an answer that the only copy of the
-//! order had no effect. A lost or a late answer frees nothing.
+//! *Reserved* memory is what is loaded or loading, plus what every order that may still take effect
+//! would load. Memory is reserved before an order is sent. It is released only by a later state of
+//! the engine without the item, or by a response that the only copy of the order had no effect. A
+//! lost or late response releases nothing.
 //!
-//! The one clock in it is the keeper's own: a lost copy counts until the bound that the operator
-//! states for late orders has passed since its loss was known, which is after it was sent.
+//! The only clock involved is the leader's own: a lost copy counts until the engine's bound for
+//! late orders has passed since the loss was detected, which is after it was sent.
 
 mod item;
 mod pending;
@@ -23,50 +23,33 @@
 
 use crate::OrderResult;
 
-/// Outcome of a reservation.
 pub type Result<T> = std::result::Result<T, ReserveError>;
 
-/// Why memory is not reserved.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum ReserveError {
-    /// The engine's state has not been read yet.
     #[display("the engine's state has not been read yet")]
     NotRead,
-    /// The order cannot grow memory.
-    #[display("the order loads nothing")]
+    #[display("the order does not load anything")]
     NothingToLoad,
-    /// The engine holds the item, or an order for it may still take effect.
-    #[display("{item} is held, or an order for it may still take effect")]
-    Taken {
-        /// The item.
-        item: Item,
-    },
-    /// Not enough memory is free.
-    #[display("{item} takes {size}, {free} is free")]
-    Full {
-        /// The item.
-        item: Item,
-        /// Memory that it takes.
-        size: MemSize,
-        /// Memory that is not reserved.
-        free: MemSize,
-    },
+    #[display("{item} is already loaded, or an order for it may still take effect")]
+    Taken { item: Item },
+    #[display("{item} needs {size}, but only {free} is free")]
+    Full { item: Item, size: MemSize, free: MemSize },
 }
 
 /// An item in an engine's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Held {
-    /// Memory that it takes.
     pub size: MemSize,
-    /// Whether it can serve.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Requests for it at the last read; 0 for an adapter.
+    /// Requests in flight at the last read; 0 for an adapter.
     pub active: u32,
-    /// When this was last learnt.
+    /// When this was last observed.
     pub seen: Time,
 }
 
-/// What may be in one engine's memory.
+/// Items that are, or may be, in one engine's memory.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     memory: MemSize,
@@ -78,22 +61,21 @@
 }
 
 impl Ledger {
-    /// A ledger of an engine of which nothing is known but its configured memory.
+    /// Creates a ledger for an engine whose state has not been read.
     pub fn new(memory: MemSize) -> Ledger {
         Ledger { memory, ..Ledger::default() }
     }
 
-    /// Sets the configured memory.
     pub fn set_memory(&mut self, memory: MemSize) {
         self.memory = memory;
     }
 
-    /// Memory that may be filled: the smaller of what is configured and what the engine reports.
+    /// Usable memory: the smaller of the configured and the reported size.
     pub fn memory(&self) -> MemSize {
         self.reported.map_or(self.memory, |m| m.min(self.memory))
     }
 
-    /// Memory that is, or may come to be, in use.
+    /// Memory that is in use or may become so through orders.
     pub fn reserved(&self) -> MemSize {
         let mut sizes: IndexMap<&Item, MemSize> =
             self.held.iter().map(|(item, held)| (item, held.size)).collect();
@@ -104,7 +86,7 @@
         sizes.into_values().sum()
     }
 
-    /// Memory that is not reserved; none before the first read.
+    /// Memory that is not reserved; zero before the first read.
     pub fn free(&self) -> MemSize {
         match self.asked {
             Some(_) => self.memory().saturating_sub(self.reserved()),
@@ -112,38 +94,36 @@
         }
     }
 
-    /// When the newest state was asked for.
+    /// When the latest applied state was requested.
     pub fn asked(&self) -> Option<Time> {
         self.asked
     }
 
-    /// The engine's generation at the last read.
     pub fn generation(&self) -> Option<Generation> {
         self.generation
     }
 
-    /// What the engine holds, as far as is known.
+    /// Items known to be loaded or loading.
     pub fn held(&self) -> &IndexMap<Item, Held> {
         &self.held
     }
 
-    /// Whether the engine holds the item ready.
     pub fn is_ready(&self, item: &Item) -> bool {
         self.held.get(item).is_some_and(|h| h.ready)
     }
 
-    /// Whether the engine holds the item, or an order for it may still take effect.
+    /// Whether the item is loaded, or an order for it may still take effect.
     pub fn has(&self, item: &Item) -> bool {
         self.held.contains_key(item) || self.orders.values().any(|o| o.item == *item)
     }
 
-    /// The order that may still load the item, with its size, where no answer to it is awaited and the
-    /// engine is not known to have carried it out. To send it again under its own id takes no more
-    /// memory than is reserved.
+    /// Returns an order for the item, with its size, that can be retried under its own id without
+    /// reserving more memory: it waits for no response and the engine is not known to have executed
+    /// it.
     ///
-    /// Nothing where more is reserved than there is. That comes about when an engine restarts: it
-    /// forgets which orders it has carried out, so that one done and undone before may take effect
-    /// again beside one sent since. Both may be gone; to send either again would make sure of it.
+    /// Returns `None` if more memory is reserved than the engine has. A restarted engine forgets
+    /// which orders it has executed, so an order undone earlier may take effect again next to a
+    /// newer one. Retrying either could overcommit the memory.
     pub fn repeatable(&self, item: &Item) -> Option<(RecordId, MemSize)> {
         let fits = |o: &Pending| {
             o.item == *item && o.flying == 0 && o.done_in.is_none_or(|g| Some(g) != self.generation)
@@ -154,7 +134,7 @@
         self.orders.iter().find(|(_, o)| fits(o)).map(|(id, o)| (*id, o.size))
     }
 
-    /// Items that are loading, or that orders may yet load.
+    /// Number of items that are loading or that orders in flight may load.
     pub fn loading(&self) -> usize {
         let loading = self.held.values().filter(|h| !h.ready).count();
         let coming = |o: &&Pending| {
@@ -163,13 +143,12 @@
         loading + self.orders.values().filter(coming).count()
     }
 
-    /// Whether any order may still take effect.
     pub fn is_unsettled(&self) -> bool {
         self.orders.values().any(|o| o.may_grow(self.generation))
             || self.held.values().any(|h| !h.ready)
     }
 
-    /// Reserves what the order would load. The order may be sent only after this.
+    /// Reserves the memory of the order, which must be done before it is sent.
     pub fn reserve(&mut self, order: RecordId, kind: &OrderKind) -> Result<()> {
         let (item, size) = Item::loaded_by(kind).ok_or(ReserveError::NothingToLoad)?;
         if self.asked.is_none() {
@@ -186,21 +165,22 @@
         Ok(())
     }
 
-    /// Counts another keeper's order, which was sent an unknown number of times, until `dead_at`.
+    /// Counts a previous leader's order, which may have been sent any number of times, until
+    /// `dead_at`.
     pub fn inherit(&mut self, order: RecordId, kind: &OrderKind, dead_at: Time) {
         let Some((item, size)) = Item::loaded_by(kind) else { return };
         let pending = Pending::new(item, size);
         self.orders.insert(order, Pending { inherited: true, dead_at: Some(dead_at), ..pending });
     }
 
-    /// Counts an order that is to be sent again until `dead_at` at least.
+    /// Counts an order that will be retried until at least `dead_at`.
     pub fn renew(&mut self, order: RecordId, dead_at: Time) {
         if let Some(pending) = self.orders.get_mut(&order) {
             pending.dead_at = pending.dead_at.max(Some(dead_at));
         }
     }
 
-    /// A copy of the order is about to be sent.
+    /// Records that a copy of the order is being sent.
     pub fn sending(&mut self, order: RecordId) {
         if let Some(pending) = self.orders.get_mut(&order) {
             pending.flying += 1;
@@ -208,26 +188,26 @@
         }
     }
 
-    /// The order will not be sent again; frees it if no copy was ever sent.
+    /// Stops retries of the order; releases it if no copy can take effect.
     pub fn cancel(&mut self, order: RecordId) {
         if self.orders.get(&order).is_some_and(Pending::is_over) {
             self.orders.shift_remove(&order);
         }
     }
 
-    /// What became of one copy of the order. `late` is the operator's bound for late orders.
+    /// Applies the result of one copy of the order. `late` is the engine's bound for late orders.
     pub fn answered(&mut self, now: Time, order: RecordId, result: &OrderResult, late: Duration) {
         let Some(pending) = self.orders.get_mut(&order).filter(|o| o.flying > 0) else { return };
         pending.flying -= 1;
         match result {
-            // Not sent: the caller says next whether it sends again or cancels.
+            // The caller next retries or cancels the order.
             OrderResult::NotSent => return,
             OrderResult::Lost => pending.lose(now + late),
             OrderResult::Answered(OrderOutcome::Done) => {
                 if pending.done_in.is_none() {
                     pending.done_in = self.generation;
-                    // A predecessor's order may have been carried out and undone long ago, and is
-                    // answered all the same: only a read shows whether the item is there.
+                    // A previous leader's order may have been executed and undone long ago, and the
+                    // engine still responds `Done`. Only a read shows whether the item is there.
                     let ready = !pending.inherited;
                     let held = Held { size: pending.size, ready, active: 0, seen: now };
                     self.held.insert(pending.item.clone(), held);
@@ -238,10 +218,10 @@
         self.cancel(order);
     }
 
-    /// Takes what the engine said that it holds when it was asked at `asked`.
+    /// Applies a state that was requested at `asked`.
     ///
-    /// A state asked for before something was learnt does not undo it: the engine may have answered
-    /// before that happened.
+    /// A state requested before an item was observed does not remove it, since the engine may have
+    /// responded before the item was loaded.
     pub fn read(&mut self, asked: Time, state: &EngineState) -> Reading {
         if self.asked.is_some_and(|t| asked <= t) {
             return Reading::Stale;
@@ -262,7 +242,7 @@
         if restarted { Reading::Restarted } else { Reading::Taken }
     }
 
-    /// Frees the orders that can no longer take effect by the operator's bound.
+    /// Releases orders that can no longer take effect by the engine's bound for late orders.
     pub fn expire(&mut self, now: Time) {
         self.orders.retain(|_, o| !o.is_dead(now));
     }
@@ -273,14 +253,13 @@
     }
 }
 
-/// What a state did to the ledger.
+/// Result of applying a state to the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
-    /// Nothing: a state asked for later has been taken.
+    /// Ignored: a state requested later has been applied.
     Stale,
-    /// It was taken.
     Taken,
-    /// It was taken, and the engine has restarted since the one before.
+    /// Applied, and the engine has restarted since the previous state.
     Restarted,
 }
 
--- a/crates/placement/src/ledger/pending.rs
+++ b/crates/placement/src/ledger/pending.rs
@@ -4,24 +4,24 @@
 
 /// An order that may still take effect.
 ///
-/// Each sending of the order is a copy. A copy is *flying* until its answer or loss is known, and
-/// *lost* when no answer came. The engine carries the order out once within a generation, but a lost
-/// copy may reach the engine after a restart, which has forgotten the order's id.
+/// Each sending creates a copy. A copy is in flight until its response or loss is known, and lost
+/// if no response arrived. The engine executes an order once per generation, but a lost copy may
+/// arrive after a restart, when the engine no longer knows the order's id.
 #[derive(Debug, Clone)]
 pub(super) struct Pending {
     pub(super) item: Item,
     pub(super) size: MemSize,
-    /// Copies without an answer so far.
+    /// Copies in flight.
     pub(super) flying: u32,
-    /// Copies whose answer was lost.
+    /// Lost copies.
     pub(super) lost: u32,
-    /// The generation in which the engine is known to have carried it out.
+    /// Engine generation in which the order is known to have been executed.
     pub(super) done_in: Option<Generation>,
     /// When lost copies can no longer take effect.
     pub(super) dead_at: Option<Time>,
-    /// The one copy still flying is known to be the one that took effect.
+    /// Whether the only copy in flight is known to have taken effect.
     pub(super) consumed: bool,
-    /// Another keeper's order: how often it was sent is not known.
+    /// Whether a previous leader sent the order, an unknown number of times.
     pub(super) inherited: bool,
 }
 
@@ -39,7 +39,8 @@
         }
     }
 
-    /// The engine's state shows the item. Where only one copy was out, it is the one that did it.
+    /// Records that the engine's state shows the item. If there was only one copy, that copy loaded
+    /// it.
     pub(super) fn seen(&mut self, generation: Generation) {
         if self.done_in == Some(generation) {
             return;
@@ -60,17 +61,17 @@
         self.dead_at = self.dead_at.max(Some(dead_at));
     }
 
-    /// Whether it may still add its item to an engine of this generation.
+    /// Whether it may still load its item on an engine of this generation.
     pub(super) fn may_grow(&self, generation: Option<Generation>) -> bool {
         self.done_in.is_none() || self.done_in != generation
     }
 
-    /// Whether no copy is left that could take effect.
+    /// Whether no copy can take effect any more, apart from the bound for late orders.
     pub(super) fn is_over(&self) -> bool {
         !self.inherited && self.flying == 0 && self.lost == 0
     }
 
-    /// Whether the time has passed after which no copy can take effect.
+    /// Whether the bound for late orders has passed for all copies.
     pub(super) fn is_dead(&self, now: Time) -> bool {
         self.flying == 0 && self.dead_at.is_some_and(|t| now >= t)
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,10 @@
-//! Decisions on memory: the ledger, the floor, demand replicas and weight store shares.
+//! Placement of models in engine memory: ledger, residency floor, demand replicas and weight store
+//! shares.
 //!
-//! The [`KeeperEvent`]s and [`KeeperAction`]s are the border of the [`Keeper`] of one failure domain:
-//! the only sender of orders to the engines of its domain. [`floor`] is the planner's decision. The
-//! [`Ledger`] and the [`Shares`] stand alone and can be embedded without the keeper.
+//! A failure domain has one leader, its [`Keeper`], which alone sends orders to the domain's
+//! engines. It takes [`KeeperEvent`]s and returns [`KeeperAction`]s and does no I/O. [`floor`]
+//! computes the replicas that must stay loaded. [`Ledger`] and [`Shares`] can be used without the
+//! leader.
 
 mod api;
 mod demand;
--- a/crates/placement/src/shares/mod.rs
+++ b/crates/placement/src/shares/mod.rs
@@ -1,30 +1,28 @@
 //! One failure domain's share of the weight store.
 //!
-//! All domains load from one store, which slows down for everybody once it is asked for more than it
-//! gives. Domains can be cut off from each other, so none can ask the others first: each keeps to a
-//! share that it works out from the configuration alone, and the shares add up to less than the whole.
+//! All domains load from one store, which slows down for all of them when overloaded. Domains may
+//! be unable to reach each other, so each computes its share from the configuration alone, and the
+//! shares add up to less than the total.
 
 use std::time::Duration;
 
 use hgw_config::{Document, ServiceKind, WeightStore};
 use hgw_types::{DomainId, Time};
 
-/// Part of the store's rate that is shared out; the rest is for keepers that take over, which start
-/// with an empty bucket but do not know when their predecessor last loaded.
+/// Fraction of the store's rate that is shared. The rest is for new leaders, which start with an
+/// empty token bucket but do not know when the previous leader last loaded.
 const SHARED_OUT: f64 = 0.9;
 
-/// One domain's share: a bucket of loads that refills at the domain's rate, and a bound on loads at
-/// once.
+/// One domain's share: a token bucket of loads and a limit on concurrent loads.
 ///
-/// Where there are more domains than slots, each domain has one load at once and rests after it, so
-/// that over time it takes no more than its fraction of the slots. Without a clock that domains
-/// share, nothing stronger can be had without asking the others: the average stays below the
-/// store's bound, a single moment may not.
+/// If there are more domains than slots, each domain runs one load at a time and pauses after it,
+/// so that its average use stays within its fraction of the slots. The domains share no clock, so
+/// concurrent loads may briefly exceed the store's limit.
 #[derive(Debug, Clone, Default)]
 pub struct Shares {
     every: Duration,
     parallel: usize,
-    /// Seconds of rest for each second of loading; above 0 only for fractional slots.
+    /// Seconds of pause for each second of loading; above 0 only if domains outnumber slots.
     rest: f64,
     tokens: f64,
     filled: Time,
@@ -33,12 +31,12 @@
 }
 
 impl Shares {
-    /// A share with an empty bucket.
+    /// Creates a share with an empty token bucket.
     pub fn new(now: Time) -> Shares {
         Shares { filled: now, ..Shares::default() }
     }
 
-    /// Works out the share of `domain`; its bucket stays as full as it was.
+    /// Computes the share of `domain`; the tokens in the bucket are kept.
     pub fn configure(&mut self, document: &Document, domain: &DomainId) {
         let domains = loading_domains(document);
         let rank = domains.iter().position(|d| *d == domain);
@@ -52,7 +50,7 @@
         (self.parallel, self.rest) = slots(parallel as usize, domains.len(), rank);
     }
 
-    /// Whether a load may begin now, with `running` others under way; if so, it is counted.
+    /// Takes a token if a load may begin now, with `running` others in progress.
     pub fn take(&mut self, now: Time, running: usize) -> bool {
         self.refill(now);
         let may = running < self.parallel && self.tokens >= 1.0 && now >= self.rests_until;
@@ -62,7 +60,7 @@
         may
     }
 
-    /// To be told at each tick how many loads are under way.
+    /// Must be called at each tick with the number of loads in progress.
     pub fn observe(&mut self, now: Time, running: usize) {
         if self.rest == 0.0 {
             return;
@@ -80,12 +78,11 @@
     fn refill(&mut self, now: Time) {
         let gained = now.since(self.filled).as_secs_f64() / self.every.as_secs_f64().max(1e-6);
         self.filled = now;
-        // No more than one: a bucket that saves up would let all domains burst together.
+        // At most one token, so that idle domains cannot all burst at once.
         self.tokens = (self.tokens + gained).min(1.0);
     }
 }
 
-/// Domains that have model engines, in the order of the configuration.
 fn loading_domains(document: &Document) -> Vec<&DomainId> {
     let is_engine =
         |service| document.services.get(service).is_some_and(|s| s.kind == ServiceKind::Model);
@@ -95,11 +92,11 @@
     document.domains.keys().filter(|id| has_engine(id)).collect()
 }
 
-/// Loads at once for the domain of this rank, and its rest.
+/// Concurrent loads of the domain with this rank, and its pause factor.
 fn slots(parallel: usize, domains: usize, rank: usize) -> (usize, f64) {
     if parallel <= domains {
-        // Below one slot each: one at once, with a rest that makes up for it. One slot of all is
-        // left out, as above, where there is more than one.
+        // Fewer slots than domains: one load at a time with a pause. If there are several slots,
+        // one is not shared out, as with the rate.
         let shared = parallel.saturating_sub(1).max(1) as f64;
         return (1, domains as f64 / shared - 1.0);
     }
