--- a/crates/claim/src/api.rs
+++ b/crates/claim/src/api.rs
@@ -1,7 +1,7 @@
 use bytes::Bytes;
 use hgw_types::{NodeId, Offset, RecordId, Term};
 
-/// Who holds a scope.
+/// The node that has the lease of a scope.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
     /// The node of the latest claim.
@@ -10,98 +10,80 @@
     pub term: Term,
 }
 
-/// What became of an append.
+/// Result of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The record stands at this offset.
+    /// The record was stored at this offset.
     Stored(Offset),
-    /// The log refused it; it does not stand and will not.
+    /// The log rejected it; it will not be stored later.
     NotStored,
-    /// No answer: it may stand, or may come to stand later.
+    /// No response: the record may have been stored, or may be stored later.
     Unknown,
 }
 
-/// What a claim is told.
+/// Input of a [`Claim`](crate::Claim).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The next record of the scope's stream.
     Read {
-        /// Where it stands.
         offset: Offset,
-        /// Its bytes.
         data: Bytes,
     },
-    /// The records before `first` are gone, and reading goes on there.
+    /// The records before `first` were trimmed; reading continues at `first`.
     Trimmed {
-        /// The oldest record kept.
         first: Offset,
     },
-    /// All records that stood when the read was made have been given.
+    /// All records that existed when the read was made have been passed.
     CaughtUp,
-    /// The log could not be read.
     ReadFailed,
-    /// Answer to an [`Action::Append`].
+    /// Result of an [`Action::Append`].
     Appended {
-        /// The record.
         id: RecordId,
-        /// What became of it.
         outcome: AppendOutcome,
     },
-    /// Whether this node is the one that should hold the scope, and whether its holder is alive,
-    /// as membership sees it. Decides only when to claim, never what is safe. To be told again after
-    /// each [`Action::HolderChanged`], which voids what was said about the last holder.
+    /// Whether this node should be leader, and whether the current leader is alive, according to
+    /// membership. Affects only when to claim, not safety. Must be sent again after each
+    /// [`Action::HolderChanged`], which discards the previous values.
     Standing {
-        /// This node comes first among the live nodes for this scope.
+        /// This node is first in the order of live nodes for this scope.
         preferred: bool,
-        /// The present holder, if any, is alive.
+        /// The current leader, if any, is alive.
         holder_alive: bool,
     },
-    /// Time has passed.
     Tick,
 }
 
-/// What a claim asks for.
+/// Output of a [`Claim`](crate::Claim).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Append these bytes to the scope's stream.
+    /// Append this record to the scope's stream.
     Append {
-        /// The record's id, which is also inside the bytes.
+        /// The record's id, which `data` contains too.
         id: RecordId,
-        /// The record.
         data: Bytes,
     },
-    /// Another holder, or none after a release.
+    /// The leader changed; `None` after a release.
     HolderChanged(Option<Holder>),
-    /// This node holds the scope, has read all before its claim, and may propose entries.
+    /// This node acquired the lease, has read all records before its claim, and may propose
+    /// entries.
     Gained(Term),
-    /// This node held the scope and does no longer.
+    /// This node no longer has the lease.
     Lost(Term),
-    /// A valid entry, in order, by whichever holder; given once.
+    /// A valid entry of any leader, in order; passed once.
     Apply {
-        /// Where it stands.
         offset: Offset,
-        /// The term that it was written under.
+        /// The term in which it was written.
         term: Term,
-        /// The proposer's id for it.
         id: RecordId,
-        /// What was proposed.
         data: Bytes,
     },
-    /// A valid snapshot that replaces all that was applied before; given only where entries before
-    /// it could not be read.
-    Restore {
-        /// Where it stands.
-        offset: Offset,
-        /// The snapshot.
-        data: Bytes,
-    },
-    /// A proposed entry is void or was refused: it will never be applied.
-    Dropped {
-        /// The entry.
-        id: RecordId,
-    },
-    /// The holder should write a snapshot before the last one expires.
+    /// A valid snapshot that replaces all entries applied before; passed only if entries before it
+    /// could not be read.
+    Restore { offset: Offset, data: Bytes },
+    /// A proposed entry is void or was rejected: it will never be applied.
+    Dropped { id: RecordId },
+    /// The leader should write a snapshot before the last one expires.
     SnapshotDue,
-    /// The start of the stream is gone and no snapshot was found: the state is not known.
+    /// The start of the stream was trimmed and no snapshot was found: the state is unknown.
     NoSnapshot,
 }
--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -10,7 +10,8 @@
 use crate::record::{Body, Entry, Record, Snapshot};
 use crate::{Action, Event, Holder, Settings, fold};
 
-/// One node's part in who holds a scope: reader of its stream, claimant and holder.
+/// One node's state machine for the lease of a scope: reads the stream, claims the lease, and
+/// appends records as leader.
 #[derive(Debug)]
 pub struct Claim {
     cfg: Settings,
@@ -23,7 +24,7 @@
     outbox: Outbox,
     held: Option<Term>,
     standing: Option<Standing>,
-    /// The last read succeeded and ended at the end of the stream.
+    /// Whether the last read succeeded and reached the end of the stream.
     caught_up: bool,
     told_no_snapshot: bool,
     snapshot: SnapshotClock,
@@ -31,15 +32,14 @@
     release_due: bool,
 }
 
-/// This node's standing as last told.
+/// Membership's view of this node, as last received.
 #[derive(Debug)]
 struct Standing {
     preferred: bool,
-    /// When this node may claim, if nothing changes.
+    /// When this node may claim the lease, unless something changes.
     claim_at: Option<Time>,
 }
 
-/// When the next snapshot is due.
 #[derive(Debug, Default)]
 struct SnapshotClock {
     entries: u64,
@@ -48,8 +48,8 @@
 }
 
 impl Claim {
-    /// Starts before the first record of the scope's stream. `boot` is a random number of this
-    /// process, which makes its record ids unique.
+    /// Starts before the first record of the stream. `boot` is a random number of this process that
+    /// makes its record ids unique.
     pub fn new(cfg: Settings, scope: Scope, node: NodeId, boot: u64) -> Claim {
         Claim {
             cfg,
@@ -70,22 +70,20 @@
         }
     }
 
-    /// The scope.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
 
-    /// The holder after the records read so far.
+    /// The leader according to the records read so far.
     pub fn holder(&self) -> Option<&Holder> {
         self.reader.fold.holder.as_ref()
     }
 
-    /// The term of this node, while it holds the scope and has read back its claim.
+    /// This node's term, while it has the lease and has read its claim back.
     pub fn held(&self) -> Option<Term> {
         self.held
     }
 
-    /// Takes an event.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Read { offset, data } => self.read(now, offset, &data, out),
@@ -109,7 +107,7 @@
         self.advance(now, out);
     }
 
-    /// Proposes an entry; it counts once it comes back as [`Action::Apply`].
+    /// Proposes an entry, which takes effect once it is returned as [`Action::Apply`].
     pub fn propose(&mut self, now: Time, id: RecordId, data: Bytes, out: &mut Vec<Action>) {
         let full = self.outbox.waiting.len() >= self.cfg.queue_entries;
         if self.held.is_none() || self.releasing || full {
@@ -120,7 +118,7 @@
         self.advance(now, out);
     }
 
-    /// Takes the state after all entries applied so far.
+    /// Writes a snapshot of the state after all entries applied so far.
     pub fn snapshot(&mut self, now: Time, data: Bytes, out: &mut Vec<Action>) {
         if self.held.is_none() || self.releasing {
             return;
@@ -129,7 +127,7 @@
         self.advance(now, out);
     }
 
-    /// Gives the scope up, after what is in flight, and never claims it again.
+    /// Releases the lease after pending appends and never claims it again.
     pub fn release(&mut self, now: Time, out: &mut Vec<Action>) {
         self.releasing = true;
         self.release_due = self.held.is_some();
@@ -138,8 +136,8 @@
         self.advance(now, out);
     }
 
-    /// After [`Action::NoSnapshot`]: takes the state before the oldest record kept to be empty,
-    /// since what was recorded before has expired for its users as well.
+    /// After [`Action::NoSnapshot`]: assumes that the state before the oldest record was empty,
+    /// because its entries have expired for their users too.
     pub fn begin_empty(&mut self, now: Time, out: &mut Vec<Action>) {
         for judged in self.reader.begin_empty() {
             self.judge(now, judged, out);
@@ -192,7 +190,7 @@
     fn claimed(&mut self, now: Time, id: RecordId, out: &mut Vec<Action>) {
         self.lose(true, out);
         out.push(Action::HolderChanged(self.holder().cloned()));
-        // What was said about the last holder does not hold for this one.
+        // Membership's last report was about the previous leader.
         self.standing = None;
         if id.boot != self.boot {
             return;
@@ -200,7 +198,7 @@
         let term = self.reader.fold.term;
         self.held = Some(term);
         self.release_due = self.releasing;
-        // The last snapshot may be as old as the last holder let it become.
+        // The last snapshot may be old, as its age is counted by the previous leader.
         self.snapshot.next = now + self.cfg.first_snapshot;
         out.push(Action::Gained(term));
     }
@@ -212,8 +210,8 @@
         self.stand(now, preferred, false);
     }
 
-    /// Ends this node's term. `void` says that nothing it sent and has not read can count any more:
-    /// a newer claim, or its release, was read first.
+    /// Ends this node's term. `void` means that records sent but not read back can no longer take
+    /// effect, since a newer claim or the release was read first.
     fn lose(&mut self, void: bool, out: &mut Vec<Action>) {
         let Some(term) = self.held.take() else { return };
         self.snapshot.waiting = None;
@@ -267,9 +265,11 @@
         }
     }
 
-    /// Two nodes may both come first for a moment, each in its own view. Each waits until that has
-    /// held for a while, and a little longer at random; the one that reads the other's claim in that
-    /// time stands back.
+    /// Schedules or cancels a claim.
+    ///
+    /// Two nodes may briefly both be preferred, each in its own view. Each waits until that has
+    /// lasted for a while plus random jitter, and does not claim if it reads the other's claim
+    /// meanwhile.
     fn stand(&mut self, now: Time, preferred: bool, holder_alive: bool) {
         let vacant = self.holder().is_none_or(|holder| holder.node == self.node);
         let wanted = vacant || !holder_alive;
@@ -279,9 +279,11 @@
         self.standing = Some(Standing { preferred, claim_at });
     }
 
-    /// A released scope is free at once; a dead holder may only be out of sight for a moment. The
-    /// node that should claim may be unable to, for want of the log or of a snapshot: then, after a
-    /// longer time, any other one does.
+    /// Returns the delay before a claim.
+    ///
+    /// A released lease can be claimed at once, but a leader reported dead may be unreachable only
+    /// briefly. The preferred node may be unable to claim without the log or a snapshot, so after a
+    /// longer time any other node does.
     fn patience(&mut self, preferred: bool) -> Duration {
         let released = self.holder().is_none() && self.reader.fold.term != Term(0);
         match (preferred, released) {
--- a/crates/claim/src/fold.rs
+++ b/crates/claim/src/fold.rs
@@ -1,26 +1,26 @@
-//! Which records count: the function of the stream that every reader computes alike.
+//! Determines which records of a stream are valid; every reader computes the same result.
 
 use hgw_types::{Offset, RecordId, Term};
 
 use crate::Holder;
 use crate::record::{Body, Record, Snapshot};
 
-/// Who holds the scope after the records read so far.
+/// The leader and position after the records read so far.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Fold {
     pub(crate) holder: Option<Holder>,
-    /// The record that made `holder` the holder, where it was read.
+    /// The claim record of `holder`, if it was read.
     pub(crate) claim: Option<RecordId>,
-    /// The latest valid claim, also after its release.
+    /// Offset of the latest valid claim, also after its release.
     pub(crate) term: Term,
-    /// The last valid record of the term.
+    /// Sequence number of the last valid record of the term.
     pub(crate) seq: u64,
-    /// Set where earlier claims may have been missed, so that a term not seen before may be valid;
-    /// the last record missed. A claim by a node that had not read so far may be void.
+    /// The last record missed, if earlier claims may have been missed; then a term not seen before
+    /// may be valid, and a claim by a node that had not read up to here may be void.
     missed: Option<Offset>,
 }
 
-/// What a record means at its place.
+/// Effect of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
     Claimed,
@@ -31,7 +31,7 @@
 }
 
 impl Fold {
-    /// The state at the offset that the snapshot covers.
+    /// The state at the offset covered by the snapshot.
     pub(crate) fn at_snapshot(snapshot: &Snapshot) -> Fold {
         Fold {
             holder: Some(Holder { node: snapshot.node.clone(), term: snapshot.term }),
@@ -54,10 +54,9 @@
     pub(crate) fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         match &record.body {
             Body::Claim { node, read_to } => {
-                // A claim that was held up on its way, or written twice, would take the scope from
-                // a holder that its writer never knew, long after the writer lost interest. It is
-                // void, as its writer had not read the claim that it would replace. Of two that
-                // race, the first one holds.
+                // A delayed or duplicated claim must not replace a leader that its writer did not
+                // know of. It is void, because its writer had not read the claim that it would
+                // replace. Of two concurrent claims, the first one is valid.
                 let known = self.missed.is_none_or(|missed| *read_to >= missed);
                 if read_to.0 < self.term.0 || !known {
                     return Verdict::Void;
@@ -84,9 +83,9 @@
         }
     }
 
-    /// A record of an older term is void: its writer was superseded, perhaps while it was paused.
-    /// A second copy of a record has a `seq` that was seen, so it is void too; the holder sends the
-    /// next record only when this one has been read back, so there are no gaps.
+    /// A record of an older term is void, because its writer was superseded. A duplicate is void,
+    /// because its `seq` was already seen. There are no gaps, since the leader sends the next
+    /// record only after reading this one back.
     fn written(&mut self, term: Term, seq: u64, verdict: Verdict) -> Verdict {
         let next = self.holder.is_some() && term == self.term && seq == self.seq + 1;
         let possible = self.missed.is_some() && (term, seq) > (self.term, self.seq);
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,12 +1,13 @@
-//! Claims on scopes over an append-only log.
+//! Leader election by leases in an append-only log.
 //!
-//! A scope has one stream. A claim record takes the scope: its offset is the *term* and serves as
-//! fencing number; the latest claim holds. A holder acts only on records of its own that it has read
-//! back under its term. A record by an older term after a newer claim is void for every reader alike,
-//! so a holder that was paused, cut off or superseded cannot act, and no clock is needed for safety.
+//! Each scope has one log stream. A claim record acquires the scope's lease: its offset is the
+//! *term*, which serves as fencing token. The latest valid claim decides who is leader. A leader
+//! acts only on its own records that it has read back under its term. Every reader ignores records
+//! of an older term after a newer claim, so a paused, disconnected or superseded leader cannot act,
+//! and safety does not depend on clocks.
 //!
-//! A claim says how far its writer had read, and is void where it had not read the claim that it
-//! would replace. Records of a term are numbered, so that second copies are void as well.
+//! A claim states how far its writer had read. It is void if the writer had not read the claim that
+//! it would replace. Records of a term are numbered, so duplicates are void too.
 
 mod api;
 mod claim;
--- a/crates/claim/src/outbox.rs
+++ b/crates/claim/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What this node wants to append: one append at a time, the rest waits.
+//! Appends of this node: one in flight at a time, the others queued.
 
 use std::collections::VecDeque;
 
@@ -8,14 +8,14 @@
 use crate::record::Entry;
 use crate::{AppendOutcome, Settings};
 
-/// A proposal that was not sent yet.
+/// A proposal that has not been sent yet.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) entry: Entry,
     pub(crate) since: Time,
 }
 
-/// What an append was for.
+/// The content of an append.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Purpose {
     Claim,
@@ -30,33 +30,33 @@
     pub(crate) data: Bytes,
     pub(crate) purpose: Purpose,
     state: State,
-    /// Some copy of it may stand.
+    /// A copy of it may have been stored.
     doubt: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Sent(Time),
-    /// It stands and will be read.
+    /// Stored, but not read back yet.
     Stored,
-    /// Looked up by reading on; `reads` ended without it since `since`.
+    /// Looked for by reading the stream; `reads` reads ended without finding it since `since`.
     LookUp {
         since: Time,
         reads: u32,
     },
 }
 
-/// Reads that must end without the record before it is sent again. The first one may have been made
-/// before the append was given up on; the second one was not.
+/// Reads that must end without the record before it is sent again. The first read may have started
+/// before the append timed out; the second did not.
 const LOOK_UPS: u32 = 2;
 
-/// What is to be done about the append in flight.
+/// Next step for the append in flight.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
     Nothing,
-    /// It does not stand and never will.
+    /// It was not stored and will not be.
     Refused(Purpose),
-    /// Send the same bytes under the same id again.
+    /// Send the same bytes again under the same id.
     Again(RecordId, Bytes),
 }
 
@@ -73,8 +73,8 @@
         self.flight = Some(Flight { id, data, purpose, state: State::Sent(now), doubt: false });
     }
 
-    /// A record was read; the one in flight is done when it was that one and is valid. A claim is
-    /// done in any case: one that came too late stays void.
+    /// Handles a record that was read. The append in flight is complete if it is this record and
+    /// valid. A claim is complete in any case, because a claim that came too late stays void.
     pub(crate) fn read_back(&mut self, id: RecordId, valid: bool) {
         let done = |flight: &Flight| flight.id == id && (valid || flight.purpose == Purpose::Claim);
         if self.flight.as_ref().is_some_and(done) {
@@ -101,7 +101,7 @@
         Verdict::Nothing
     }
 
-    /// A read gave all that stood when it was made.
+    /// Handles a read that returned all records that existed when it was made.
     pub(crate) fn read_ended(&mut self) {
         let Some(flight) = &mut self.flight else { return };
         if let State::LookUp { reads, .. } = &mut flight.state {
@@ -109,11 +109,11 @@
         }
     }
 
-    /// Sends a record in doubt again, once it was looked up in vain.
+    /// Sends a record with an unknown outcome again if reading the stream did not find it.
     ///
-    /// The first copy may still arrive. That is harmless: both copies carry the same term and `seq`,
-    /// so every reader takes the first one to arrive and ignores the other. A claim has no `seq`: it
-    /// is given up instead, and the next one is written anew.
+    /// The first copy may still be stored later. That is harmless: both copies have the same term
+    /// and `seq`, so every reader applies the first and ignores the other. A claim has no `seq`: it
+    /// is abandoned, and a new one is written later.
     pub(crate) fn tick(&mut self, now: Time, cfg: &Settings) -> Verdict {
         let Some(flight) = &mut self.flight else { return Verdict::Nothing };
         match flight.state {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Proposals that have waited too long; they were never sent.
+    /// Removes the proposals that have waited too long; they were never sent.
     pub(crate) fn expired(&mut self, now: Time, cfg: &Settings) -> Vec<RecordId> {
         let mut ids = Vec::new();
         while let Some(first) = self.waiting.front() {
@@ -150,7 +150,7 @@
         ids
     }
 
-    /// The proposals that the next append carries.
+    /// Takes the proposals for the next append.
     pub(crate) fn batch(&mut self, cfg: &Settings) -> Vec<Entry> {
         let mut bytes = 0;
         let mut entries = Vec::new();
@@ -165,7 +165,7 @@
         entries
     }
 
-    /// Forgets everything; gives the ids of the proposals not sent and of those in flight.
+    /// Clears the queue; returns the ids of unsent proposals and of those in flight.
     pub(crate) fn clear(&mut self) -> (Vec<RecordId>, Vec<RecordId>) {
         let waiting = self.waiting.drain(..).map(|waiting| waiting.entry.id).collect();
         let sent = match self.flight.take().map(|flight| flight.purpose) {
--- a/crates/claim/src/reader.rs
+++ b/crates/claim/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a stream, also one whose start is gone.
+//! Reads a stream, including one whose start was trimmed.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use crate::fold::{Fold, Verdict};
 use crate::record::{Body, Record, Snapshot};
 
-/// A record with its meaning.
+/// A record with its effect.
 #[derive(Debug, Clone)]
 pub(crate) struct Judged {
     pub(crate) offset: Offset,
@@ -15,33 +15,32 @@
     pub(crate) verdict: Verdict,
 }
 
-/// What came of a record.
+/// Result of reading a record.
 #[derive(Debug)]
 pub(crate) enum Read {
-    /// It was judged.
     Judged(Box<Judged>),
-    /// Nothing yet: the state before it is not known.
+    /// The effect is not known yet, since the state before it is unknown.
     Waiting,
-    /// It is a snapshot that makes the state known; these records come after what it covers.
+    /// A snapshot that establishes the state, with the records after the offset that it covers.
     Restored(Box<Snapshot>, Vec<Judged>),
 }
 
 #[derive(Debug)]
 pub(crate) struct Reader {
     pub(crate) fold: Fold,
-    /// The last record read, or the last one before the oldest kept.
+    /// Offset of the last record read, or of the last one trimmed.
     pub(crate) position: Offset,
-    /// Set while records were missed and no snapshot has made up for them.
+    /// Set while records are missing that no snapshot has replaced.
     search: Option<Search>,
 }
 
-/// Records read while the state is not known.
+/// Records read while the state is unknown.
 #[derive(Debug)]
 struct Search {
-    /// Records from here on are in `records`.
+    /// Offset of the first record in `records`.
     first: Offset,
     records: VecDeque<(Offset, Record)>,
-    /// The state before `first` is taken to be empty until a snapshot says otherwise.
+    /// Whether the state before `first` is assumed to be empty until a snapshot is read.
     assumed_empty: bool,
 }
 
@@ -50,13 +49,13 @@
         Reader { fold: Fold::default(), position: Offset(0), search: None }
     }
 
-    /// Whether all valid records, or a snapshot of them, have been read, or the user has said that
-    /// the rest does not matter.
+    /// Whether all valid records, or a snapshot of them, have been read, or the state before them
+    /// is assumed to be empty.
     pub(crate) fn is_usable(&self) -> bool {
         self.search.as_ref().is_none_or(|search| search.assumed_empty)
     }
 
-    /// Says whether records were missed.
+    /// Returns whether records were missed.
     pub(crate) fn trimmed(&mut self, first: Offset) -> bool {
         if first.0 <= self.position.0 + 1 {
             return false;
@@ -67,11 +66,10 @@
         true
     }
 
-    /// Takes the state before the oldest record kept to be empty.
+    /// Assumes that the state before the oldest record is empty.
     ///
-    /// Entries whose term is not known are applied as well, though some may be void or second copies:
-    /// for what is kept here (calls begun, orders that may take effect) one too many is safe, one
-    /// missing is not.
+    /// Entries of unknown terms are applied too, although some may be void or duplicates. For the
+    /// users of this crate an extra entry is safe, but a missing one is not.
     pub(crate) fn begin_empty(&mut self) -> Vec<Judged> {
         let Some(search) = &mut self.search else { return Vec::new() };
         search.assumed_empty = true;
@@ -108,11 +106,11 @@
         Search { first, records: VecDeque::new(), assumed_empty: false }
     }
 
-    /// Takes the record read last as a snapshot, where it is one that can be trusted.
+    /// Restores the state from the last record, if it is a trustworthy snapshot.
     ///
-    /// Its writer held the scope when it had read up to `covers`. If nothing after `covers` was
-    /// missed, a newer claim that makes it void is among the records here. A snapshot that covers
-    /// less may come from a superseded holder, and would bring back a state that is no longer true.
+    /// The writer was leader when it had read up to `covers`. If nothing after `covers` was missed,
+    /// a newer claim that makes the snapshot void is among `records`. A snapshot that covers less
+    /// may come from a superseded leader and restore an outdated state.
     fn restore(&self) -> Option<(Snapshot, Fold, Vec<Judged>)> {
         let (_, record) = self.records.back()?;
         let Body::Snapshot(snapshot) = &record.body else { return None };
@@ -126,7 +124,7 @@
         valid.then(|| (snapshot.clone(), fold, judged))
     }
 
-    /// Forgets the oldest records, as if the log had trimmed them.
+    /// Drops the oldest records, as if the log had trimmed them.
     fn shrink(&mut self, limit: usize) {
         while self.records.len() > limit {
             if let Some((offset, _)) = self.records.pop_front() {
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -1,10 +1,9 @@
-//! What stands in a scope's stream, as CBOR.
+//! Records of a scope's stream, encoded as CBOR.
 
 use bytes::Bytes;
 use hgw_types::{NodeId, Offset, RecordId, Term};
 use serde::{Deserialize, Serialize};
 
-/// A record of the stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
     pub(crate) id: RecordId,
@@ -13,13 +12,13 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// Takes the scope for `node`, which had read all records up to `read_to`.
+    /// Acquires the lease for `node`, which had read all records up to `read_to`.
     Claim { node: NodeId, read_to: Offset },
-    /// Proposals of the holder. `seq` counts the holder's records within its term.
+    /// Proposals of the leader. `seq` numbers the leader's records within its term.
     Entries { term: Term, seq: u64, entries: Vec<Entry> },
     /// The state after all valid records up to `covers`.
     Snapshot(Snapshot),
-    /// The holder gives the scope up.
+    /// The leader releases the lease.
     Release { term: Term, seq: u64 },
 }
 
@@ -33,10 +32,10 @@
 pub(crate) struct Snapshot {
     pub(crate) term: Term,
     pub(crate) seq: u64,
-    /// The holder, for readers that did not see its claim.
+    /// The leader, for readers that did not read its claim.
     pub(crate) node: NodeId,
     pub(crate) covers: Offset,
-    /// The holder's `seq` as it was at `covers`.
+    /// The leader's `seq` at `covers`.
     pub(crate) covers_seq: u64,
     pub(crate) data: Bytes,
 }
@@ -48,7 +47,7 @@
         buf.into()
     }
 
-    /// Nothing where the bytes are no record: such bytes are void for every reader alike.
+    /// Returns `None` for invalid bytes, which every reader ignores.
     pub(crate) fn decode(data: &[u8]) -> Option<Record> {
         ciborium::from_reader(data).ok()
     }
--- a/crates/claim/src/settings.rs
+++ b/crates/claim/src/settings.rs
@@ -1,41 +1,41 @@
 use std::time::Duration;
 
-/// Delays and limits of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// How long this node must have come first, with the holder dead, before it claims. Two nodes
-    /// that see different members for a moment do not take the scope from each other in turns.
+    /// How long this node must have been preferred, with the leader dead, before it claims.
+    /// Prevents two nodes with briefly different membership views from taking the lease from each
+    /// other in turns.
     pub settle: Duration,
-    /// Up to this much is added to `settle`, at random, so that two nodes seldom claim at once.
+    /// Maximum random jitter added to `settle`, so that two nodes seldom claim at once.
     pub jitter: Duration,
-    /// How long the scope must have been without a live holder before a node claims that does not
-    /// come first; up to as much again is added at random.
+    /// How long the scope must have been without a live leader before a node that is not preferred
+    /// claims; random jitter of up to the same length is added.
     pub backup: Duration,
-    /// Least time between two appends. Proposals of this time share one append, since the log takes
-    /// only some hundred appends a second for all streams together.
+    /// Minimum time between appends. Proposals within it share one append, since the log accepts
+    /// only a few hundred appends per second over all streams.
     pub batch_gap: Duration,
-    /// Most proposals in one append.
+    /// Maximum number of proposals in one append.
     pub batch_entries: usize,
-    /// Most bytes of proposals in one append.
+    /// Maximum bytes of proposals in one append.
     pub batch_bytes: usize,
-    /// Most proposals that wait; one more is dropped at once.
+    /// Maximum number of queued proposals; further ones are dropped.
     pub queue_entries: usize,
-    /// Longest wait of a proposal that was not sent; then it is dropped. While the log is down a
-    /// caller learns soon that nothing was done.
+    /// Maximum time in the queue; then the proposal is dropped, so that callers get an error soon
+    /// while the log is down.
     pub queue_age: Duration,
-    /// Wait before a refused or unanswered append is sent again.
+    /// Delay before a rejected or unanswered append is sent again.
     pub retry: Duration,
-    /// Wait for the answer to an append, after which it counts as unanswered.
+    /// Timeout of an append.
     pub append_timeout: Duration,
-    /// A snapshot is due after this many entries.
+    /// Maximum number of entries between snapshots.
     pub snapshot_entries: u64,
-    /// A snapshot is due after this time: at most a quarter of the time that the log keeps records,
-    /// so that a reader finds one also when three in a row were lost.
+    /// Maximum age of a snapshot: at most a quarter of the log's retention, so that a reader finds
+    /// one even if three in a row were lost.
     pub snapshot_age: Duration,
-    /// A new holder's first snapshot is due after this time: soon, as the last one may be old, but
-    /// not before the first entries.
+    /// Delay before a new leader's first snapshot: short, as the last one may be old, but not
+    /// before the first entries.
     pub first_snapshot: Duration,
-    /// Most records that a reader without a snapshot keeps while it looks for one.
+    /// Maximum number of records that a reader buffers while it looks for a snapshot.
     pub buffered_records: usize,
 }
 
