--- a/crates/claim/tests/common/mod.rs
+++ b/crates/claim/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small log with its faults, and a claim that reads it.
+//! A fake log with faults, and a reader for it.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -6,25 +6,24 @@
 use hgw_claim::{Action, AppendOutcome, Claim, Event, Settings};
 use hgw_types::{NodeId, Offset, RecordId, Scope, Time};
 
-/// What the log does with an append.
+/// Outcome of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fate {
     Stored,
     Refused,
-    /// Stored, but the answer is lost.
+    /// Stored, but the response is lost.
     AnswerLost,
-    /// Neither stored nor answered.
+    /// Neither stored nor acknowledged.
     RecordLost,
-    /// Not answered, and stored when [`Log::land`] says so: also after a thaw.
+    /// Not acknowledged, and stored when [`Log::land`] is called.
     Late,
-    /// Stored twice.
     Twice,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     pub(crate) records: Vec<Bytes>,
-    /// Records up to this one are gone.
+    /// Records up to this number were trimmed.
     pub(crate) trimmed: usize,
     pub(crate) late: Vec<Bytes>,
     pub(crate) appends: usize,
@@ -53,7 +52,7 @@
         AppendOutcome::Stored(Offset(self.records.len() as u64))
     }
 
-    /// Stores the late append with this number.
+    /// Stores the late append with this index.
     pub(crate) fn land(&mut self, index: usize) {
         if !self.late.is_empty() {
             let data = self.late.remove(index % self.late.len());
@@ -61,13 +60,13 @@
         }
     }
 
-    /// Forgets all but the newest `keep` records.
+    /// Trims all but the newest `keep` records.
     pub(crate) fn trim(&mut self, keep: usize) {
         self.trimmed = self.trimmed.max(self.records.len().saturating_sub(keep));
     }
 }
 
-/// A claim with its place in the log.
+/// A claim with its position in the log.
 #[derive(Debug)]
 pub(crate) struct Reader {
     pub(crate) claim: Claim,
@@ -82,7 +81,6 @@
         Reader { claim: Claim::new(cfg, scope, node.clone(), boot), next: 1, node }
     }
 
-    /// Reads at most `max` records.
     pub(crate) fn read(&mut self, log: &Log, now: Time, max: usize, out: &mut Vec<Action>) {
         if self.next <= log.trimmed {
             self.next = log.trimmed + 1;
--- a/crates/claim/tests/properties.rs
+++ b/crates/claim/tests/properties.rs
@@ -1,10 +1,11 @@
-//! Three nodes on one scope, with appends that are lost, late or doubled, pauses, takeovers and a
-//! log that forgets its start. After each step the promises are checked:
+//! Three nodes on one scope, with random faults of the log, pauses and leader changes. Checked
+//! after each step:
+//!
+//! - no leader reads back an entry under its term after a newer claim;
 //!
-//! - an entry that its writer read back under its term, at an offset after a newer claim, would mean
-//!   two acting holders: there is none;
 //! - all nodes apply the same entries at the same offsets, each once;
-//! - what was reported as dropped is never applied.
+//!
+//! - entries reported as dropped are never applied.
 
 mod common;
 
@@ -54,18 +55,18 @@
     now: Time,
     log: Log,
     nodes: Vec<Reader>,
-    /// What each node's user has applied, oldest first.
+    /// Entries applied by each node, oldest first.
     states: Vec<Vec<RecordId>>,
-    /// Nodes that have found neither the start nor a snapshot.
+    /// Nodes that found neither the start of the stream nor a snapshot.
     unknown: [bool; 3],
     lost: bool,
     starts: u64,
     proposals: u64,
     applied: BTreeMap<RecordId, (Offset, Term)>,
     dropped: Vec<RecordId>,
-    /// Terms of claims that their own node read back.
+    /// Terms of claims that their node read back.
     gained: Vec<Term>,
-    /// Entries that their own node read back under its term.
+    /// Entries that their node read back under its own term.
     acts: Vec<(Term, Offset)>,
 }
 
@@ -199,15 +200,15 @@
         }
     }
 
-    /// All is well for a while: every node must come to the same state under one holder.
+    /// Runs without faults: every node must reach the same state under one leader.
     fn settle(&mut self) {
         while !self.log.late.is_empty() {
             self.log.land(0);
         }
         self.run_well();
         if self.unknown.iter().all(|unknown| *unknown) {
-            // Every node has started anew since the last snapshot was trimmed: nobody knows what
-            // was valid, so nodes may take second copies for first ones until the next claim.
+            // Every node has restarted since the last snapshot was trimmed. The valid records are
+            // unknown, so nodes may apply duplicates until the next claim.
             self.lost = true;
             self.begin_empty();
             self.run_well();
--- a/crates/claim/tests/takeover.rs
+++ b/crates/claim/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of two nodes on one scope, compared with the transcripts kept beside them.
+//! Transcripts of two nodes on one scope, compared with snapshots.
 
 mod common;
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Node 0 gains the scope, and both nodes have read so.
+    /// Node 0 acquires the lease, and both nodes read its claim.
     fn begin(&mut self) {
         self.note("a comes first and claims after the settle time");
         self.read(0);
@@ -113,9 +113,8 @@
     }
 }
 
-/// The holder proposes an entry and is paused before the append reaches the log. Its heartbeats
-/// stop, the other node claims, and then the append of the first one lands. Both read it as void;
-/// after its thaw the first node learns that it lost the scope and that the entry never counted.
+/// A paused leader's append that arrives after another node's claim must be void, and the leader
+/// must learn on resuming that it lost the lease.
 #[test]
 fn paused_holder_is_superseded() {
     let mut s = Session::new();
@@ -141,8 +140,8 @@
     insta::assert_snapshot!(s.transcript);
 }
 
-/// The answer to an append is lost after its effect. The holder finds the record by reading on and
-/// does not send it again; the entry counts once.
+/// If the response to a stored append is lost, the leader must find the record by reading and not
+/// send it again.
 #[test]
 fn lost_answer_is_looked_up() {
     let mut s = Session::new();
@@ -155,8 +154,7 @@
     insta::assert_snapshot!(s.transcript);
 }
 
-/// An append is lost without an answer, and its repeat crosses with the first copy, which was only
-/// late. The entry counts once.
+/// A retried append whose first copy arrives late must count once.
 #[test]
 fn repeated_append_counts_once() {
     let mut s = Session::new();
@@ -176,8 +174,8 @@
     insta::assert_snapshot!(s.transcript);
 }
 
-/// The log goes down. Proposals are dropped within the bound, so that callers learn soon that
-/// nothing was done, and the holder stays the holder, as nobody else can claim.
+/// While the log is down, proposals must be dropped in time and the leader must keep its term, as
+/// nobody else can claim.
 #[test]
 fn log_down_drops_proposals_and_keeps_the_term() {
     let mut s = Session::new();
@@ -199,7 +197,7 @@
     insta::assert_snapshot!(s.transcript);
 }
 
-/// A planned stop: the holder releases the scope, and the next node claims at once.
+/// A released lease must be claimed at once.
 #[test]
 fn released_scope_is_claimed_at_once() {
     let mut s = Session::new();
@@ -216,9 +214,7 @@
     insta::assert_snapshot!(s.transcript);
 }
 
-/// A claim hangs on its way; meanwhile its node dies and another one claims and works. Then the
-/// first claim lands. It is void, as its writer had not read the second one: the scope stays with
-/// the live node, and its work goes on.
+/// A delayed claim must be void if another node has claimed meanwhile.
 #[test]
 fn late_claim_takes_nothing() {
     let mut s = Session::new();
--- a/crates/placement/tests/demand.rs
+++ b/crates/placement/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Which replicas the demand planner moves, and which it leaves.
+//! Tests of the demand planner's moves.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 use hgw_wire::peer::Demand;
 
-/// Two engines, e1 and e2, and models a to d of size 50; a move must gain `move_cost` answers.
+/// Two engines, e1 and e2, and models a to d of size 50.
 fn document(move_cost: f64) -> Document {
     let model = |m: &str| format!(r#""{m}": {{"version": "1", "size": 50}}"#);
     let models = ["a", "b", "c", "d"].map(model).join(",");
@@ -27,7 +27,7 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// An engine; `f` before a model marks a floor copy, `l` one that is loading.
+/// An engine; prefix `f` marks a floor replica, `l` one that is loading.
 fn engine(name: &str, models: &[&str]) -> EngineView {
     let held = |text: &&str| HeldView {
         model: text.trim_start_matches(['f', 'l']).parse().unwrap(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Demand in a second: urgent requests served, refused, and the slots that they kept busy.
+/// Demand in one second: urgent requests served, unmet, and the slots in use.
 fn demand(model: &str, urgent: u32, unmet: u32, slots: f64) -> Demand {
     Demand {
         model: model.parse().unwrap(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Feeds the demand for some seconds, with a plan each second, and returns all moves.
+/// Reports the demand for some seconds, with a plan each second, and returns the first moves.
 fn moves(seconds: u64, cost: f64, per_second: &[Demand], engines: &[EngineView]) -> Vec<Move> {
     let mut planner = DemandPlanner::new(DemandSettings::default(), 1);
     let document = document(cost);
--- a/crates/placement/tests/placement/floor.rs
+++ b/crates/placement/tests/placement/floor.rs
@@ -1,4 +1,4 @@
-//! The residency floor: copies, failure domains, regions, stability.
+//! Tests of the residency floor: replicas, failure domains, regions, stability.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 use crate::support::{document, id};
 
-/// Engines `e0..` in turn over the domains, models `m0..` of these sizes.
+/// Engines `e0..` spread over the domains, and models `m0..` of these sizes.
 fn made(domains: &[&str], engines: usize, memory: u64, sizes: &[u64]) -> Document {
     let engines: Vec<(String, &str)> =
         (0..engines).map(|n| (format!("e{n}"), domains[n % domains.len()])).collect();
@@ -29,7 +29,7 @@
     engines.iter().map(|e| document.upstreams[e].domain.as_str()).collect::<BTreeSet<_>>().len()
 }
 
-/// Copies that are not where they were.
+/// Number of replicas that were added.
 fn moved(from: &Floor, to: &Floor) -> usize {
     let new = |(m, engines): (&_, &Vec<UpstreamId>)| {
         engines.iter().filter(|e| !from.models[m].contains(e)).count()
@@ -37,7 +37,7 @@
     to.models.iter().map(new).sum()
 }
 
-/// Valdivieso's size: 13 models of 40 to 70 on 9 engines in four domains.
+/// 13 models of 40 to 70 on nine engines in two domains.
 fn valdivieso() -> Document {
     let sizes: Vec<u64> = (0..13).map(|n| 40 + n * 5 % 31).collect();
     made(&["d1", "d2"], 9, 240, &sizes)
@@ -50,7 +50,7 @@
     }
 }
 
-/// One engine is lost: only copies that it held are made anew, or second copies that they displace.
+/// Losing one engine must move only its own replicas, or second replicas that they displace.
 fn a_lost_engine_moves_its_own_copies() {
     let doc = valdivieso();
     let before = fresh(&doc);
@@ -69,14 +69,14 @@
     assert!(fresh(&doc).models.values().all(|e| !e.contains(&id("e0")) && !e.is_empty()));
 }
 
-/// Two regions, and each fits two of three models: no model is left out of both.
+/// Two regions that fit two of three models each: no model may be left out of both.
 fn what_one_region_leaves_out_the_other_takes() {
     let doc = made(&["d1", "d3"], 2, 90, &[40, 40, 40]);
     let floor = fresh(&doc);
     assert!(floor.models.values().all(|e| !e.is_empty()), "{floor:?}");
 }
 
-/// Each region has a floor of its own where memory allows.
+/// Each region must have its own floor if memory allows.
 fn each_region_has_every_model() {
     let doc = made(&["d1", "d2", "d3", "d4"], 8, 240, &[40, 50, 60]);
     for engines in fresh(&doc).models.values() {
@@ -86,13 +86,14 @@
     }
 }
 
-/// A layout that spreads the models would leave the smallest one out.
+/// Spreading the models would leave no space for the smallest one.
 fn tight_memory_still_takes_every_model() {
     let doc = made(&["d1", "d2"], 2, 100, &[50, 45, 40, 35, 20]);
     assert!(fresh(&doc).models.values().all(|e| !e.is_empty()));
 }
 
-/// Second copies leave one engine with room for a version change of the largest model.
+/// Second replicas must leave one engine with enough memory for a version change of the largest
+/// model.
 fn headroom_for_a_version_change() {
     let doc = made(&["d1", "d2"], 4, 100, &[60, 60]);
     let floor = fresh(&doc);
@@ -100,8 +101,8 @@
     assert!(doc.upstreams.keys().filter(free).count() >= 1, "{floor:?}");
 }
 
-/// For any sizes: no engine is given more than it has, a model is left out only where no engine has
-/// room for it, and the same inputs again move nothing.
+/// No engine may be overcommitted, no model left out that would fit, and unchanged inputs must move
+/// nothing.
 fn holds_for_any_sizes() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
--- a/crates/placement/tests/placement/golden.rs
+++ b/crates/placement/tests/placement/golden.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of a keeper's takeover, compared with the files kept.
+//! Transcripts of a leader change, compared with snapshots.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use crate::support::{Fault, World, document};
 
-/// A starts the domain and dies with a load late on its way; B takes over, counts that load until it
-/// has arrived or cannot arrive any more, changes a version, and withdraws a model.
+/// A starts the domain and dies with a delayed load in flight. B takes over, counts that load until
+/// it has arrived or expired, changes a version, and removes a model.
 fn takeover(fencing: Fencing) -> String {
     let engines = [("e1", "d1", 100, fencing), ("e2", "d1", 100, fencing)];
     let mut world = World::new(document(&engines, &[("a", "1", 60), ("b", "1", 45)]), 2);
--- a/crates/placement/tests/placement/main.rs
+++ b/crates/placement/tests/placement/main.rs
@@ -1,6 +1,5 @@
-//! Decisions on memory, driven without sockets.
+//! Tests of placement without network I/O.
 
-/// Names each test case.
 macro_rules! cases {
     ($($(#[$attr:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$attr])*
--- a/crates/placement/tests/placement/memory.rs
+++ b/crates/placement/tests/placement/memory.rs
@@ -1,9 +1,8 @@
-//! Accelerator memory is never overcommitted: issue 4, point 1.
+//! Engine memory must never be overcommitted.
 //!
-//! Most cases share one scene. Engine `e1` has room for one of the models `a` and `b`. Keeper A
-//! orders `a` and meets a failure; then the configuration names `b` in place of `a` and keeper B takes
-//! over. If B forgets A's order, it loads `b` into memory that `a` comes to fill later, and the caller
-//! of `b` sees an engine that fails for want of memory.
+//! Most cases share one setup: engine `e1` fits only one of the models `a` and `b`. Leader A orders
+//! `a` and a fault occurs. Then the configuration replaces `a` by `b`, and B takes over. If B does
+//! not count A's order, both models are loaded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +15,10 @@
 use crate::support::{Fault, STEP, World, changed, document, id};
 
 const ROOM: u64 = 100;
-/// The bound for late orders of the tests' engines.
+/// Maximum delay of late orders of the tests' engines.
 const LATE_ORDER: Duration = Duration::from_secs(20);
 
-/// The scene up to A's order of `a`, which meets `fault`.
+/// The setup up to A's order of `a`, which `fault` affects.
 fn ordered(fencing: Fencing, fault: Fault) -> World {
     let mut world = World::new(document(&[("e1", "d1", ROOM, fencing)], &[("a", "1", 60)]), 2);
     world.faults.push_back(fault);
@@ -28,13 +27,13 @@
     world
 }
 
-/// `b` takes the place of `a`, and B claims.
+/// The configuration replaces `a` by `b`, and B claims the lease.
 fn succeeded(world: &mut World, fencing: Fencing) {
     world.configure(document(&[("e1", "d1", ROOM, fencing)], &[("b", "1", 60)]));
     world.claim(1);
 }
 
-/// A's order meets `fault`; B takes over and in the end serves `b`.
+/// `fault` affects A's order; B takes over and must in the end serve `b`.
 fn fault_then_takeover(fencing: Fencing, fault: Fault) {
     let mut world = ordered(fencing, fault);
     succeeded(&mut world, fencing);
@@ -42,8 +41,7 @@
     world.check(&[("b", "1")]);
 }
 
-/// As `fault_then_takeover`, with A's order arriving at any moment of B's start: before and after its
-/// fencing number, its read, and its own order.
+/// As `fault_then_takeover`, with A's order arriving at every step of B's start.
 fn late_into_a_takeover(fencing: Fencing) {
     for steps in 1..24 {
         let mut world = ordered(fencing, Fault::Late(STEP * steps));
@@ -53,7 +51,7 @@
     }
 }
 
-/// A stands still with its order in hand for `secs`, while B takes over.
+/// A is paused for `secs` with an unsent order while B takes over.
 fn frozen(fencing: Fencing, secs: u64) {
     let mut world = World::new(document(&[("e1", "d1", ROOM, fencing)], &[("a", "1", 60)]), 2);
     world.nodes[0].freezes_on_load = true;
@@ -66,9 +64,8 @@
     world.check(&[("b", "1")]);
 }
 
-/// A's intent stands in the log before B's claim, but A reads it back only long after B has read its
-/// claim. A then holds an entry that is valid for every reader, and may yet not send the order: B has
-/// stopped counting it.
+/// A reads its intent back long after B has taken over. The entry is valid, but A must not send the
+/// order, because B no longer counts it.
 fn reads_its_intent_late() {
     let mut world = World::new(document(&[("e1", "d1", ROOM, Ignores)], &[("a", "1", 60)]), 2);
     world.claim(0);
@@ -85,9 +82,8 @@
     world.check(&[("b", "1")]);
 }
 
-/// The old version still answers when its new one is configured, and a third model wants the room.
-/// Both versions count until the engine has confirmed that the old one is gone: of the new version and
-/// the third model, one finds room beside the old version, and the other waits.
+/// A version change while the old version is in use and a third model needs memory. Both versions
+/// count until the engine confirms the eviction, so only one of the two new items fits at first.
 fn version_change(fencing: Fencing, takeover: bool, fault: Fault) {
     let engines = [("e1", "d1", ROOM, fencing)];
     let mut world = World::new(document(&engines, &[("a", "1", 40)]), 2);
@@ -111,7 +107,7 @@
     world.check(&[("a", "2"), ("c", "1")]);
 }
 
-/// The keeper stays; its order meets `fault`, and `a` is loaded once.
+/// `fault` affects the order of a leader that stays; `a` must be loaded once.
 fn fault_alone(fencing: Fencing, fault: Fault) {
     let mut world = ordered(fencing, fault);
     world.run_secs(40);
@@ -120,8 +116,8 @@
     assert!((1..=2).contains(&loaded), "{}", world.transcript);
 }
 
-/// A's first copy of the order is late; its repeat is carried out. The engine restarts and forgets
-/// the order's id, so the late copy would be carried out again, beside what was loaded since.
+/// A late copy of an order that was retried must not overcommit an engine that restarted and forgot
+/// the order's id.
 fn late_copy_after_restart(fencing: Fencing) {
     let mut world = ordered(fencing, Fault::Late(Duration::from_secs(12)));
     world.run_secs(6);
@@ -132,8 +128,8 @@
     world.check(&[("b", "1")]);
 }
 
-/// As `frozen`, and the engine has restarted before A goes on: the restart does not prove that an
-/// order which had not arrived before it cannot arrive after it.
+/// As `frozen`, with an engine restart before A resumes: a restart does not prove that an order
+/// cannot arrive later.
 fn frozen_over_restart() {
     let mut world = World::new(document(&[("e1", "d1", ROOM, Ignores)], &[("a", "1", 60)]), 2);
     world.nodes[0].freezes_on_load = true;
@@ -148,7 +144,7 @@
     world.check(&[("b", "1")]);
 }
 
-/// A's order is late, B takes over and stands still with its own load in hand, C takes over.
+/// A's order is late, B takes over and is paused with an unsent load, then C takes over.
 fn two_takeovers(fencing: Fencing) {
     let mut world = ordered(fencing, Fault::Late(Duration::from_secs(25)));
     succeeded(&mut world, fencing);
@@ -162,7 +158,7 @@
     world.check(&[("b", "1")]);
 }
 
-/// The old keeper's adapter order is late; the memory that it would take stays reserved.
+/// The memory of a previous leader's late adapter order must stay reserved.
 fn late_adapter(fencing: Fencing) {
     let engines = [("e1", "d1", 62, fencing)];
     let mut world = World::new(document(&engines, &[("a", "1", 60)]), 2);
@@ -183,9 +179,8 @@
     world.check(&[("a", "1")]);
 }
 
-/// Found by random sessions. A's order of `a` is carried out and undone, but B, which took over in
-/// between, has to count it on: the engine may carry it out again after a restart. It restarts with
-/// B's order of `b` on its way, so that both count, more than there is. C must not send `a` again.
+/// An engine that restarts may execute A's order, undone before, a second time next to B's order.
+/// With more memory reserved than there is, C must not retry A's order.
 fn more_reserved_than_there_is() {
     let engines = [("e1", "d1", ROOM, Ignores)];
     let (a, b) = (document(&engines, &[("a", "1", 60)]), document(&engines, &[("b", "1", 60)]));
@@ -206,8 +201,8 @@
     world.check(&[("a", "1")]);
 }
 
-/// B sends A's recorded order again shortly before it would stop counting it, and reads its own new
-/// record late. By then the order must not have been forgotten, or `b` is loaded beside it.
+/// An order that B retries just before it would expire must still count when B reads its new record
+/// late.
 fn repeated_order_is_counted_anew() {
     let engines = [("e1", "d1", ROOM, Ignores)];
     let (a, b) = (document(&engines, &[("a", "1", 60)]), document(&engines, &[("b", "1", 60)]));
@@ -232,9 +227,8 @@
     Duration::from_secs(n)
 }
 
-/// A's order of `a` meets `fault`, and then `e1` leaves the configuration, with or without a takeover.
-/// Its intent is kept as long as the order may take effect, and is then settled: otherwise each engine
-/// that ever left would stay in every snapshot.
+/// The intent of an engine removed from the configuration must stay as long as the order may take
+/// effect and then be settled; otherwise it would stay in every snapshot.
 fn intent_of_a_removed_engine(fault: Fault, takeover: bool) {
     let mut world = ordered(Ignores, fault);
     world.configure(document(&[], &[]));
@@ -251,8 +245,8 @@
     world.check(&[]);
 }
 
-/// `e1` leaves the configuration with A's late order of `a` on its way, B takes over, and `e1` comes
-/// back for `b` after `secs`, before or after the order: B has not forgotten it in between.
+/// `e1` is removed with A's order in flight, B takes over, and `e1` is added again for `b` after
+/// `secs`. B must still count the order.
 fn removed_engine_comes_back(secs: u64) {
     let mut world = ordered(Ignores, Fault::Late(Duration::from_secs(19)));
     world.configure(document(&[], &[]));
@@ -264,8 +258,7 @@
     assert_eq!(world.open_intents(1), 0, "{}", world.transcript);
 }
 
-/// An intent recorded before intents held the bound is kept for good, since nothing tells how long it
-/// counts.
+/// An intent recorded without the bound for late orders must never expire.
 fn intent_without_its_bound() {
     let entry = KeeperEntry::Intent {
         upstream: id("e1"),
--- a/crates/placement/tests/placement/random.rs
+++ b/crates/placement/tests/placement/random.rs
@@ -1,6 +1,5 @@
-//! Random sessions: whatever is lost, late, doubled, frozen, thawed, restarted or taken over, and in
-//! whatever order, no engine is asked to hold more than it has; and once all is well again, every
-//! model is reachable.
+//! Random faults, pauses, restarts and leader changes must never overcommit an engine. After
+//! recovery, every model must be reachable.
 
 use std::sync::Arc;
 
@@ -12,7 +11,6 @@
 
 use crate::support::{Fault, STEP, World, document};
 
-/// Sessions for each seed.
 const SESSIONS: u32 = 12;
 
 #[derive(Debug, Clone)]
@@ -34,7 +32,7 @@
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
-    // No order is later than the bound that the operator states, 20 s.
+    // Below the configured bound for late orders, 20 s.
     let time = (1..390u32).prop_map(|n| STEP * n);
     prop_oneof![
         Just(Fault::Lost),
@@ -82,7 +80,7 @@
     )
 }
 
-/// The processes that stand for the three nodes of the domain; a replaced one gets a new process.
+/// The processes of the domain's three nodes; a replaced node gets a new process.
 struct Session {
     world: World,
     nodes: [usize; 3],
@@ -170,14 +168,14 @@
     }
 }
 
-/// Found by seeds 7 to 78: engines that hold each other's models stood still for ever.
+/// Two engines that each had the only replica of the other's model blocked each other.
 fn engines_hold_each_others_models() -> Vec<Happens> {
     use Happens::{Configure, Time};
     let not_sent = || Happens::Fault(Fault::NotSent);
     vec![Time(2), not_sent(), not_sent(), Time(45), Configure(2), Time(1), Configure(1)]
 }
 
-/// Found by seeds 7 to 78: the old version and a replica together were in the way of the new version.
+/// The old version and a replica together blocked the load of the new version.
 fn old_version_and_replica_in_the_way() -> Vec<Happens> {
     vec![Happens::Configure(2), Happens::Time(2), Happens::Configure(3)]
 }
--- a/crates/placement/tests/placement/reach.rs
+++ b/crates/placement/tests/placement/reach.rs
@@ -1,4 +1,4 @@
-//! Every model stays reachable: issue 4, point 2, as far as one keeper can see to it.
+//! Every model must stay reachable, as far as one leader can ensure it.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::support::{STEP, World, changed, document, id};
 
-/// Time from publishing the last of several versions until it must serve.
+/// Maximum time until the last of several versions serves.
 const NEWEST_SERVES: Duration = Duration::from_secs(6);
 
-/// Two engines of 100 with `a` and `b`; every model has one copy in the domain.
+/// Two engines of size 100 and one replica of each model in the domain.
 fn two_engines(fencing: Fencing, models: &[(&str, &str, u64)]) -> World {
     let engines = [("e1", "d1", 100, fencing), ("e2", "d1", 100, fencing)];
     let mut world = World::new(document(&engines, models), 2);
@@ -22,16 +22,15 @@
     world
 }
 
-/// The engine that holds this version ready.
+/// The engines that have this version.
 fn holder(world: &World, model: &str, version: &str) -> Vec<String> {
     let item = Item::Model(id(model), id(version));
     let held = world.engines.iter().filter(|(_, e)| e.held.contains_key(&item));
     held.map(|(id, _)| id.to_string()).collect()
 }
 
-/// An engine dies. Its models are loaded at the other one, though the planner has said nothing: with
-/// the log down it cannot. Engines that ignore fencing numbers get no order that is not recorded, so
-/// theirs wait until the log is up.
+/// The models of a failed engine must be loaded on the other one, even if the log is down. Engines
+/// that ignore fencing tokens get no unrecorded orders, so theirs wait for the log.
 fn engine_dies(fencing: Fencing, log_up: bool) {
     let mut world = two_engines(fencing, &[("a", "1", 40), ("b", "1", 40)]);
     let dead = holder(&world, "a", "1").remove(0);
@@ -49,8 +48,8 @@
     world.check(&[("a", "1"), ("b", "1")]);
 }
 
-/// The keeper dies at any step of a version change and another takes over. Callers of the model find
-/// the old or the new version ready at each step.
+/// If the leader dies at any step of a version change, the old or the new version must be ready at
+/// each step.
 fn keeper_dies_in_a_move(fencing: Fencing) {
     for steps in (0..80).step_by(4) {
         let mut world = two_engines(fencing, &[("a", "1", 40), ("b", "1", 40)]);
@@ -69,8 +68,8 @@
     }
 }
 
-/// The domain is cut off. Its callers ask for a model that the floor gives to another domain: it takes
-/// the place of a demand replica, and never of a floor copy.
+/// In a domain without the log, a model that callers request may replace a demand replica but never
+/// a floor replica.
 fn cut_off(fencing: Fencing) {
     let engines =
         [("e1", "d1", 100, fencing), ("f1", "d3", 100, fencing), ("f2", "d3", 100, fencing)];
@@ -89,7 +88,7 @@
     floor.iter().for_each(|m| world.check(&[(m, "1")]));
 }
 
-/// As `cut_off`, with a demand replica to give up: the copy at `e2`, since the floor's is at `e1`.
+/// As `cut_off`, with a demand replica at `e2` that can be evicted.
 fn cut_off_with_replica() {
     let engines =
         [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Refuses), ("f1", "d3", 300, Refuses)];
@@ -109,8 +108,7 @@
     models.iter().map(|(m, engines)| (id(m), engines.iter().map(|e| id(e)).collect())).collect()
 }
 
-/// The engine that is to leave gets no load; its floor copy is loaded at another one, and its own goes
-/// on serving until it has gone.
+/// A leaving engine must get no load and keep serving while its models are loaded elsewhere.
 fn leaving(how: impl Fn(&mut World, &str)) {
     let mut world = two_engines(Refuses, &[("a", "1", 40), ("b", "1", 40)]);
     let leaves = holder(&world, "a", "1").remove(0);
@@ -130,8 +128,7 @@
     }));
 }
 
-/// The engine has room for one version only, and no other engine is there: the new one takes the old
-/// one's place in the end, since the configuration would never be in force otherwise.
+/// If the only engine fits one version, the new one must replace the old one in the end.
 fn version_change_without_room() {
     let engines = [("e1", "d1", 100, Refuses)];
     let mut world = World::new(document(&engines, &[("a", "1", 70)]), 1);
@@ -144,8 +141,7 @@
     world.check(&[("a", "2")]);
 }
 
-/// Two engines are full with one model each, and one has room for a new version of the other's: it is
-/// loaded there, and the old one goes after that.
+/// If another engine fits the new version, it must be loaded there before the old one is evicted.
 fn version_change_next_door() {
     let mut world = two_engines(Refuses, &[("a", "1", 70), ("b", "1", 20)]);
     let engines = [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Refuses)];
@@ -162,10 +158,8 @@
     assert_eq!(holder(&world, "a", "1"), Vec::<String>::new(), "{}", world.transcript);
 }
 
-/// An engine with room for three copies of its model gets five versions, a second apart. Old versions
-/// that nobody needs give way as soon as one of them can carry the callers; they used to stand until
-/// the newest one served, for which they left no room, so that it came a minute late. With `in_use` a
-/// long request holds the first version meanwhile, which is not cut for it.
+/// Old versions must not block the newest one when versions are published faster than they load.
+/// With `in_use`, a long request uses the first version, which must not be evicted.
 fn versions_in_quick_succession(fencing: Fencing, in_use: bool) {
     let engines = [("e1", "d1", 160, fencing)];
     let mut world = World::new(document(&engines, &[("a", "1", 50)]), 1);
@@ -187,7 +181,8 @@
     assert_eq!(held, ["a@5"], "{}", world.transcript);
 }
 
-/// Runs on; at each step the placement offers the model, and only in versions that can serve.
+/// Runs for `time`; at each step the placement must offer the model, and only in versions that are
+/// ready.
 fn run_offering(world: &mut World, model: &str, time: Duration) {
     let end = world.now + time;
     while world.now < end {
@@ -201,8 +196,8 @@
     }
 }
 
-/// An eviction is ordered only after the placement without the item was published, and after a read
-/// that shows no request for it.
+/// An item must be evicted only after it was withdrawn from the placement and a read shows no
+/// request for it.
 fn eviction_waits_for_routes() {
     let mut world = two_engines(Refuses, &[("a", "1", 40), ("b", "1", 40)]);
     let engines = [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Refuses)];
@@ -219,7 +214,7 @@
     assert!(!world.engine(&holder).held.contains_key(&item), "{}", world.transcript);
 }
 
-/// An adapter is loaded where its model is when callers ask for it, and its new version beside the old.
+/// A requested adapter must be loaded where its model is, and its new version next to the old one.
 fn adapter_on_demand() {
     let mut world = two_engines(Ignores, &[("a", "1", 40), ("b", "1", 40)]);
     world.ask_adapter(0, "a", "a-a");
@@ -238,7 +233,6 @@
     world.check(&[("a", "1")]);
 }
 
-/// A restarted engine is loaded again, whatever it forgot.
 fn engine_restarts(fencing: Fencing) {
     let mut world = two_engines(fencing, &[("a", "1", 40), ("b", "1", 40)]);
     world.restart("e1");
@@ -247,7 +241,7 @@
     world.check(&[("a", "1"), ("b", "1")]);
 }
 
-/// A model in a burst of demand that finds no room gets a replica in what the floor leaves.
+/// A model with unmet demand must get a replica in memory that the floor leaves free.
 fn burst_gets_a_replica() {
     let mut world = two_engines(Refuses, &[("a", "1", 40), ("b", "1", 40)]);
     world.run_secs(10);
@@ -259,8 +253,8 @@
     world.check(&[("a", "1"), ("b", "1")]);
 }
 
-/// The floor gives two engines each other's model, and neither has room beside its own. With a third
-/// engine both models serve all the time; without one each is gone for the time of its load.
+/// The floor swaps the models of two full engines. With a third engine both must serve all the
+/// time; without one each may be gone for the time of its load.
 fn engines_swap(engines: &[(&str, &str, u64, Fencing)]) {
     let mut world = World::new(document(engines, &[("a", "1", 60), ("b", "1", 60)]), 1);
     world.set_floor(|f| f.models = floor_of(&[("a", &["e1"]), ("b", &["e2"])]));
@@ -277,8 +271,8 @@
     assert!(a.contains(&"e2".into()) && b.contains(&"e1".into()), "{}", world.transcript);
 }
 
-/// Neither a start nor a takeover loads more than the floor, though one engine is read before the
-/// other and what it lacks seems to have no home.
+/// A start or leader change must load no more than the floor, although one engine is read before
+/// the other.
 fn starts_move_no_more_than_the_floor() {
     let engines = [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Ignores)];
     let mut world = World::new(document(&engines, &[("a", "1", 40), ("b", "1", 45)]), 2);
--- a/crates/placement/tests/placement/shares.rs
+++ b/crates/placement/tests/placement/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of the weight store: however the domains are cut off, together they stay within it.
+//! Tests of the weight store shares: together they must stay within the store's limits.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
     (doc, names.iter().map(|d| id(d)).collect())
 }
 
-/// All domains load as much as they may for ten minutes, each load taking `takes`. Begun a second, the
-/// most at once, and the average at once.
+/// Runs all domains at their maximum for ten minutes, with loads of length `takes`. Returns loads
+/// started per second, and the maximum and mean of concurrent loads.
 fn run(domains: usize, rate: f64, parallel: u32, takes: Duration) -> (f64, usize, f64) {
     const STEPS: u64 = 6000;
     let (doc, names) = store(domains, rate, parallel);
@@ -51,13 +51,13 @@
     assert!(most < parallel as usize, "{most} at once of {parallel}");
 }
 
-/// More domains than slots: the average stays below the bound; a moment may be above it.
+/// With more domains than slots, the mean must stay below the limit; the maximum may exceed it.
 fn fractional_slots() {
     let (begun, _, average) = run(6, 10.0, 3, Duration::from_secs(4));
     assert!(average < 3.0 && begun > 0.3, "{average} at once, {begun} a second");
 }
 
-/// A bucket that was not used does not save up a burst.
+/// An idle bucket must not save up a burst.
 fn no_burst_after_idling() {
     let (doc, names) = store(4, 1.5, 6);
     let mut share = Shares::new(Time::ZERO);
--- a/crates/placement/tests/placement/support/engine.rs
+++ b/crates/placement/tests/placement/support/engine.rs
@@ -5,10 +5,9 @@
 use hgw_wire::upstream::{EngineState, HeldAdapter, HeldModel, Order, OrderKind, OrderOutcome};
 use indexmap::{IndexMap, IndexSet};
 
-/// Time that a load takes.
 pub(crate) const LOAD_TIME: Duration = Duration::from_millis(800);
 
-/// An engine that notes any moment at which it was asked to hold more than it has.
+/// A fake engine that records each order that would overcommit its memory.
 #[derive(Debug)]
 pub(crate) struct FakeEngine {
     pub(crate) refuses: bool,
@@ -17,7 +16,7 @@
     pub(crate) fence: Term,
     pub(crate) up: bool,
     pub(crate) leaving: bool,
-    /// Size, and when it is ready.
+    /// Size, and the time at which it is ready.
     pub(crate) held: IndexMap<Item, (MemSize, Time)>,
     pub(crate) active: IndexMap<Item, u32>,
     pub(crate) done: IndexSet<RecordId>,
@@ -52,7 +51,7 @@
         self.held.values().map(|(size, _)| *size).sum()
     }
 
-    /// Carries the order out; the outcome and how long the answer takes.
+    /// Executes the order; returns the outcome and the delay of the response.
     pub(crate) fn order(&mut self, now: Time, order: &Order) -> (OrderOutcome, Duration) {
         if self.refuses && order.fence < self.fence {
             return (OrderOutcome::OldFence { current: self.fence }, Duration::ZERO);
--- a/crates/placement/tests/placement/support/mod.rs
+++ b/crates/placement/tests/placement/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fake of what surrounds a keeper: log, engines and the wires between them.
+//! Fakes of the leader's surroundings: log, engines and network.
 
 mod engine;
 mod node;
--- a/crates/placement/tests/placement/support/node.rs
+++ b/crates/placement/tests/placement/support/node.rs
@@ -7,20 +7,19 @@
 
 use super::id;
 
-/// What happens to the next order that can grow memory.
+/// Fault of the next order that can increase memory use.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fault {
-    /// Nothing.
     None,
-    /// It never arrives, and no answer comes.
+    /// The order is lost.
     Lost,
-    /// No answer comes, and it arrives after this time.
+    /// The order arrives after this time, without a response.
     Late(Duration),
-    /// It takes effect, and no answer comes.
+    /// The order is executed, but the response is lost.
     AnswerLost,
-    /// It takes effect, and the answer comes after this time.
+    /// The order is executed; the response takes this time.
     AnswerLate(Duration),
-    /// No byte of it can be sent.
+    /// The order cannot be sent.
     NotSent,
 }
 
@@ -37,16 +36,14 @@
     State { node: usize, upstream: UpstreamId, asked: Time },
 }
 
-/// A node of the domain, or what is left of it.
 pub(crate) struct Node {
     pub(crate) keeper: Keeper,
     pub(crate) read: usize,
     pub(crate) latest: Option<(Term, usize)>,
     pub(crate) frozen: bool,
     pub(crate) dead: bool,
-    /// Whether it reads the log.
     pub(crate) reads: bool,
-    /// Whether it stands still as soon as it is about to send an order that can grow memory.
+    /// Whether it pauses when it is about to send an order that can increase memory use.
     pub(crate) freezes_on_load: bool,
     pub(crate) hand: Vec<KeeperAction>,
     pub(crate) inbox: Vec<KeeperEvent>,
--- a/crates/placement/tests/placement/support/world.rs
+++ b/crates/placement/tests/placement/support/world.rs
@@ -15,19 +15,17 @@
 use super::node::{Fault, Node, Record, Wire, demand, name, show};
 use super::{FakeEngine, id};
 
-/// One step of the world.
 pub(crate) const STEP: Duration = Duration::from_millis(50);
-/// Time from an order's loss to the keeper's knowing.
+/// Time until the leader detects the loss of an order.
 const TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Keepers of domain `d1`, its engines, a log, and wires that lose and delay.
+/// Simulation of domain `d1`: nodes, engines, a log, and a network that loses and delays messages.
 pub(crate) struct World {
     pub(crate) now: Time,
     pub(crate) nodes: Vec<Node>,
     pub(crate) engines: IndexMap<UpstreamId, FakeEngine>,
     pub(crate) faults: VecDeque<Fault>,
     pub(crate) log_up: bool,
-    /// Whether each session line is kept.
     pub(crate) transcript: String,
     document: Arc<Document>,
     floor: Floor,
@@ -49,7 +47,7 @@
             transcript: String::new(),
             floor: floor(&document, Offset(1), &[], None),
             document,
-            // Offset 0 is no term.
+            // Offset 0 is not a valid term.
             log: vec![Record::Claim(usize::MAX)],
             wires: Vec::new(),
         };
@@ -59,7 +57,7 @@
         world
     }
 
-    /// A new process; its index.
+    /// Starts a new process and returns its index.
     pub(crate) fn add_node(&mut self) -> usize {
         let n = self.nodes.len();
         let settings = KeeperSettings { settle: Duration::from_millis(500), ..Default::default() };
@@ -86,7 +84,7 @@
         Arc::clone(&self.document)
     }
 
-    /// Models that the floor gives to an engine.
+    /// Floor models of an engine.
     pub(crate) fn floor_of(&self, engine: &str) -> Vec<String> {
         let here = |e: &Vec<UpstreamId>| e.iter().any(|u| u.as_str() == engine);
         let models = self.floor.models.iter().filter(|(_, engines)| here(engines));
@@ -103,12 +101,12 @@
         self.log.push(Record::Claim(node));
     }
 
-    /// The process stands still, with what it was about to do in hand.
+    /// Pauses the process with its pending actions.
     pub(crate) fn freeze(&mut self, node: usize) {
         self.nodes[node].frozen = true;
     }
 
-    /// It goes on: first with what it had in hand, then with what has come for it.
+    /// Resumes the process: first its pending actions, then the events received meanwhile.
     pub(crate) fn thaw(&mut self, node: usize) {
         self.note(format!("{} goes on", name(node)));
         self.nodes[node].frozen = false;
@@ -149,7 +147,7 @@
         out.into_iter().for_each(|a| self.act(node, a));
     }
 
-    /// Carries an action out; a frozen node keeps it in hand.
+    /// Executes an action; a paused node queues it.
     fn act(&mut self, node: usize, action: KeeperAction) {
         let grows = |a: &KeeperAction| matches!(a, KeeperAction::Order { order, .. } if Item::loaded_by(&order.kind).is_some());
         if self.nodes[node].freezes_on_load && grows(&action) {
@@ -235,13 +233,13 @@
         self.wires.push((self.now + after, Wire::Answer { node, order, result }));
     }
 
-    /// Callers of the node ask for an adapter that no engine holds.
+    /// Reports callers' requests for an adapter that no engine has.
     pub(crate) fn ask_adapter(&mut self, node: usize, model: &str, adapter: &str) {
         let demand = Demand { adapters: vec![id(adapter)], ..demand(model) };
         self.tell(node, KeeperEvent::Demand(vec![demand]));
     }
 
-    /// Callers of the node ask for a model and find no replica with room.
+    /// Reports callers' requests for a model without free replicas.
     pub(crate) fn ask_model(&mut self, node: usize, model: &str) {
         let demand = Demand { urgent: 20, unmet: 20, busy_ms: 8000, ..demand(model) };
         self.tell(node, KeeperEvent::Demand(vec![demand]));
@@ -336,19 +334,19 @@
         let _ = writeln!(self.transcript, "{} {line}", self.now);
     }
 
-    /// Moments at which an engine was asked to hold more than it has, or the same twice.
+    /// Orders that would have overcommitted an engine or loaded an item twice.
     pub(crate) fn overcommitted(&self) -> Vec<String> {
         let all = self.engines.iter();
         all.flat_map(|(id, e)| e.overcommitted.iter().map(move |o| format!("{id} at {o}")))
             .collect()
     }
 
-    /// Open intents in a snapshot that the node would take now.
+    /// Number of open intents in a snapshot of the node's state.
     pub(crate) fn open_intents(&self, node: usize) -> usize {
         self.nodes[node].keeper.snapshot().len()
     }
 
-    /// Fails with the whole session where memory was overcommitted or `models` are not reachable.
+    /// Panics with the transcript if memory was overcommitted or `models` are not reachable.
     pub(crate) fn check(&self, models: &[(&str, &str)]) {
         let session = &self.transcript;
         assert_eq!(self.overcommitted(), Vec::<String>::new(), "\n{session}");
@@ -360,7 +358,7 @@
         }
     }
 
-    /// Whether some engine that is up holds a version of the model ready.
+    /// Whether a running engine has the version ready.
     pub(crate) fn is_reachable(&self, model: &str, version: &str) -> bool {
         let item = Item::Model(id(model), id(version));
         let holds = |e: &FakeEngine| e.up && e.held.get(&item).is_some_and(|(_, t)| *t <= self.now);
