--- a/crates/placement/src/demand/room.rs
+++ b/crates/placement/src/demand/capacity.rs
@@ -1,22 +1,22 @@
 use hgw_types::{ModelId, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 
-use super::seen::Seen;
+use super::estimate::DemandEstimate;
 use super::{EngineView, Move};
 
 /// Free slots of each engine after urgent demand for its models.
 ///
 /// Assumes that demand for a model is spread evenly over its replicas.
 #[derive(Debug)]
-pub(super) struct Room {
+pub(super) struct Capacity {
     spare: IndexMap<UpstreamId, f64>,
-    holders: IndexMap<ModelId, Vec<UpstreamId>>,
+    engines_by_model: IndexMap<ModelId, Vec<UpstreamId>>,
     /// Engines that already have a move in this plan.
-    taken: IndexSet<UpstreamId>,
+    engines_with_move: IndexSet<UpstreamId>,
 }
 
-impl Room {
-    pub(super) fn new(engines: &[EngineView], seen: &Seen, fill: f64) -> Self {
+impl Capacity {
+    pub(super) fn new(engines: &[EngineView], seen: &DemandEstimate, fill: f64) -> Self {
         let mut holders: IndexMap<ModelId, Vec<UpstreamId>> = IndexMap::new();
         for e in engines {
             for held in &e.models {
@@ -31,35 +31,41 @@
             (e.upstream.clone(), (f64::from(e.slots) * fill - used).max(0.0))
         };
         let spare = engines.iter().map(spare).collect();
-        Room { spare, holders, taken: IndexSet::new() }
+        Capacity { spare, engines_by_model: holders, engines_with_move: IndexSet::new() }
     }
 
     pub(super) fn spare(&self, upstream: &UpstreamId) -> f64 {
         self.spare.get(upstream).copied().unwrap_or(0.0)
     }
 
-    pub(super) fn copies(&self, model: &ModelId) -> usize {
-        self.holders.get(model).map_or(0, Vec::len)
+    pub(super) fn replica_count(&self, model: &ModelId) -> usize {
+        self.engines_by_model.get(model).map_or(0, Vec::len)
     }
 
     /// Urgent requests per second that would be unmet if this replica were evicted.
-    pub(super) fn loss(&self, seen: &Seen, upstream: &UpstreamId, model: &ModelId) -> f64 {
-        let copies = self.copies(model).max(1) as f64;
+    pub(super) fn loss(
+        &self,
+        seen: &DemandEstimate,
+        upstream: &UpstreamId,
+        model: &ModelId,
+    ) -> f64 {
+        let copies = self.replica_count(model).max(1) as f64;
         let share = seen.load(model) / copies;
-        let others = self.holders.get(model).into_iter().flatten().filter(|u| *u != upstream);
+        let others =
+            self.engines_by_model.get(model).into_iter().flatten().filter(|u| *u != upstream);
         let room: f64 = others.map(|u| self.spare(u)).sum();
         let short = seen.unmet(model) > 0.0;
         let homeless = if short { share } else { (share - room).max(0.0) };
         homeless / seen.service(model)
     }
 
-    pub(super) fn is_taken(&self, upstream: &UpstreamId) -> bool {
-        self.taken.contains(upstream)
+    pub(super) fn has_move(&self, upstream: &UpstreamId) -> bool {
+        self.engines_with_move.contains(upstream)
     }
 
     /// Records a move and the slots that it will use.
     pub(super) fn take(&mut self, order: &Move, slots: f64) {
-        self.taken.insert(order.upstream.clone());
+        self.engines_with_move.insert(order.upstream.clone());
         if let Some(spare) = self.spare.get_mut(&order.upstream) {
             *spare = (*spare - slots).max(0.0);
         }
--- a/crates/placement/src/demand/seen.rs
+++ b/crates/placement/src/demand/estimate.rs
@@ -24,16 +24,16 @@
 
 /// Estimate of recent demand in the domain.
 #[derive(Debug)]
-pub(super) struct Seen {
+pub(super) struct DemandEstimate {
     half_life: f64,
     began: Option<Time>,
     at: Time,
     models: IndexMap<ModelId, Sums>,
 }
 
-impl Seen {
+impl DemandEstimate {
     pub(super) fn new(half_life: Duration) -> Self {
-        Seen {
+        DemandEstimate {
             half_life: half_life.as_secs_f64(),
             began: None,
             at: Time::ZERO,
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn add(&mut self, now: Time, demand: &[Demand]) {
-        self.fade(now);
+        self.decay(now);
         self.began.get_or_insert(now);
         for d in demand {
             let sums = self.models.entry(d.model.clone()).or_default();
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(super) fn fade(&mut self, now: Time) {
+    pub(super) fn decay(&mut self, now: Time) {
         let factor = 0.5_f64.powf(now.since(self.at).as_secs_f64() / self.half_life);
         self.at = now;
         for sums in self.models.values_mut() {
@@ -65,17 +65,17 @@
 
     /// Urgent requests per second that found no capacity.
     pub(super) fn unmet(&self, model: &ModelId) -> f64 {
-        self.models.get(model).map_or(0.0, |s| s.unmet) * self.per_second()
+        self.models.get(model).map_or(0.0, |s| s.unmet) * self.sum_to_rate()
     }
 
     /// Models with unmet requests.
-    pub(super) fn short(&self) -> impl Iterator<Item = &ModelId> {
+    pub(super) fn models_with_unmet_demand(&self) -> impl Iterator<Item = &ModelId> {
         self.models.iter().filter(|(_, s)| s.unmet > 0.0).map(|(model, _)| model)
     }
 
     /// Average number of slots used by urgent requests for the model.
     pub(super) fn load(&self, model: &ModelId) -> f64 {
-        self.models.get(model).map_or(0.0, |s| s.busy) * self.per_second()
+        self.models.get(model).map_or(0.0, |s| s.busy) * self.sum_to_rate()
     }
 
     /// Service time of an urgent request, in seconds.
@@ -86,7 +86,7 @@
 
     /// Reduces the unmet demand by `rate` requests per second that a planned replica will serve.
     pub(super) fn answered(&mut self, model: &ModelId, rate: f64) {
-        let per_second = self.per_second();
+        let per_second = self.sum_to_rate();
         if let Some(sums) = self.models.get_mut(model) {
             sums.unmet = (sums.unmet - rate / per_second).max(0.0);
         }
@@ -96,7 +96,7 @@
     ///
     /// Corrects for sums that cover less time than the decay window, as on a new leader. Without
     /// that, busy engines would look idle to it.
-    fn per_second(&self) -> f64 {
+    fn sum_to_rate(&self) -> f64 {
         let watched = self.began.map_or(0.0, |t| self.at.since(t).as_secs_f64()) + FIRST_MESSAGE;
         let covered = 1.0 - 0.5_f64.powf(watched / self.half_life);
         std::f64::consts::LN_2 / self.half_life / covered
--- a/crates/placement/src/demand/mod.rs
+++ b/crates/placement/src/demand/mod.rs
@@ -2,9 +2,9 @@
 //! evict for them.
 
 mod api;
+mod capacity;
+mod estimate;
 mod planner;
-mod room;
-mod seen;
 
 pub use api::{DemandSettings, EngineView, HeldView, Move};
 pub use planner::DemandPlanner;
--- a/crates/placement/src/demand/planner.rs
+++ b/crates/placement/src/demand/planner.rs
@@ -4,8 +4,8 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::room::Room;
-use super::seen::Seen;
+use super::capacity::Capacity;
+use super::estimate::DemandEstimate;
 use super::{DemandSettings, EngineView, Move};
 
 /// Plans demand replicas in one failure domain.
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct DemandPlanner {
     settings: DemandSettings,
-    seen: Seen,
+    seen: DemandEstimate,
     /// When each replica was planned or last observed not ready.
     loaded: IndexMap<(UpstreamId, ModelId), Time>,
     /// Random factor on the threshold, so that the leaders of several domains do not all react to
@@ -40,7 +40,7 @@
 impl DemandPlanner {
     pub fn new(settings: DemandSettings, seed: u64) -> Self {
         let jitter = (xxh3_64_with_seed(b"jitter", seed) % 1000) as f64 / 1000.0;
-        let seen = Seen::new(settings.half_life);
+        let seen = DemandEstimate::new(settings.half_life);
         DemandPlanner { settings, seen, loaded: IndexMap::new(), jitter: 1.0 + jitter * 0.5 }
     }
 
@@ -52,9 +52,9 @@
     /// Returns the moves to make now, most useful first. Moves that the caller does not carry out
     /// are planned again.
     pub fn plan(&mut self, now: Time, document: &Document, engines: &[EngineView]) -> Vec<Move> {
-        self.seen.fade(now);
+        self.seen.decay(now);
         self.note_loads(now, engines);
-        let mut room = Room::new(engines, &self.seen, self.settings.fill);
+        let mut room = Capacity::new(engines, &self.seen, self.settings.fill);
         let mut moves = Vec::new();
         while moves.len() < self.settings.moves_at_once {
             let Some(best) = self.best(now, document, engines, &room) else { break };
@@ -82,10 +82,10 @@
         now: Time,
         document: &Document,
         engines: &[EngineView],
-        room: &Room,
+        room: &Capacity,
     ) -> Option<Candidate> {
         let mut best: Option<Candidate> = None;
-        for model in self.seen.short().filter(|m| self.settled(now, m)) {
+        for model in self.seen.models_with_unmet_demand().filter(|m| self.settled(now, m)) {
             let Some(wanted) = wanted(document, model) else { continue };
             for e in engines.iter().filter(|e| serves(document, &e.upstream, model)) {
                 let Some(option) = self.option(now, e, model, &wanted, room) else { continue };
@@ -110,13 +110,13 @@
         e: &EngineView,
         model: &ModelId,
         wanted: &Wanted,
-        room: &Room,
+        room: &Capacity,
     ) -> Option<Candidate> {
-        if e.models.iter().any(|h| h.model == *model) || room.is_taken(&e.upstream) {
+        if e.models.iter().any(|h| h.model == *model) || room.has_move(&e.upstream) {
             return None;
         }
         let served = self.seen.unmet(model).min(room.spare(&e.upstream) / self.seen.service(model));
-        let weight = if room.copies(model) == 0 { self.settings.absent_weight } else { 1.0 };
+        let weight = if room.replica_count(model) == 0 { self.settings.absent_weight } else { 1.0 };
         let (evict, loss) = self.evictions(now, e, wanted.size, room)?;
         let horizon = self.settings.horizon.as_secs_f64();
         let gain = (served * weight - loss) * horizon;
@@ -133,7 +133,7 @@
         now: Time,
         e: &EngineView,
         size: MemSize,
-        room: &Room,
+        room: &Capacity,
     ) -> Option<(Vec<ModelId>, f64)> {
         let mut free = e.memory.saturating_sub(e.reserved);
         let mut can_go: Vec<_> = e
--- a/crates/placement/src/keeper/domain.rs
+++ b/crates/placement/src/keeper/domain.rs
@@ -45,15 +45,15 @@
         }
         self.version = version;
         self.document = document;
-        self.work_out_targets();
+        self.update_targets();
     }
 
     pub(super) fn set_floor(&mut self, floor: Floor) {
         self.floor = floor;
-        self.work_out_targets();
+        self.update_targets();
     }
 
-    fn work_out_targets(&mut self) {
+    fn update_targets(&mut self) {
         self.targets.clear();
         self.floor_models.clear();
         for (model, engines) in &self.floor.models {
--- a/crates/placement/src/keeper/retire.rs
+++ b/crates/placement/src/keeper/drain.rs
@@ -18,7 +18,7 @@
             let Some(e) = self.engines.get(&id) else { continue };
             let serving = e.ledger.held().keys().filter(|i| e.serves(i));
             let going: Vec<Item> =
-                serving.filter(|i| self.is_to_go(now, &id, i)).cloned().collect();
+                serving.filter(|i| self.is_obsolete(now, &id, i)).cloned().collect();
             for item in going {
                 // One old version of a model is drained at a time, while its other replicas serve
                 // its requests. Extra versions on the same engine are exempt, because another one
@@ -29,7 +29,7 @@
                     self.drain(now, &id, item);
                 }
             }
-            self.take_back(&id);
+            self.cancel_floor_drains(&id);
         }
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Cancels the drain of items that the floor requires again.
-    fn take_back(&mut self, engine: &UpstreamId) {
+    fn cancel_floor_drains(&mut self, engine: &UpstreamId) {
         let domain = &self.domain;
         let Some(e) = self.engines.get_mut(engine) else { return };
         e.drains.retain(|item, drain| {
@@ -54,7 +54,7 @@
         drains.any(|i| i.is_model() && i.model() == model)
     }
 
-    fn is_to_go(&self, now: Time, engine: &UpstreamId, item: &Item) -> bool {
+    fn is_obsolete(&self, now: Time, engine: &UpstreamId, item: &Item) -> bool {
         if self.domain.is_current(engine, item) {
             return false;
         }
@@ -65,7 +65,7 @@
         match item {
             Item::Model(id, _) => {
                 let new = Item::Model(id.clone(), model.version.clone());
-                let has_room = e.coming_free() >= model.size || e.ledger.has(&new);
+                let has_room = e.free_after_drains() >= model.size || e.ledger.has(&new);
                 let waits_here = self.domain.rank(engine, id).is_some() && has_room;
                 self.is_extra_version(engine, item)
                     || e.serves(&new)
@@ -99,7 +99,7 @@
     pub(super) fn evict_drained(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
         for id in self.usable() {
             let Some(e) = self.engines.get(&id) else { continue };
-            if now < e.pause {
+            if now < e.paused_until {
                 continue;
             }
             let unused = |item: &Item, drain: &Drain| self.is_unused(now, e, item, drain);
@@ -113,7 +113,7 @@
                 if self.in_flight(&id) >= self.settings.orders_per_engine {
                     break;
                 }
-                let order = self.give(now, &id, item.evict(), out).ok();
+                let order = self.issue_order(now, &id, item.evict(), out).ok();
                 let drain = self.engines.get_mut(&id).and_then(|e| e.drains.get_mut(&item));
                 if let Some(drain) = drain {
                     drain.order = order;
@@ -123,7 +123,7 @@
     }
 
     fn is_unused(&self, now: Time, engine: &Engine, item: &Item, drain: &Drain) -> bool {
-        let Some(opened) = self.opened else { return false };
+        let Some(opened) = self.first_published else { return false };
         let settled = drain.since.max(opened) + self.settings.settle;
         let ledger = &engine.ledger;
         if ledger.asked().is_none_or(|asked| asked < settled) {
--- a/crates/placement/src/keeper/engine.rs
+++ b/crates/placement/src/keeper/engine.rs
@@ -40,16 +40,16 @@
     /// Whether the configuration lists it in this domain.
     pub(super) configured: bool,
     /// When the pending state read was requested.
-    pub(super) asking: Option<Time>,
-    pub(super) next_ask: Time,
+    pub(super) pending_read: Option<Time>,
+    pub(super) next_read: Time,
     /// Consecutive reads and orders without a response.
-    pub(super) misses: u32,
+    pub(super) consecutive_failures: u32,
     pub(super) lost: bool,
     /// Whether it reports itself as leaving.
-    pub(super) says_leaving: bool,
+    pub(super) reports_leaving: bool,
     pub(super) drains: IndexMap<Item, Drain>,
     /// No new orders before this time, since the last one was rejected.
-    pub(super) pause: Time,
+    pub(super) paused_until: Time,
 }
 
 impl Engine {
@@ -60,13 +60,13 @@
             fenced: upstream.fencing == Fencing::Refuses,
             late: Duration::from_millis(upstream.late_order_ms),
             configured: true,
-            asking: None,
-            next_ask: now,
-            misses: 0,
+            pending_read: None,
+            next_read: now,
+            consecutive_failures: 0,
             lost: false,
-            says_leaving: false,
+            reports_leaving: false,
             drains: IndexMap::new(),
-            pause: now,
+            paused_until: now,
         }
     }
 
@@ -100,13 +100,13 @@
     }
 
     /// Free memory after all drains complete.
-    pub(super) fn coming_free(&self) -> MemSize {
-        self.ledger.free() + self.drains.keys().map(|i| self.freed_by(i)).sum()
+    pub(super) fn free_after_drains(&self) -> MemSize {
+        self.ledger.free() + self.drains.keys().map(|i| self.memory_freed_by(i)).sum()
     }
 
     /// Memory that evicting the item frees. Evicting the last version of a model also evicts its
     /// adapters.
-    pub(super) fn freed_by(&self, item: &Item) -> MemSize {
+    pub(super) fn memory_freed_by(&self, item: &Item) -> MemSize {
         let held = self.ledger.held();
         let versions = held.keys().filter(|i| i.is_model() && i.model() == item.model()).count();
         let goes = |i: &Item| {
@@ -123,15 +123,15 @@
 
     /// An eviction got a response or was cancelled. It is ordered again only if a later read still
     /// shows the item.
-    pub(super) fn order_over(&mut self, now: Time, order: RecordId) {
+    pub(super) fn finish_eviction(&mut self, now: Time, order: RecordId) {
         for drain in self.drains.values_mut().filter(|d| d.order == Some(order)) {
             *drain = Drain { since: now, order: None };
         }
     }
 
-    pub(super) fn missed(&mut self, lost_after: u32) {
-        self.misses += 1;
-        self.lost = self.lost || self.misses >= lost_after;
+    pub(super) fn record_failure(&mut self, lost_after: u32) {
+        self.consecutive_failures += 1;
+        self.lost = self.lost || self.consecutive_failures >= lost_after;
     }
 
     /// Applies a state, unless the engine's fencing token must be raised first.
@@ -146,7 +146,7 @@
         state: &EngineState,
         fence: Option<Term>,
     ) {
-        self.misses = 0;
+        self.consecutive_failures = 0;
         if matches!(self.phase, Phase::Read(after) if asked <= after) {
             return;
         }
@@ -168,7 +168,7 @@
         self.drains.retain(|item, _| held.contains_key(item));
         self.phase = Phase::Counted;
         self.lost = false;
-        self.says_leaving = state.leaving;
+        self.reports_leaving = state.leaving;
     }
 }
 
--- a/crates/placement/src/keeper/reading.rs
+++ b/crates/placement/src/keeper/engine_state.rs
@@ -16,10 +16,10 @@
                 Phase::Fence(_) => {}
                 Phase::Read(_) | Phase::Counted => {
                     let waits = engine
-                        .asking
+                        .pending_read
                         .is_some_and(|asked| now.since(asked) < self.settings.ask_timeout);
-                    if !waits && now >= engine.next_ask {
-                        engine.asking = Some(now);
+                    if !waits && now >= engine.next_read {
+                        engine.pending_read = Some(now);
                         out.push(KeeperAction::AskState(id.clone()));
                     }
                 }
@@ -34,7 +34,7 @@
         if let Some(e) = self.engines.get_mut(engine) {
             e.phase = Phase::Fence(Time::MAX);
         }
-        let _ = self.give(now, engine, OrderKind::Fence, out);
+        let _ = self.issue_order(now, engine, OrderKind::Fence, out);
     }
 
     pub(super) fn fence_answered(&mut self, now: Time, engine: &UpstreamId, result: &OrderResult) {
@@ -45,15 +45,15 @@
         }
         match result {
             OrderResult::Answered(OrderOutcome::Done) => {
-                e.misses = 0;
+                e.consecutive_failures = 0;
                 e.phase = Phase::Read(now);
-                e.asking = None;
-                e.next_ask = now + std::time::Duration::from_micros(1);
+                e.pending_read = None;
+                e.next_read = now + std::time::Duration::from_micros(1);
             }
             // Another leader has taken over; the log will show its claim.
             OrderResult::Answered(_) => e.phase = Phase::Fence(now + settings.poll_idle),
             OrderResult::NotSent | OrderResult::Lost => {
-                e.missed(settings.lost_after);
+                e.record_failure(settings.lost_after);
                 let wait = if e.lost { settings.poll_idle } else { settings.retry };
                 e.phase = Phase::Fence(now + wait);
             }
@@ -70,21 +70,21 @@
         let fence: Option<Term> = self.term.filter(|_| self.domain.refuses(engine));
         let settings = &self.settings;
         let Some(e) = self.engines.get_mut(engine) else { return };
-        if e.asking == Some(asked) {
-            e.asking = None;
+        if e.pending_read == Some(asked) {
+            e.pending_read = None;
         }
         match state {
             Some(state) => e.read(now, asked, state, fence),
-            None => e.missed(settings.lost_after),
+            None => e.record_failure(settings.lost_after),
         }
-        let busy = e.is_busy() || (e.misses > 0 && !e.lost);
-        e.next_ask = now + if busy { settings.poll_busy } else { settings.poll_idle };
+        let busy = e.is_busy() || (e.consecutive_failures > 0 && !e.lost);
+        e.next_read = now + if busy { settings.poll_busy } else { settings.poll_idle };
     }
 
     /// Schedules a read of the engine at the next poll.
     pub(super) fn read_soon(&mut self, now: Time, engine: &UpstreamId) {
         if let Some(e) = self.engines.get_mut(engine) {
-            e.next_ask = e.next_ask.min(now);
+            e.next_read = e.next_read.min(now);
         }
     }
 }
--- a/crates/placement/src/keeper/room.rs
+++ b/crates/placement/src/keeper/floor_eviction.rs
@@ -11,15 +11,15 @@
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 
 use super::Keeper;
+use super::load_requests::{Cause, LoadRequest};
 use super::plan::Plan;
-use super::wants::{Cause, Want};
 use crate::{Item, KeeperAction};
 
 impl Keeper {
-    pub(super) fn make_way(
+    pub(super) fn free_memory_for_floor(
         &mut self,
         now: Time,
-        unmet: &[Want],
+        unmet: &[LoadRequest],
         plan: &mut Plan,
         out: &mut Vec<KeeperAction>,
     ) {
@@ -30,37 +30,38 @@
             self.no_room.insert(key, since);
             let waited = now.since(since);
             if waited >= self.settings.swap_second {
-                for model in self.in_the_way(&want.engine) {
-                    self.place_anywhere(now, &model, Cause::Substitute, plan, out);
+                for model in self.blocking_models(&want.engine) {
+                    self.load_on_best_engine(now, &model, Cause::Substitute, plan, out);
                 }
             }
-            if waited >= self.swap_after(want) {
-                self.swap(now, want, waited >= self.settings.swap_only);
+            if waited >= self.evict_after(want) {
+                self.evict_for_floor(now, want, waited >= self.settings.swap_only);
             }
         }
     }
 
     /// A replica that is not the primary one in the floor waits less, because the primary in
     /// another domain keeps serving.
-    fn swap_after(&self, want: &Want) -> Duration {
+    fn evict_after(&self, want: &LoadRequest) -> Duration {
         if want.rank > 0 { self.settings.swap_second } else { self.settings.swap_only }
     }
 
     /// Models that are not in the floor for this engine and that no other engine of the domain has.
-    fn in_the_way(&self, engine: &UpstreamId) -> Vec<ModelId> {
+    fn blocking_models(&self, engine: &UpstreamId) -> Vec<ModelId> {
         let Some(e) = self.engines.get(engine) else { return Vec::new() };
         let held = e.ledger.held().keys().filter(|i| i.is_model() && e.serves(i));
-        let alone = held.filter(|i| self.is_extra(engine, i) && !self.has_home_besides(engine, i));
+        let alone =
+            held.filter(|i| self.is_extra(engine, i) && !self.is_loaded_elsewhere(engine, i));
         alone.map(|i| i.model().clone()).collect()
     }
 
     /// Withdraws the old version, and non-floor replicas if that does not free enough memory.
-    fn swap(&mut self, now: Time, want: &Want, force: bool) {
+    fn evict_for_floor(&mut self, now: Time, want: &LoadRequest, force: bool) {
         let Some(e) = self.engines.get(&want.engine) else { return };
         let stale = |i: &&Item| i.is_model() && i.model() == want.item.model() && e.serves(i);
         let mut going: Vec<Item> = e.ledger.held().keys().filter(stale).cloned().collect();
-        let freed: MemSize = going.iter().map(|i| e.freed_by(i)).sum();
-        let short = want.size.saturating_sub(e.coming_free() + freed);
+        let freed: MemSize = going.iter().map(|i| e.memory_freed_by(i)).sum();
+        let short = want.size.saturating_sub(e.free_after_drains() + freed);
         let Some(victims) = self.victims(want, short, force) else { return };
         going.extend(victims);
         if let Some(e) = self.engines.get_mut(&want.engine) {
--- a/crates/placement/src/keeper/wants.rs
+++ b/crates/placement/src/keeper/load_requests.rs
@@ -22,7 +22,7 @@
 
 /// An item that an engine should load.
 #[derive(Debug, Clone)]
-pub(super) struct Want {
+pub(super) struct LoadRequest {
     pub(super) engine: UpstreamId,
     pub(super) item: Item,
     pub(super) size: MemSize,
@@ -33,7 +33,7 @@
     pub(super) rank: usize,
 }
 
-impl Want {
+impl LoadRequest {
     /// Sort key: models that callers of the domain cannot reach come first.
     pub(super) fn order(&self) -> (bool, bool, Cause, usize) {
         (self.cause > Cause::Missing, self.served, self.cause, self.rank)
@@ -42,7 +42,7 @@
 
 /// Items on the usable engines of the domain.
 #[derive(Debug, Default)]
-pub(super) struct Homes {
+pub(super) struct AvailableItems {
     /// Models of which some version is served.
     served: IndexSet<ModelId>,
     /// Items that are loaded and not draining, or loading by an order in flight. Orders that were
@@ -60,15 +60,15 @@
     pub(super) fn is_leaving(&self, engine: &UpstreamId) -> bool {
         self.leaving.contains(engine)
             || self.domain.upstream(engine).is_some_and(|u| u.leaving)
-            || self.engines.get(engine).is_some_and(|e| e.says_leaving)
+            || self.engines.get(engine).is_some_and(|e| e.reports_leaving)
     }
 
     pub(super) fn usable(&self) -> Vec<UpstreamId> {
         self.engines.keys().filter(|id| self.is_usable(id)).cloned().collect()
     }
 
-    pub(super) fn find_homes(&self) -> Homes {
-        let mut homes = Homes::default();
+    pub(super) fn available_items(&self) -> AvailableItems {
+        let mut homes = AvailableItems::default();
         for (id, e) in self.engines.iter().filter(|(id, _)| self.is_usable(id)) {
             for item in e.ledger.held().keys().filter(|i| !e.drains.contains_key(*i)) {
                 if item.is_model() && e.serves(item) {
@@ -76,51 +76,57 @@
                 }
                 homes.coming.insert(item.clone());
             }
-            homes.coming.extend(self.flying_to(id));
+            homes.coming.extend(self.items_in_flight_to(id));
         }
         homes
     }
 
     /// Whether the engine lacks the item and no order in flight or reservation prevents a load.
-    fn may_want(&self, engine: &UpstreamId, item: &Item) -> bool {
+    fn may_load_item(&self, engine: &UpstreamId, item: &Item) -> bool {
         let Some(e) = self.engines.get(engine) else { return false };
         if !e.ledger.has(item) {
             return true;
         }
-        e.ledger.repeatable(item).is_some() && !self.is_flying(engine, item)
+        e.ledger.repeatable(item).is_some() && !self.is_load_in_flight(engine, item)
     }
 
     /// Returns the load of the model's current version on the engine, unless the engine has it.
-    pub(super) fn want(&self, engine: &UpstreamId, model: &ModelId, cause: Cause) -> Option<Want> {
+    pub(super) fn load_request(
+        &self,
+        engine: &UpstreamId,
+        model: &ModelId,
+        cause: Cause,
+    ) -> Option<LoadRequest> {
         let (item, size) = self.domain.current(engine, model)?;
-        if !self.may_want(engine, &item) {
+        if !self.may_load_item(engine, &item) {
             return None;
         }
-        let served = self.homes.served.contains(model);
+        let served = self.available.served.contains(model);
         let rank = self.domain.rank(engine, model).unwrap_or_default();
-        Some(Want { engine: engine.clone(), item, size, cause, served, rank })
+        Some(LoadRequest { engine: engine.clone(), item, size, cause, served, rank })
     }
 
     /// Returns the loads that floor and demand require, by priority.
-    pub(super) fn wants(&self) -> Vec<Want> {
+    pub(super) fn load_requests(&self) -> Vec<LoadRequest> {
         let mut wants = Vec::new();
         for engine in self.usable() {
             let targets = self.domain.targets(&engine);
-            wants.extend(targets.filter_map(|(m, _)| self.want(&engine, m, Cause::Floor)));
-            self.want_new_versions(&engine, &mut wants);
+            wants.extend(targets.filter_map(|(m, _)| self.load_request(&engine, m, Cause::Floor)));
+            self.request_new_versions(&engine, &mut wants);
         }
         let replicas = self.replicas.keys().filter(|(engine, _)| self.is_usable(engine));
-        wants.extend(replicas.filter_map(|(engine, m)| self.want(engine, m, Cause::Demand)));
+        wants
+            .extend(replicas.filter_map(|(engine, m)| self.load_request(engine, m, Cause::Demand)));
         wants.extend(self.adapters.keys().filter_map(|(m, a)| {
             let engine = self.engine_for_adapter(m, a)?;
-            self.want_adapter(&engine, m, a)
+            self.adapter_load_request(&engine, m, a)
         }));
-        wants.sort_by_key(Want::order);
+        wants.sort_by_key(LoadRequest::order);
         wants
     }
 
     /// Adds new versions of demand replicas and adapters, next to the old ones.
-    fn want_new_versions(&self, engine: &UpstreamId, wants: &mut Vec<Want>) {
+    fn request_new_versions(&self, engine: &UpstreamId, wants: &mut Vec<LoadRequest>) {
         let Some(e) = self.engines.get(engine) else { return };
         for item in e.ledger.held().keys().filter(|i| e.serves(i)) {
             if self.domain.is_current(engine, item) {
@@ -128,29 +134,29 @@
             }
             match item {
                 Item::Model(m, _) if self.domain.rank(engine, m).is_none() => {
-                    wants.extend(self.want(engine, m, Cause::Demand));
+                    wants.extend(self.load_request(engine, m, Cause::Demand));
                 }
                 Item::Model(..) => {}
-                Item::Adapter(m, a, _) => wants.extend(self.want_adapter(engine, m, a)),
+                Item::Adapter(m, a, _) => wants.extend(self.adapter_load_request(engine, m, a)),
             }
         }
     }
 
-    fn want_adapter(
+    fn adapter_load_request(
         &self,
         engine: &UpstreamId,
         model: &ModelId,
         adapter: &hgw_types::AdapterId,
-    ) -> Option<Want> {
+    ) -> Option<LoadRequest> {
         let found = self.domain.model(engine, model)?.adapters.get(adapter)?;
         let item = Item::Adapter(model.clone(), adapter.clone(), found.version.clone());
         let (current, _) = self.domain.current(engine, model)?;
         let e = self.engines.get(engine)?;
-        if !self.may_want(engine, &item) || !e.serves(&current) {
+        if !self.may_load_item(engine, &item) || !e.serves(&current) {
             return None;
         }
         let (engine, size) = (engine.clone(), found.size);
-        Some(Want { engine, item, size, cause: Cause::Adapter, served: true, rank: 0 })
+        Some(LoadRequest { engine, item, size, cause: Cause::Adapter, served: true, rank: 0 })
     }
 
     /// The engine with most free memory that serves the model, unless the adapter is loaded or
@@ -170,7 +176,7 @@
             .collect();
         let found = self.domain.model(serving.first()?, model)?.adapters.get(adapter)?;
         let item = Item::Adapter(model.clone(), adapter.clone(), found.version.clone());
-        if self.homes.coming.contains(&item) {
+        if self.available.coming.contains(&item) {
             return None;
         }
         serving.into_iter().max_by_key(|id| self.engines[id].ledger.free())
@@ -178,7 +184,7 @@
 
     /// Floor models of this domain, and models that callers request while the log is unreachable,
     /// whose current version no usable engine has.
-    pub(super) fn homeless(&self, now: Time) -> Vec<(ModelId, Cause)> {
+    pub(super) fn unplaced_models(&self, now: Time) -> Vec<(ModelId, Cause)> {
         let of_floor = self.domain.floor_models();
         let missed = self.missing.iter().filter(|(m, asked)| {
             // If the log is unreachable, other domains may be too.
@@ -189,18 +195,18 @@
         let missed = missed.filter_map(|(m, _)| Some((m, self.any_engine(m)?, Cause::Missing)));
         let homeless = floor.chain(missed).filter(|(m, at, _)| {
             let current = self.domain.current(at, m);
-            current.is_some_and(|(item, _)| !self.homes.coming.contains(&item))
+            current.is_some_and(|(item, _)| !self.available.coming.contains(&item))
         });
         homeless.map(|(m, _, cause)| (m.clone(), cause)).collect()
     }
 
     /// Whether another usable engine has, or is loading, the model's current version.
-    pub(super) fn has_home_besides(&self, engine: &UpstreamId, item: &Item) -> bool {
+    pub(super) fn is_loaded_elsewhere(&self, engine: &UpstreamId, item: &Item) -> bool {
         let mut others = self.engines.iter().filter(|(id, _)| *id != engine && self.is_usable(id));
         others.any(|(id, e)| {
             let current = self.domain.current(id, item.model());
             current.is_some_and(|(new, _)| {
-                e.ledger.held().contains_key(&new) || self.is_flying(id, &new)
+                e.ledger.held().contains_key(&new) || self.is_load_in_flight(id, &new)
             })
         })
     }
--- a/crates/placement/src/keeper/mod.rs
+++ b/crates/placement/src/keeper/mod.rs
@@ -4,17 +4,17 @@
 //! applies the entries of the log stream, but only the node with the lease produces actions.
 
 mod domain;
+mod drain;
 mod engine;
+mod engine_state;
+mod floor_eviction;
 mod intents;
+mod load_requests;
 mod orders;
 mod plan;
 mod publish;
-mod reading;
 mod replicas;
-mod retire;
-mod room;
 mod settings;
-mod wants;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,8 +30,8 @@
 use domain::Domain;
 use engine::Engine;
 use intents::Intents;
-use orders::Flight;
-use wants::Homes;
+use load_requests::AvailableItems;
+use orders::OrderInFlight;
 
 /// The leader of one failure domain.
 #[derive(Debug)]
@@ -47,9 +47,9 @@
     term: Option<Term>,
     gained: Time,
     /// When this term's first placement was published.
-    opened: Option<Time>,
+    first_published: Option<Time>,
     engines: IndexMap<UpstreamId, Engine>,
-    flights: IndexMap<RecordId, Flight>,
+    orders_in_flight: IndexMap<RecordId, OrderInFlight>,
     /// The pending record that settles intents.
     settling: Option<RecordId>,
     shares: Shares,
@@ -63,10 +63,10 @@
     adapters: IndexMap<(ModelId, AdapterId), Time>,
     /// Since when a floor replica has found no memory on its engine.
     no_room: IndexMap<(UpstreamId, ModelId), Time>,
-    homes: Homes,
+    available: AvailableItems,
     planned: Option<Time>,
     placement: IndexMap<UpstreamId, Holding>,
-    told_lost: Option<Vec<UpstreamId>>,
+    published_lost: Option<Vec<UpstreamId>>,
 }
 
 impl Keeper {
@@ -83,9 +83,9 @@
             log_up: true,
             term: None,
             gained: Time::ZERO,
-            opened: None,
+            first_published: None,
             engines: IndexMap::new(),
-            flights: IndexMap::new(),
+            orders_in_flight: IndexMap::new(),
             settling: None,
             shares: Shares::default(),
             demand: DemandPlanner::new(DemandSettings::default(), boot),
@@ -94,10 +94,10 @@
             missing: IndexMap::new(),
             adapters: IndexMap::new(),
             no_room: IndexMap::new(),
-            homes: Homes::default(),
+            available: AvailableItems::default(),
             planned: None,
             placement: IndexMap::new(),
-            told_lost: None,
+            published_lost: None,
         }
     }
 
@@ -174,10 +174,10 @@
     /// Clears the state of the term. The next leader accounts for orders that were sent before.
     fn lose(&mut self) {
         self.term = None;
-        self.opened = None;
+        self.first_published = None;
         self.demand = DemandPlanner::new(DemandSettings::default(), self.boot);
         self.engines.clear();
-        self.flights.clear();
+        self.orders_in_flight.clear();
         self.settling = None;
         self.replicas.clear();
         self.missing.clear();
@@ -185,7 +185,7 @@
         self.no_room.clear();
         self.planned = None;
         self.placement.clear();
-        self.told_lost = None;
+        self.published_lost = None;
     }
 
     /// Updates the engines from the configuration. An engine removed from the configuration is
--- a/crates/placement/src/keeper/orders.rs
+++ b/crates/placement/src/keeper/orders.rs
@@ -18,7 +18,7 @@
 
 /// An order of this leader without a final result.
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct OrderInFlight {
     upstream: UpstreamId,
     kind: OrderKind,
     stage: Stage,
@@ -39,7 +39,7 @@
 
 impl Keeper {
     /// Issues an order, after reserving the memory that it can use.
-    pub(super) fn give(
+    pub(super) fn issue_order(
         &mut self,
         now: Time,
         engine: &UpstreamId,
@@ -70,14 +70,15 @@
         out: &mut Vec<KeeperAction>,
     ) {
         let (upstream, stage) = (engine.clone(), Stage::Recording);
-        self.flights.insert(order, Flight { upstream, kind, stage, record: order, until: None });
+        self.orders_in_flight
+            .insert(order, OrderInFlight { upstream, kind, stage, record: order, until: None });
         self.send(now, order, out);
     }
 
     /// Retries an order that a previous leader recorded or whose send window has passed. The order
     /// keeps its id. If it needs a record, a new one is written, so that the next leader counts it
     /// from that record.
-    pub(super) fn adopt(
+    pub(super) fn retry_recorded(
         &mut self,
         now: Time,
         engine: &UpstreamId,
@@ -108,43 +109,45 @@
         let Some(e) = self.engines.get(engine) else { return };
         let late_order_ms = u64::try_from(e.late.as_millis()).unwrap_or(u64::MAX);
         let (upstream, generation) = (engine.clone(), e.ledger.generation().unwrap_or_default());
-        let flight = Flight {
+        let flight = OrderInFlight {
             upstream: upstream.clone(),
             kind: kind.clone(),
             stage: Stage::Recording,
             record,
             until: Some(now + SEND_WINDOW),
         };
-        self.flights.insert(order, flight);
+        self.orders_in_flight.insert(order, flight);
         let entry = KeeperEntry::Intent { upstream, generation, order, kind, late_order_ms };
         out.push(KeeperAction::Record { id: record, entry });
     }
 
     /// Finds the order that waits for this record.
     fn recorded_by(&self, record: RecordId) -> Option<RecordId> {
-        let waits = |f: &Flight| f.record == record && f.stage == Stage::Recording;
-        self.flights.iter().find(|(_, f)| waits(f)).map(|(order, _)| *order)
+        let waits = |f: &OrderInFlight| f.record == record && f.stage == Stage::Recording;
+        self.orders_in_flight.iter().find(|(_, f)| waits(f)).map(|(order, _)| *order)
     }
 
     /// Items that orders in flight to the engine load.
-    pub(super) fn flying_to(&self, engine: &UpstreamId) -> impl Iterator<Item = Item> {
-        let there = self.flights.values().filter(move |f| f.upstream == *engine);
+    pub(super) fn items_in_flight_to(&self, engine: &UpstreamId) -> impl Iterator<Item = Item> {
+        let there = self.orders_in_flight.values().filter(move |f| f.upstream == *engine);
         there.filter_map(|f| Some(Item::loaded_by(&f.kind)?.0))
     }
 
     /// Whether an order in flight loads the item on the engine.
-    pub(super) fn is_flying(&self, engine: &UpstreamId, item: &Item) -> bool {
-        self.flying_to(engine).any(|i| i == *item)
+    pub(super) fn is_load_in_flight(&self, engine: &UpstreamId, item: &Item) -> bool {
+        self.items_in_flight_to(engine).any(|i| i == *item)
     }
 
     fn send(&mut self, now: Time, id: RecordId, out: &mut Vec<KeeperAction>) {
-        let (Some(fence), Some(flight)) = (self.term, self.flights.get_mut(&id)) else { return };
+        let (Some(fence), Some(flight)) = (self.term, self.orders_in_flight.get_mut(&id)) else {
+            return;
+        };
         let send_by = flight.until.unwrap_or(now + SEND_WINDOW);
         let grows = Item::loaded_by(&flight.kind).is_some();
         let engine = self.engines.get(&flight.upstream);
         let reserved = engine.is_some_and(|e| e.ledger.is_open(id));
         if now > send_by || (grows && !reserved) {
-            self.give_up(now, id);
+            self.cancel_order(now, id);
             return;
         }
         flight.stage = Stage::Sent;
@@ -156,12 +159,12 @@
     }
 
     /// Stops sending the order. Copies already sent still count.
-    fn give_up(&mut self, now: Time, id: RecordId) {
-        if let Some(flight) = self.flights.shift_remove(&id)
+    fn cancel_order(&mut self, now: Time, id: RecordId) {
+        if let Some(flight) = self.orders_in_flight.shift_remove(&id)
             && let Some(e) = self.engines.get_mut(&flight.upstream)
         {
             e.ledger.cancel(id);
-            e.order_over(now, id);
+            e.finish_eviction(now, id);
         }
     }
 
@@ -182,15 +185,15 @@
     pub(super) fn dropped(&mut self, now: Time, id: RecordId) {
         self.settling.take_if(|record| *record == id);
         if let Some(order) = self.recorded_by(id) {
-            self.give_up(now, order);
+            self.cancel_order(now, order);
         }
     }
 
     pub(super) fn answered(&mut self, now: Time, id: RecordId, result: &OrderResult) {
-        let Some(flight) = self.flights.get_mut(&id) else { return };
+        let Some(flight) = self.orders_in_flight.get_mut(&id) else { return };
         let engine = flight.upstream.clone();
         if flight.kind == OrderKind::Fence {
-            self.flights.shift_remove(&id);
+            self.orders_in_flight.shift_remove(&id);
             self.fence_answered(now, &engine, result);
             return;
         }
@@ -200,35 +203,37 @@
             match result {
                 OrderResult::Answered(outcome) => {
                     if *outcome != OrderOutcome::Done {
-                        e.pause = now + self.settings.retry;
+                        e.paused_until = now + self.settings.retry;
                     }
-                    e.order_over(now, id);
+                    e.finish_eviction(now, id);
+                }
+                OrderResult::NotSent | OrderResult::Lost => {
+                    e.record_failure(self.settings.lost_after)
                 }
-                OrderResult::NotSent | OrderResult::Lost => e.missed(self.settings.lost_after),
             }
         }
         if let OrderResult::Answered(_) = result {
-            self.flights.shift_remove(&id);
+            self.orders_in_flight.shift_remove(&id);
         }
         self.read_soon(now, &engine);
     }
 
     /// Retries orders without a response, if they are still needed and may still be sent.
     pub(super) fn repeat_orders(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
-        let due = |f: &Flight| matches!(f.stage, Stage::Again(t) if now >= t);
+        let due = |f: &OrderInFlight| matches!(f.stage, Stage::Again(t) if now >= t);
         let due: Vec<RecordId> =
-            self.flights.iter().filter(|(_, f)| due(f)).map(|(id, _)| *id).collect();
+            self.orders_in_flight.iter().filter(|(_, f)| due(f)).map(|(id, _)| *id).collect();
         for id in due {
             if self.is_still_wanted(id) {
                 self.send(now, id, out);
             } else {
-                self.give_up(now, id);
+                self.cancel_order(now, id);
             }
         }
     }
 
     fn is_still_wanted(&self, id: RecordId) -> bool {
-        let Some(flight) = self.flights.get(&id) else { return false };
+        let Some(flight) = self.orders_in_flight.get(&id) else { return false };
         let Some(e) = self.engines.get(&flight.upstream).filter(|e| e.is_counted()) else {
             return false;
         };
@@ -256,7 +261,7 @@
             let Some(e) = self.engines.get(engine) else {
                 return now >= self.gained + successor_wait(late);
             };
-            !e.ledger.is_open(order) && !self.flights.contains_key(&order)
+            !e.ledger.is_open(order) && !self.orders_in_flight.contains_key(&order)
         };
         let over =
             self.intents.orders().filter(|(order, engine, late)| is_over(*order, engine, *late));
@@ -271,12 +276,13 @@
 
     /// Number of orders to the engine that are being recorded, sent or retried.
     pub(super) fn in_flight(&self, engine: &UpstreamId) -> usize {
-        self.flights.values().filter(|f| f.upstream == *engine).count()
+        self.orders_in_flight.values().filter(|f| f.upstream == *engine).count()
     }
 
     /// Number of loads in the domain that use the weight store or are about to.
     pub(super) fn loads_running(&self) -> usize {
-        let recording = self.flights.values().filter(|f| f.stage == Stage::Recording).count();
+        let recording =
+            self.orders_in_flight.values().filter(|f| f.stage == Stage::Recording).count();
         let answering = self.engines.values().filter(|e| e.configured && !e.lost);
         recording + answering.map(|e| e.ledger.loading()).sum::<usize>()
     }
--- a/crates/placement/src/keeper/plan.rs
+++ b/crates/placement/src/keeper/plan.rs
@@ -9,7 +9,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::Keeper;
-use super::wants::{Cause, Want};
+use super::load_requests::{Cause, LoadRequest};
 use crate::{Item, KeeperAction};
 
 /// Resources assigned so far in one plan.
@@ -36,11 +36,11 @@
         self.missing.retain(|_, asked| now.since(*asked) < settings.missing_want);
         let running = self.loads_running();
         self.shares.observe(now, running);
-        self.homes = self.find_homes();
+        self.available = self.available_items();
         let mut plan = Plan { running, ..Plan::default() };
         let mut placed = IndexSet::new();
         let mut unmet = Vec::new();
-        for want in self.wants() {
+        for want in self.load_requests() {
             if self.place(now, &want, &mut plan, out) {
                 placed.insert(want.item.model().clone());
             } else if want.cause == Cause::Floor {
@@ -48,17 +48,18 @@
             }
         }
         // Before the first placement, an engine that has not been read may already have the model.
-        let homeless = if self.opened.is_some() { self.homeless(now) } else { Vec::new() };
+        let homeless =
+            if self.first_published.is_some() { self.unplaced_models(now) } else { Vec::new() };
         for (model, cause) in homeless {
             if !placed.contains(&model) {
-                self.place_anywhere(now, &model, cause, &mut plan, out);
+                self.load_on_best_engine(now, &model, cause, &mut plan, out);
             }
         }
-        self.make_way(now, &unmet, &mut plan, out);
+        self.free_memory_for_floor(now, &unmet, &mut plan, out);
     }
 
     /// Loads the model on the engine of the domain with most memory available for it.
-    pub(super) fn place_anywhere(
+    pub(super) fn load_on_best_engine(
         &mut self,
         now: Time,
         model: &ModelId,
@@ -67,11 +68,11 @@
         out: &mut Vec<KeeperAction>,
     ) {
         let usable = self.usable();
-        let mut wants: Vec<Want> =
-            usable.iter().filter_map(|id| self.want(id, model, cause)).collect();
+        let mut wants: Vec<LoadRequest> =
+            usable.iter().filter_map(|id| self.load_request(id, model, cause)).collect();
         wants.sort_by_key(|w| {
             let claim = plan.claimed(&w.engine);
-            Reverse(self.engines[&w.engine].coming_free().saturating_sub(claim))
+            Reverse(self.engines[&w.engine].free_after_drains().saturating_sub(claim))
         });
         let _ = wants.iter().any(|w| self.place(now, w, plan, out));
     }
@@ -81,7 +82,7 @@
     fn place(
         &mut self,
         now: Time,
-        want: &Want,
+        want: &LoadRequest,
         plan: &mut Plan,
         out: &mut Vec<KeeperAction>,
     ) -> bool {
@@ -89,7 +90,7 @@
         if let Some((order, size)) = engine.ledger.repeatable(&want.item) {
             // Its memory is already reserved.
             if self.may_load(now, want, plan) {
-                self.adopt(now, &want.engine, order, want.item.load(size), out);
+                self.retry_recorded(now, &want.engine, order, want.item.load(size), out);
             }
             return true;
         }
@@ -97,13 +98,13 @@
         let need = claimed + want.size;
         if engine.ledger.free() >= need {
             if self.may_load(now, want, plan) {
-                let ordered = self.give(now, &want.engine, want.item.load(want.size), out);
+                let ordered = self.issue_order(now, &want.engine, want.item.load(want.size), out);
                 if ordered.is_ok() {
                     return true;
                 }
             }
         } else {
-            let short = need.saturating_sub(engine.coming_free());
+            let short = need.saturating_sub(engine.free_after_drains());
             let Some(victims) = self.victims(want, short, false) else { return false };
             if let Some(e) = self.engines.get_mut(&want.engine) {
                 victims.into_iter().for_each(|item| e.drain(now, item));
@@ -114,7 +115,7 @@
     }
 
     /// Whether the load may begin now; if so, it is counted.
-    fn may_load(&mut self, now: Time, want: &Want, plan: &mut Plan) -> bool {
+    fn may_load(&mut self, now: Time, want: &LoadRequest, plan: &mut Plan) -> bool {
         if plan.used_up || !self.may_order(now, want) {
             return false;
         }
@@ -124,8 +125,8 @@
         may
     }
 
-    fn may_order(&self, now: Time, want: &Want) -> bool {
-        let paused = self.engines.get(&want.engine).is_none_or(|e| now < e.pause);
+    fn may_order(&self, now: Time, want: &LoadRequest) -> bool {
+        let paused = self.engines.get(&want.engine).is_none_or(|e| now < e.paused_until);
         let recordable = self.log_up || self.domain.refuses(&want.engine);
         !paused && recordable && self.in_flight(&want.engine) < self.settings.orders_per_engine
     }
@@ -133,7 +134,12 @@
     /// Selects items to evict for the load. Never selects a floor replica, and returns `None` if
     /// the eviction would not free enough memory. With `force`, it may select the only serving
     /// replica of a model in the domain.
-    pub(super) fn victims(&self, want: &Want, short: MemSize, force: bool) -> Option<Vec<Item>> {
+    pub(super) fn victims(
+        &self,
+        want: &LoadRequest,
+        short: MemSize,
+        force: bool,
+    ) -> Option<Vec<Item>> {
         if short == MemSize::default() {
             return Some(Vec::new());
         }
@@ -168,7 +174,7 @@
             if victims.iter().any(|v| v.is_model() && v.model() == item.model()) {
                 continue;
             }
-            freed += engine.freed_by(item);
+            freed += engine.memory_freed_by(item);
             victims.push(item.clone());
         }
         (freed >= short).then_some(victims)
--- a/crates/placement/src/keeper/publish.rs
+++ b/crates/placement/src/keeper/publish.rs
@@ -15,10 +15,10 @@
     /// to engines that have not been read yet.
     pub(super) fn publish(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
         let waited = now.since(self.gained) >= self.settings.first_publish;
-        if self.opened.is_none() && !self.is_complete() && !waited {
+        if self.first_published.is_none() && !self.is_complete() && !waited {
             return;
         }
-        self.opened.get_or_insert(now);
+        self.first_published.get_or_insert(now);
         let mut changed = IndexMap::new();
         let ids: Vec<UpstreamId> = self.engines.keys().cloned().collect();
         for id in ids {
@@ -35,8 +35,8 @@
             out.push(KeeperAction::Placement(changed));
         }
         let lost = self.lost();
-        if self.is_complete() && self.told_lost.as_ref() != Some(&lost) {
-            self.told_lost = Some(lost.clone());
+        if self.is_complete() && self.published_lost.as_ref() != Some(&lost) {
+            self.published_lost = Some(lost.clone());
             out.push(KeeperAction::LostEngines(lost));
         }
     }
--- a/crates/placement/src/keeper/replicas.rs
+++ b/crates/placement/src/keeper/replicas.rs
@@ -29,7 +29,7 @@
     pub(super) fn plan_demand(&mut self, now: Time) {
         let settings = &self.settings;
         self.replicas.retain(|_, since| now.since(*since) < settings.replica_want);
-        if self.opened.is_none() || now < self.demand_due {
+        if self.first_published.is_none() || now < self.demand_due {
             return;
         }
         self.demand_due = now + settings.demand_every;
--- a/crates/placement/src/ledger/mod.rs
+++ b/crates/placement/src/ledger/mod.rs
@@ -126,7 +126,9 @@
     /// newer one. Retrying either could overcommit the memory.
     pub fn repeatable(&self, item: &Item) -> Option<(RecordId, MemSize)> {
         let fits = |o: &Pending| {
-            o.item == *item && o.flying == 0 && o.done_in.is_none_or(|g| Some(g) != self.generation)
+            o.item == *item
+                && o.in_flight == 0
+                && o.done_in.is_none_or(|g| Some(g) != self.generation)
         };
         if self.held.contains_key(item) || self.reserved() > self.memory() {
             return None;
@@ -138,7 +140,7 @@
     pub fn loading(&self) -> usize {
         let loading = self.held.values().filter(|h| !h.ready).count();
         let coming = |o: &&Pending| {
-            o.may_grow(self.generation) && o.flying > 0 && !self.held.contains_key(&o.item)
+            o.may_grow(self.generation) && o.in_flight > 0 && !self.held.contains_key(&o.item)
         };
         loading + self.orders.values().filter(coming).count()
     }
@@ -183,7 +185,7 @@
     /// Records that a copy of the order is being sent.
     pub fn sending(&mut self, order: RecordId) {
         if let Some(pending) = self.orders.get_mut(&order) {
-            pending.flying += 1;
+            pending.in_flight += 1;
             pending.consumed = false;
         }
     }
@@ -197,8 +199,8 @@
 
     /// Applies the result of one copy of the order. `late` is the engine's bound for late orders.
     pub fn answered(&mut self, now: Time, order: RecordId, result: &OrderResult, late: Duration) {
-        let Some(pending) = self.orders.get_mut(&order).filter(|o| o.flying > 0) else { return };
-        pending.flying -= 1;
+        let Some(pending) = self.orders.get_mut(&order).filter(|o| o.in_flight > 0) else { return };
+        pending.in_flight -= 1;
         match result {
             // The caller next retries or cancels the order.
             OrderResult::NotSent => return,
--- a/crates/placement/src/ledger/pending.rs
+++ b/crates/placement/src/ledger/pending.rs
@@ -12,7 +12,7 @@
     pub(super) item: Item,
     pub(super) size: MemSize,
     /// Copies in flight.
-    pub(super) flying: u32,
+    pub(super) in_flight: u32,
     /// Lost copies.
     pub(super) lost: u32,
     /// Engine generation in which the order is known to have been executed.
@@ -30,7 +30,7 @@
         Pending {
             item,
             size,
-            flying: 0,
+            in_flight: 0,
             lost: 0,
             done_in: None,
             dead_at: None,
@@ -46,10 +46,10 @@
             return;
         }
         self.done_in = Some(generation);
-        if self.inherited || self.flying + self.lost != 1 {
+        if self.inherited || self.in_flight + self.lost != 1 {
             return;
         }
-        self.consumed = self.flying == 1;
+        self.consumed = self.in_flight == 1;
         self.lost = 0;
     }
 
@@ -68,11 +68,11 @@
 
     /// Whether no copy can take effect any more, apart from the bound for late orders.
     pub(super) fn is_over(&self) -> bool {
-        !self.inherited && self.flying == 0 && self.lost == 0
+        !self.inherited && self.in_flight == 0 && self.lost == 0
     }
 
     /// Whether the bound for late orders has passed for all copies.
     pub(super) fn is_dead(&self, now: Time) -> bool {
-        self.flying == 0 && self.dead_at.is_some_and(|t| now >= t)
+        self.in_flight == 0 && self.dead_at.is_some_and(|t| now >= t)
     }
 }
--- a/crates/placement/src/shares/mod.rs
+++ b/crates/placement/src/shares/mod.rs
@@ -38,7 +38,7 @@
 
     /// Computes the share of `domain`; the tokens in the bucket are kept.
     pub fn configure(&mut self, document: &Document, domain: &DomainId) {
-        let domains = loading_domains(document);
+        let domains = domains_with_engines(document);
         let rank = domains.iter().position(|d| *d == domain);
         let Some(rank) = rank else {
             self.parallel = 0;
@@ -83,7 +83,7 @@
     }
 }
 
-fn loading_domains(document: &Document) -> Vec<&DomainId> {
+fn domains_with_engines(document: &Document) -> Vec<&DomainId> {
     let is_engine =
         |service| document.services.get(service).is_some_and(|s| s.kind == ServiceKind::Model);
     let has_engine = |id: &DomainId| {
