--- a/crates/claim/src/api.rs
+++ b/crates/claim/src/api.rs
@@ -3,7 +3,7 @@
 
 /// The node that has the lease of a scope.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holder {
+pub struct Leader {
     /// The node of the latest claim.
     pub node: NodeId,
     /// The offset of that claim.
@@ -43,7 +43,7 @@
     },
     /// Whether this node should be leader, and whether the current leader is alive, according to
     /// membership. Affects only when to claim, not safety. Must be sent again after each
-    /// [`Action::HolderChanged`], which discards the previous values.
+    /// [`Action::LeaderChanged`], which discards the previous values.
     Standing {
         /// This node is first in the order of live nodes for this scope.
         preferred: bool,
@@ -63,12 +63,12 @@
         data: Bytes,
     },
     /// The leader changed; `None` after a release.
-    HolderChanged(Option<Holder>),
+    LeaderChanged(Option<Leader>),
     /// This node acquired the lease, has read all records before its claim, and may propose
     /// entries.
-    Gained(Term),
+    LeaseAcquired(Term),
     /// This node no longer has the lease.
-    Lost(Term),
+    LeaseLost(Term),
     /// A valid entry of any leader, in order; passed once.
     Apply {
         offset: Offset,
--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -6,9 +6,9 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::outbox::{Outbox, Purpose, Verdict, Waiting};
-use crate::reader::{Judged, Read, Reader};
+use crate::reader::{Read, ReadRecord, Reader};
 use crate::record::{Body, Entry, Record, Snapshot};
-use crate::{Action, Event, Holder, Settings, fold};
+use crate::{Action, Event, Leader, Settings, fold};
 
 /// One node's state machine for the lease of a scope: reads the stream, claims the lease, and
 /// appends records as leader.
@@ -22,11 +22,11 @@
     rng: StdRng,
     reader: Reader,
     outbox: Outbox,
-    held: Option<Term>,
+    leader_term: Option<Term>,
     standing: Option<Standing>,
     /// Whether the last read succeeded and reached the end of the stream.
     caught_up: bool,
-    told_no_snapshot: bool,
+    reported_no_snapshot: bool,
     snapshot: SnapshotClock,
     releasing: bool,
     release_due: bool,
@@ -60,10 +60,10 @@
             rng: StdRng::seed_from_u64(boot),
             reader: Reader::new(),
             outbox: Outbox::default(),
-            held: None,
+            leader_term: None,
             standing: None,
             caught_up: false,
-            told_no_snapshot: false,
+            reported_no_snapshot: false,
             snapshot: SnapshotClock::default(),
             releasing: false,
             release_due: false,
@@ -75,13 +75,13 @@
     }
 
     /// The leader according to the records read so far.
-    pub fn holder(&self) -> Option<&Holder> {
-        self.reader.fold.holder.as_ref()
+    pub fn leader(&self) -> Option<&Leader> {
+        self.reader.fold.leader.as_ref()
     }
 
     /// This node's term, while it has the lease and has read its claim back.
-    pub fn held(&self) -> Option<Term> {
-        self.held
+    pub fn leader_term(&self) -> Option<Term> {
+        self.leader_term
     }
 
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
@@ -92,14 +92,14 @@
             Event::ReadFailed => self.caught_up = false,
             Event::Appended { id, outcome } => {
                 let verdict = self.outbox.answered(now, id, outcome);
-                self.settle_append(now, verdict, out);
+                self.handle_append_step(now, verdict, out);
             }
             Event::Standing { preferred, holder_alive } => {
-                self.stand(now, preferred, holder_alive);
+                self.update_standing(now, preferred, holder_alive);
             }
             Event::Tick => {
                 let verdict = self.outbox.tick(now, &self.cfg);
-                self.settle_append(now, verdict, out);
+                self.handle_append_step(now, verdict, out);
                 let expired = self.outbox.expired(now, &self.cfg);
                 out.extend(expired.into_iter().map(|id| Action::Dropped { id }));
             }
@@ -110,7 +110,7 @@
     /// Proposes an entry, which takes effect once it is returned as [`Action::Apply`].
     pub fn propose(&mut self, now: Time, id: RecordId, data: Bytes, out: &mut Vec<Action>) {
         let full = self.outbox.waiting.len() >= self.cfg.queue_entries;
-        if self.held.is_none() || self.releasing || full {
+        if self.leader_term.is_none() || self.releasing || full {
             out.push(Action::Dropped { id });
             return;
         }
@@ -120,7 +120,7 @@
 
     /// Writes a snapshot of the state after all entries applied so far.
     pub fn snapshot(&mut self, now: Time, data: Bytes, out: &mut Vec<Action>) {
-        if self.held.is_none() || self.releasing {
+        if self.leader_term.is_none() || self.releasing {
             return;
         }
         self.snapshot.waiting = Some((self.reader.fold.seq, self.reader.position, data));
@@ -130,7 +130,7 @@
     /// Releases the lease after pending appends and never claims it again.
     pub fn release(&mut self, now: Time, out: &mut Vec<Action>) {
         self.releasing = true;
-        self.release_due = self.held.is_some();
+        self.release_due = self.leader_term.is_some();
         let unsent = self.outbox.waiting.drain(..);
         out.extend(unsent.map(|waiting| Action::Dropped { id: waiting.entry.id }));
         self.advance(now, out);
@@ -140,7 +140,7 @@
     /// because its entries have expired for their users too.
     pub fn begin_empty(&mut self, now: Time, out: &mut Vec<Action>) {
         for judged in self.reader.begin_empty() {
-            self.judge(now, judged, out);
+            self.apply_record(now, judged, out);
         }
         self.advance(now, out);
     }
@@ -154,22 +154,22 @@
             return;
         };
         match self.reader.read(offset, record, self.cfg.buffered_records) {
-            Read::Judged(judged) => self.judge(now, *judged, out),
+            Read::Judged(judged) => self.apply_record(now, *judged, out),
             Read::Waiting => {}
             Read::Restored(snapshot, judged) => {
-                self.told_no_snapshot = false;
+                self.reported_no_snapshot = false;
                 self.standing = None;
                 out.push(Action::Restore { offset, data: snapshot.data });
-                out.push(Action::HolderChanged(self.holder().cloned()));
+                out.push(Action::LeaderChanged(self.leader().cloned()));
                 for judged in judged {
-                    self.judge(now, judged, out);
+                    self.apply_record(now, judged, out);
                 }
             }
         }
     }
 
-    fn judge(&mut self, now: Time, judged: Judged, out: &mut Vec<Action>) {
-        let Judged { offset, record, verdict } = judged;
+    fn apply_record(&mut self, now: Time, judged: ReadRecord, out: &mut Vec<Action>) {
+        let ReadRecord { offset, record, verdict } = judged;
         self.outbox.read_back(record.id, verdict != fold::Verdict::Void);
         match (verdict, record.body) {
             (fold::Verdict::Claimed, _) => self.claimed(now, record.id, out),
@@ -188,36 +188,36 @@
     }
 
     fn claimed(&mut self, now: Time, id: RecordId, out: &mut Vec<Action>) {
-        self.lose(true, out);
-        out.push(Action::HolderChanged(self.holder().cloned()));
+        self.end_term(true, out);
+        out.push(Action::LeaderChanged(self.leader().cloned()));
         // Membership's last report was about the previous leader.
         self.standing = None;
         if id.boot != self.boot {
             return;
         }
         let term = self.reader.fold.term;
-        self.held = Some(term);
+        self.leader_term = Some(term);
         self.release_due = self.releasing;
         // The last snapshot may be old, as its age is counted by the previous leader.
         self.snapshot.next = now + self.cfg.first_snapshot;
-        out.push(Action::Gained(term));
+        out.push(Action::LeaseAcquired(term));
     }
 
     fn released(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.lose(true, out);
-        out.push(Action::HolderChanged(None));
+        self.end_term(true, out);
+        out.push(Action::LeaderChanged(None));
         let preferred = self.standing.as_ref().is_some_and(|standing| standing.preferred);
-        self.stand(now, preferred, false);
+        self.update_standing(now, preferred, false);
     }
 
     /// Ends this node's term. `void` means that records sent but not read back can no longer take
     /// effect, since a newer claim or the release was read first.
-    fn lose(&mut self, void: bool, out: &mut Vec<Action>) {
-        let Some(term) = self.held.take() else { return };
+    fn end_term(&mut self, void: bool, out: &mut Vec<Action>) {
+        let Some(term) = self.leader_term.take() else { return };
         self.snapshot.waiting = None;
         self.release_due = false;
         let (waiting, sent) = self.outbox.clear();
-        out.push(Action::Lost(term));
+        out.push(Action::LeaseLost(term));
         out.extend(waiting.into_iter().map(|id| Action::Dropped { id }));
         if void {
             out.extend(sent.into_iter().map(|id| Action::Dropped { id }));
@@ -225,29 +225,29 @@
     }
 
     fn trimmed(&mut self, first: Offset, out: &mut Vec<Action>) {
-        let had_holder = self.holder().is_some();
+        let had_holder = self.leader().is_some();
         if !self.reader.trimmed(first) {
             return;
         }
         self.caught_up = false;
-        self.told_no_snapshot = false;
-        self.lose(false, out);
+        self.reported_no_snapshot = false;
+        self.end_term(false, out);
         self.outbox.clear();
         if had_holder {
-            out.push(Action::HolderChanged(None));
+            out.push(Action::LeaderChanged(None));
         }
     }
 
     fn caught_up(&mut self, out: &mut Vec<Action>) {
         self.caught_up = true;
         self.outbox.read_ended();
-        if !self.reader.is_usable() && !self.told_no_snapshot {
-            self.told_no_snapshot = true;
+        if !self.reader.is_usable() && !self.reported_no_snapshot {
+            self.reported_no_snapshot = true;
             out.push(Action::NoSnapshot);
         }
     }
 
-    fn settle_append(&mut self, now: Time, verdict: Verdict, out: &mut Vec<Action>) {
+    fn handle_append_step(&mut self, now: Time, verdict: Verdict, out: &mut Vec<Action>) {
         match verdict {
             Verdict::Nothing => {}
             Verdict::Again(id, data) => out.push(Action::Append { id, data }),
@@ -270,12 +270,12 @@
     /// Two nodes may briefly both be preferred, each in its own view. Each waits until that has
     /// lasted for a while plus random jitter, and does not claim if it reads the other's claim
     /// meanwhile.
-    fn stand(&mut self, now: Time, preferred: bool, holder_alive: bool) {
-        let vacant = self.holder().is_none_or(|holder| holder.node == self.node);
+    fn update_standing(&mut self, now: Time, preferred: bool, holder_alive: bool) {
+        let vacant = self.leader().is_none_or(|leader| leader.node == self.node);
         let wanted = vacant || !holder_alive;
         let last = self.standing.as_ref().filter(|standing| standing.preferred == preferred);
         let last = last.and_then(|standing| standing.claim_at);
-        let claim_at = wanted.then(|| last.unwrap_or_else(|| now + self.patience(preferred)));
+        let claim_at = wanted.then(|| last.unwrap_or_else(|| now + self.claim_delay(preferred)));
         self.standing = Some(Standing { preferred, claim_at });
     }
 
@@ -284,8 +284,8 @@
     /// A released lease can be claimed at once, but a leader reported dead may be unreachable only
     /// briefly. The preferred node may be unable to claim without the log or a snapshot, so after a
     /// longer time any other node does.
-    fn patience(&mut self, preferred: bool) -> Duration {
-        let released = self.holder().is_none() && self.reader.fold.term != Term(0);
+    fn claim_delay(&mut self, preferred: bool) -> Duration {
+        let released = self.leader().is_none() && self.reader.fold.term != Term(0);
         match (preferred, released) {
             (true, true) => self.jitter(self.cfg.jitter),
             (true, false) => self.cfg.settle + self.jitter(self.cfg.jitter),
@@ -300,14 +300,14 @@
 
     /// Sends the next append, if one is due and none is in flight.
     fn advance(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.outbox.flight.is_some() {
+        if self.outbox.in_flight.is_some() {
             return;
         }
         let gap = self.outbox.last_sent.is_some_and(|at| now.since(at) < self.cfg.batch_gap);
         if gap {
             return;
         }
-        match self.held {
+        match self.leader_term {
             Some(term) => self.write(now, term, out),
             None => self.claim_if_due(now, out),
         }
--- a/crates/claim/src/fold.rs
+++ b/crates/claim/src/fold.rs
@@ -2,14 +2,14 @@
 
 use hgw_types::{Offset, RecordId, Term};
 
-use crate::Holder;
+use crate::Leader;
 use crate::record::{Body, Record, Snapshot};
 
 /// The leader and position after the records read so far.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Fold {
-    pub(crate) holder: Option<Holder>,
-    /// The claim record of `holder`, if it was read.
+    pub(crate) leader: Option<Leader>,
+    /// The claim record of `leader`, if it was read.
     pub(crate) claim: Option<RecordId>,
     /// Offset of the latest valid claim, also after its release.
     pub(crate) term: Term,
@@ -34,7 +34,7 @@
     /// The state at the offset covered by the snapshot.
     pub(crate) fn at_snapshot(snapshot: &Snapshot) -> Fold {
         Fold {
-            holder: Some(Holder { node: snapshot.node.clone(), term: snapshot.term }),
+            leader: Some(Leader { node: snapshot.node.clone(), term: snapshot.term }),
             claim: None,
             term: snapshot.term,
             seq: snapshot.covers_seq,
@@ -63,19 +63,19 @@
                 }
                 self.term = Term(offset.0);
                 self.seq = 0;
-                self.holder = Some(Holder { node: node.clone(), term: self.term });
+                self.leader = Some(Leader { node: node.clone(), term: self.term });
                 self.claim = Some(record.id);
                 self.missed = None;
                 Verdict::Claimed
             }
-            Body::Entries { term, seq, .. } => self.written(*term, *seq, Verdict::Entries),
+            Body::Entries { term, seq, .. } => self.check_sequence(*term, *seq, Verdict::Entries),
             Body::Snapshot(snapshot) => {
-                self.written(snapshot.term, snapshot.seq, Verdict::Snapshot)
+                self.check_sequence(snapshot.term, snapshot.seq, Verdict::Snapshot)
             }
             Body::Release { term, seq } => {
-                let verdict = self.written(*term, *seq, Verdict::Released);
+                let verdict = self.check_sequence(*term, *seq, Verdict::Released);
                 if verdict == Verdict::Released {
-                    self.holder = None;
+                    self.leader = None;
                     self.claim = None;
                 }
                 verdict
@@ -86,8 +86,8 @@
     /// A record of an older term is void, because its writer was superseded. A duplicate is void,
     /// because its `seq` was already seen. There are no gaps, since the leader sends the next
     /// record only after reading this one back.
-    fn written(&mut self, term: Term, seq: u64, verdict: Verdict) -> Verdict {
-        let next = self.holder.is_some() && term == self.term && seq == self.seq + 1;
+    fn check_sequence(&mut self, term: Term, seq: u64, verdict: Verdict) -> Verdict {
+        let next = self.leader.is_some() && term == self.term && seq == self.seq + 1;
         let possible = self.missed.is_some() && (term, seq) > (self.term, self.seq);
         if !next && !possible {
             return Verdict::Void;
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -17,6 +17,6 @@
 mod record;
 mod settings;
 
-pub use api::{Action, AppendOutcome, Event, Holder};
+pub use api::{Action, AppendOutcome, Event, Leader};
 pub use claim::Claim;
 pub use settings::Settings;
--- a/crates/claim/src/outbox.rs
+++ b/crates/claim/src/outbox.rs
@@ -25,17 +25,17 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct AppendInFlight {
     pub(crate) id: RecordId,
     pub(crate) data: Bytes,
     pub(crate) purpose: Purpose,
-    state: State,
+    state: AppendState,
     /// A copy of it may have been stored.
-    doubt: bool,
+    maybe_stored: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum AppendState {
     Sent(Time),
     /// Stored, but not read back yet.
     Stored,
@@ -63,39 +63,47 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     pub(crate) waiting: VecDeque<Waiting>,
-    pub(crate) flight: Option<Flight>,
+    pub(crate) in_flight: Option<AppendInFlight>,
     pub(crate) last_sent: Option<Time>,
 }
 
 impl Outbox {
     pub(crate) fn send(&mut self, now: Time, id: RecordId, data: Bytes, purpose: Purpose) {
         self.last_sent = Some(now);
-        self.flight = Some(Flight { id, data, purpose, state: State::Sent(now), doubt: false });
+        self.in_flight = Some(AppendInFlight {
+            id,
+            data,
+            purpose,
+            state: AppendState::Sent(now),
+            maybe_stored: false,
+        });
     }
 
     /// Handles a record that was read. The append in flight is complete if it is this record and
     /// valid. A claim is complete in any case, because a claim that came too late stays void.
     pub(crate) fn read_back(&mut self, id: RecordId, valid: bool) {
-        let done = |flight: &Flight| flight.id == id && (valid || flight.purpose == Purpose::Claim);
-        if self.flight.as_ref().is_some_and(done) {
-            self.flight = None;
+        let done = |flight: &AppendInFlight| {
+            flight.id == id && (valid || flight.purpose == Purpose::Claim)
+        };
+        if self.in_flight.as_ref().is_some_and(done) {
+            self.in_flight = None;
         }
     }
 
     pub(crate) fn answered(&mut self, now: Time, id: RecordId, outcome: AppendOutcome) -> Verdict {
-        let Some(flight) = self.flight.as_mut().filter(|flight| flight.id == id) else {
+        let Some(flight) = self.in_flight.as_mut().filter(|flight| flight.id == id) else {
             return Verdict::Nothing;
         };
         match outcome {
-            AppendOutcome::Stored(_) => flight.state = State::Stored,
-            AppendOutcome::NotStored if !flight.doubt => {
+            AppendOutcome::Stored(_) => flight.state = AppendState::Stored,
+            AppendOutcome::NotStored if !flight.maybe_stored => {
                 let purpose = flight.purpose.clone();
-                self.flight = None;
+                self.in_flight = None;
                 return Verdict::Refused(purpose);
             }
             AppendOutcome::NotStored | AppendOutcome::Unknown => {
-                flight.doubt = true;
-                flight.state = State::LookUp { since: now, reads: 0 };
+                flight.maybe_stored = true;
+                flight.state = AppendState::LookUp { since: now, reads: 0 };
             }
         }
         Verdict::Nothing
@@ -103,8 +111,8 @@
 
     /// Handles a read that returned all records that existed when it was made.
     pub(crate) fn read_ended(&mut self) {
-        let Some(flight) = &mut self.flight else { return };
-        if let State::LookUp { reads, .. } = &mut flight.state {
+        let Some(flight) = &mut self.in_flight else { return };
+        if let AppendState::LookUp { reads, .. } = &mut flight.state {
             *reads += 1;
         }
     }
@@ -115,21 +123,21 @@
     /// and `seq`, so every reader applies the first and ignores the other. A claim has no `seq`: it
     /// is abandoned, and a new one is written later.
     pub(crate) fn tick(&mut self, now: Time, cfg: &Settings) -> Verdict {
-        let Some(flight) = &mut self.flight else { return Verdict::Nothing };
+        let Some(flight) = &mut self.in_flight else { return Verdict::Nothing };
         match flight.state {
-            State::Sent(at) if now.since(at) >= cfg.append_timeout => {
-                flight.doubt = true;
-                flight.state = State::LookUp { since: now, reads: 0 };
+            AppendState::Sent(at) if now.since(at) >= cfg.append_timeout => {
+                flight.maybe_stored = true;
+                flight.state = AppendState::LookUp { since: now, reads: 0 };
                 Verdict::Nothing
             }
-            State::LookUp { since, reads }
+            AppendState::LookUp { since, reads }
                 if reads >= LOOK_UPS && now.since(since) >= cfg.retry =>
             {
                 if flight.purpose == Purpose::Claim {
-                    self.flight = None;
+                    self.in_flight = None;
                     return Verdict::Nothing;
                 }
-                flight.state = State::Sent(now);
+                flight.state = AppendState::Sent(now);
                 let again = Verdict::Again(flight.id, flight.data.clone());
                 self.last_sent = Some(now);
                 again
@@ -168,7 +176,7 @@
     /// Clears the queue; returns the ids of unsent proposals and of those in flight.
     pub(crate) fn clear(&mut self) -> (Vec<RecordId>, Vec<RecordId>) {
         let waiting = self.waiting.drain(..).map(|waiting| waiting.entry.id).collect();
-        let sent = match self.flight.take().map(|flight| flight.purpose) {
+        let sent = match self.in_flight.take().map(|flight| flight.purpose) {
             Some(Purpose::Entries(ids)) => ids,
             _ => Vec::new(),
         };
--- a/crates/claim/src/reader.rs
+++ b/crates/claim/src/reader.rs
@@ -9,7 +9,7 @@
 
 /// A record with its effect.
 #[derive(Debug, Clone)]
-pub(crate) struct Judged {
+pub(crate) struct ReadRecord {
     pub(crate) offset: Offset,
     pub(crate) record: Record,
     pub(crate) verdict: Verdict,
@@ -18,11 +18,11 @@
 /// Result of reading a record.
 #[derive(Debug)]
 pub(crate) enum Read {
-    Judged(Box<Judged>),
+    Judged(Box<ReadRecord>),
     /// The effect is not known yet, since the state before it is unknown.
     Waiting,
     /// A snapshot that establishes the state, with the records after the offset that it covers.
-    Restored(Box<Snapshot>, Vec<Judged>),
+    Restored(Box<Snapshot>, Vec<ReadRecord>),
 }
 
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     ///
     /// Entries of unknown terms are applied too, although some may be void or duplicates. For the
     /// users of this crate an extra entry is safe, but a missing one is not.
-    pub(crate) fn begin_empty(&mut self) -> Vec<Judged> {
+    pub(crate) fn begin_empty(&mut self) -> Vec<ReadRecord> {
         let Some(search) = &mut self.search else { return Vec::new() };
         search.assumed_empty = true;
         self.fold = Fold::unknown(Offset(search.first.0 - 1));
@@ -81,7 +81,7 @@
         self.position = offset;
         let Some(search) = &mut self.search else {
             let verdict = self.fold.apply(offset, &record);
-            return Read::Judged(Box::new(Judged { offset, record, verdict }));
+            return Read::Judged(Box::new(ReadRecord { offset, record, verdict }));
         };
         search.records.push_back((offset, record.clone()));
         if let Some((snapshot, fold, judged)) = search.restore() {
@@ -97,7 +97,7 @@
         if !self.fold.is_unknown() {
             self.search = None;
         }
-        Read::Judged(Box::new(Judged { offset, record, verdict }))
+        Read::Judged(Box::new(ReadRecord { offset, record, verdict }))
     }
 }
 
@@ -111,7 +111,7 @@
     /// The writer was leader when it had read up to `covers`. If nothing after `covers` was missed,
     /// a newer claim that makes the snapshot void is among `records`. A snapshot that covers less
     /// may come from a superseded leader and restore an outdated state.
-    fn restore(&self) -> Option<(Snapshot, Fold, Vec<Judged>)> {
+    fn restore(&self) -> Option<(Snapshot, Fold, Vec<ReadRecord>)> {
         let (_, record) = self.records.back()?;
         let Body::Snapshot(snapshot) = &record.body else { return None };
         if snapshot.covers.0 + 1 < self.first.0 {
@@ -134,10 +134,13 @@
     }
 }
 
-fn replay<'a>(fold: &mut Fold, records: impl Iterator<Item = &'a (Offset, Record)>) -> Vec<Judged> {
+fn replay<'a>(
+    fold: &mut Fold,
+    records: impl Iterator<Item = &'a (Offset, Record)>,
+) -> Vec<ReadRecord> {
     let judge = |(offset, record): &(Offset, Record)| {
         let verdict = fold.apply(*offset, record);
-        Judged { offset: *offset, record: record.clone(), verdict }
+        ReadRecord { offset: *offset, record: record.clone(), verdict }
     };
     records.map(judge).collect()
 }
--- a/crates/claim/tests/properties.rs
+++ b/crates/claim/tests/properties.rs
@@ -168,9 +168,9 @@
                     ciborium::into_writer(&self.states[node], &mut data).unwrap();
                     self.nodes[node].claim.snapshot(self.now, data.into(), &mut more);
                 }
-                Action::Gained(term) => self.gained.push(term),
+                Action::LeaseAcquired(term) => self.gained.push(term),
                 Action::Dropped { id } => self.dropped.push(id),
-                Action::HolderChanged(_) | Action::Lost(_) => {}
+                Action::LeaderChanged(_) | Action::LeaseLost(_) => {}
             }
             self.carry_out(node, more, fate);
         }
@@ -185,7 +185,7 @@
         assert_eq!(first, (offset, term), "{id} is applied at two places");
         assert!(!self.states[node].contains(&id), "n{node} applies {id} twice");
         self.states[node].push(id);
-        if self.nodes[node].claim.held() == Some(term) {
+        if self.nodes[node].claim.leader_term() == Some(term) {
             self.acts.push((term, offset));
         }
     }
@@ -216,7 +216,7 @@
             assert_eq!(self.states[0], self.states[1]);
             assert_eq!(self.states[0], self.states[2]);
         }
-        let held = self.nodes.iter().filter(|node| node.claim.held().is_some()).count();
+        let held = self.nodes.iter().filter(|node| node.claim.leader_term().is_some()).count();
         assert_eq!(held, 1, "holders");
     }
 
@@ -231,7 +231,7 @@
     }
 
     fn tell_standing(&mut self, node: usize) {
-        let holder_alive = self.nodes.iter().any(|node| node.claim.held().is_some());
+        let holder_alive = self.nodes.iter().any(|node| node.claim.leader_term().is_some());
         let event = Event::Standing { preferred: node == 0, holder_alive };
         let mut out = Vec::new();
         self.nodes[node].claim.handle(self.now, event, &mut out);
--- a/crates/claim/tests/takeover.rs
+++ b/crates/claim/tests/takeover.rs
@@ -188,7 +188,7 @@
     s.propose(0, id(1, 3), Fate::RecordLost);
     s.pass(500);
     s.tick(0, Fate::RecordLost);
-    s.note(&format!("held: {:?}", s.nodes[0].claim.held()));
+    s.note(&format!("held: {:?}", s.nodes[0].claim.leader_term()));
     s.note("the log is back: what is in doubt is settled first");
     s.read(0);
     s.read(0);
--- a/crates/node/src/keeper/mod.rs
+++ b/crates/node/src/keeper/mod.rs
@@ -6,7 +6,7 @@
 use hgw_config::Document;
 use hgw_events::{Event as LogEvent, emit};
 use hgw_placement::{
-    Floor, Keeper, KeeperAction, KeeperEntry, KeeperEvent, KeeperSettings, OrderResult,
+    Floor, Leader, LeaderAction, LeaderEntry, LeaderEvent, LeaderSettings, OrderResult,
 };
 use hgw_types::{NodeId, Offset, RecordId, Scope, StreamName, Term, Time, UpstreamId};
 use hgw_wire::peer::{Holding, Message, Placement};
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct KeeperRole {
     scope: ScopeLog,
-    keeper: Keeper,
+    keeper: Leader,
     /// Whether this node reads the scope's stream.
     following: bool,
     term: Option<Term>,
@@ -46,7 +46,7 @@
             value: domain.to_string(),
         };
         KeeperRole {
-            keeper: Keeper::new(KeeperSettings::default(), domain.clone(), cx.settings.boot),
+            keeper: Leader::new(LeaderSettings::default(), domain.clone(), cx.settings.boot),
             scope: ScopeLog::new(cx, Scope::keeper(domain), events),
             following: false,
             term: None,
@@ -73,7 +73,7 @@
         let log_up = outcome != ReadOutcome::Failed;
         let acts = self.scope.on_read(cx, outcome);
         self.take(cx, view, acts);
-        self.handle(cx, view, KeeperEvent::LogUp(log_up));
+        self.handle(cx, view, LeaderEvent::LogUp(log_up));
     }
 
     pub(crate) fn on_appended(
@@ -92,7 +92,7 @@
             let acts = self.scope.on_tick(cx);
             self.take(cx, view, acts);
         }
-        self.handle(cx, view, KeeperEvent::Tick);
+        self.handle(cx, view, LeaderEvent::Tick);
     }
 
     /// Follows the scope if this node may have to take it, and claims it when due.
@@ -115,11 +115,11 @@
         version: Offset,
         document: Arc<Document>,
     ) {
-        self.handle(cx, view, KeeperEvent::Config { version, document });
+        self.handle(cx, view, LeaderEvent::Config { version, document });
     }
 
     pub(crate) fn on_floor(&mut self, cx: &mut Context<'_>, view: &View<'_>, floor: Floor) {
-        self.handle(cx, view, KeeperEvent::Floor(floor));
+        self.handle(cx, view, LeaderEvent::Floor(floor));
     }
 
     pub(crate) fn on_state(
@@ -130,7 +130,7 @@
         asked: Time,
         state: Option<EngineState>,
     ) {
-        self.handle(cx, view, KeeperEvent::State { upstream, asked, state });
+        self.handle(cx, view, LeaderEvent::State { upstream, asked, state });
     }
 
     pub(crate) fn on_answer(
@@ -148,11 +148,11 @@
                 [("node", node), ("upstream", upstream), ("order", &order), ("result", &shown)];
             emit(LogEvent::OrderNotDone, &fields);
         }
-        self.handle(cx, view, KeeperEvent::Answer { order, result });
+        self.handle(cx, view, LeaderEvent::Answer { order, result });
     }
 
     /// Takes an event that is already in the keeper's terms.
-    pub(crate) fn handle(&mut self, cx: &mut Context<'_>, view: &View<'_>, event: KeeperEvent) {
+    pub(crate) fn handle(&mut self, cx: &mut Context<'_>, view: &View<'_>, event: LeaderEvent) {
         let mut acts = Vec::new();
         self.keeper.handle(cx.now, event, &mut acts);
         for act in acts {
@@ -160,26 +160,26 @@
         }
     }
 
-    fn carry_out(&mut self, cx: &mut Context<'_>, view: &View<'_>, act: KeeperAction) {
+    fn carry_out(&mut self, cx: &mut Context<'_>, view: &View<'_>, act: LeaderAction) {
         match act {
-            KeeperAction::Record { id, entry } => {
+            LeaderAction::Record { id, entry } => {
                 let acts = self.scope.propose(cx, id, encode(&entry));
                 self.take(cx, view, acts);
             }
-            KeeperAction::Order { upstream, order, send_by } => {
+            LeaderAction::Order { upstream, order, send_by } => {
                 let Some(known) = view.document.upstreams.get(&upstream) else { return };
                 let timeout = cx.settings.order_timeout;
                 let (addr, token) = (known.addr.clone(), known.order_token);
                 log_order(cx, &upstream, &order);
                 cx.act(Action::Order { upstream, addr, order, token, timeout, send_by });
             }
-            KeeperAction::AskState(upstream) => {
+            LeaderAction::ReadState(upstream) => {
                 let Some(known) = view.document.upstreams.get(&upstream) else { return };
                 let addr = known.addr.clone();
                 cx.act(Action::AskState { upstream, addr });
             }
-            KeeperAction::Placement(engines) => self.publish(cx, view, engines),
-            KeeperAction::LostEngines(engines) => {
+            LeaderAction::Placement(engines) => self.publish(cx, view, engines),
+            LeaderAction::UnreachableEngines(engines) => {
                 if engines != self.lost_engines {
                     log_lost(cx, &engines);
                     self.lost_engines = engines;
@@ -218,25 +218,25 @@
     fn take(&mut self, cx: &mut Context<'_>, view: &View<'_>, acts: Vec<ClaimAction>) {
         for act in acts {
             match act {
-                ClaimAction::Gained(term) => {
+                ClaimAction::LeaseAcquired(term) => {
                     self.term = Some(term);
                     self.number = 0;
-                    self.handle(cx, view, KeeperEvent::Gained(term));
+                    self.handle(cx, view, LeaderEvent::LeaseAcquired(term));
                 }
-                ClaimAction::Lost(_) => {
+                ClaimAction::LeaseLost(_) => {
                     self.term = None;
-                    self.handle(cx, view, KeeperEvent::Lost);
+                    self.handle(cx, view, LeaderEvent::LeaseLost);
                 }
                 ClaimAction::Apply { id, data, .. } => {
-                    if let Some(entry) = decode::<KeeperEntry>(&data) {
-                        self.handle(cx, view, KeeperEvent::Apply { id, entry });
+                    if let Some(entry) = decode::<LeaderEntry>(&data) {
+                        self.handle(cx, view, LeaderEvent::Apply { id, entry });
                     }
                 }
                 ClaimAction::Restore { data, .. } => {
-                    let entries = decode::<Vec<KeeperEntry>>(&data).unwrap_or_default();
-                    self.handle(cx, view, KeeperEvent::Restore(entries));
+                    let entries = decode::<Vec<LeaderEntry>>(&data).unwrap_or_default();
+                    self.handle(cx, view, LeaderEvent::Restore(entries));
                 }
-                ClaimAction::Dropped { id } => self.handle(cx, view, KeeperEvent::Dropped(id)),
+                ClaimAction::Dropped { id } => self.handle(cx, view, LeaderEvent::Dropped(id)),
                 ClaimAction::SnapshotDue => {
                     let data = encode(&self.keeper.snapshot());
                     let acts = self.scope.snapshot(cx, data);
@@ -247,7 +247,7 @@
                     let acts = self.scope.begin_empty(cx);
                     self.take(cx, view, acts);
                 }
-                ClaimAction::HolderChanged(_) | ClaimAction::Append { .. } => {}
+                ClaimAction::LeaderChanged(_) | ClaimAction::Append { .. } => {}
             }
         }
     }
--- a/crates/node/src/keys/mod.rs
+++ b/crates/node/src/keys/mod.rs
@@ -280,8 +280,8 @@
     ) {
         for act in acts {
             let event = match act {
-                ClaimAction::Gained(term) => ShardEvent::Gained(term),
-                ClaimAction::Lost(_) => ShardEvent::Lost,
+                ClaimAction::LeaseAcquired(term) => ShardEvent::Gained(term),
+                ClaimAction::LeaseLost(_) => ShardEvent::Lost,
                 ClaimAction::Apply { offset, term, id, data } => {
                     ShardEvent::Apply { offset, term, id, data }
                 }
@@ -296,7 +296,7 @@
                     self.take_claim(cx, view, number, acts);
                     continue;
                 }
-                ClaimAction::HolderChanged(_) | ClaimAction::Append { .. } => continue,
+                ClaimAction::LeaderChanged(_) | ClaimAction::Append { .. } => continue,
             };
             self.tell(cx, view, number, event);
         }
--- a/crates/node/src/machine/messages.rs
+++ b/crates/node/src/machine/messages.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hgw_placement::KeeperEvent;
+use hgw_placement::LeaderEvent;
 use hgw_types::{NodeId, Time};
 use hgw_wire::peer::{Message, Placement};
 
@@ -38,7 +38,7 @@
             Message::Placement(placement) => self.on_placement(now, from, placement, out),
             Message::AskPlacement => self.keeper.send_whole(&mut context!(self, now, out), from),
             Message::Demand(demand) => {
-                let event = KeeperEvent::Demand(demand);
+                let event = LeaderEvent::Demand(demand);
                 self.keeper.handle(&mut context!(self, now, out), &view!(self), event);
             }
             Message::LostEngines(domain, engines) => {
--- a/crates/node/src/machine/peers.rs
+++ b/crates/node/src/machine/peers.rs
@@ -1,5 +1,5 @@
 use hgw_membership::Member;
-use hgw_placement::KeeperEvent;
+use hgw_placement::LeaderEvent;
 use hgw_types::{DomainId, NodeId, Time};
 use hgw_wire::peer::Heartbeat;
 use hgw_wire::platform::VmList;
@@ -105,7 +105,7 @@
             hgw_events::emit(hgw_events::Event::UpstreamLeaving, &fields);
             self.told_leaving.clone_from(&leaving);
         }
-        let event = KeeperEvent::Leaving(leaving.into_iter().collect());
+        let event = LeaderEvent::Leaving(leaving.into_iter().collect());
         self.keeper.handle(&mut context!(self, now, out), &view!(self), event);
     }
 }
--- a/crates/node/src/planner/mod.rs
+++ b/crates/node/src/planner/mod.rs
@@ -166,10 +166,12 @@
                     changed = self.take(cx, acts).or(changed);
                 }
                 // A refused proposal, or a new term, is followed by a fresh one.
-                ClaimAction::Dropped { .. } | ClaimAction::Gained(_) | ClaimAction::Lost(_) => {
+                ClaimAction::Dropped { .. }
+                | ClaimAction::LeaseAcquired(_)
+                | ClaimAction::LeaseLost(_) => {
                     self.proposed = None;
                 }
-                ClaimAction::HolderChanged(_) | ClaimAction::Append { .. } => {}
+                ClaimAction::LeaderChanged(_) | ClaimAction::Append { .. } => {}
             }
         }
         changed
--- a/crates/node/src/scope/mod.rs
+++ b/crates/node/src/scope/mod.rs
@@ -47,11 +47,11 @@
     }
 
     pub(crate) fn held(&self) -> Option<Term> {
-        self.claim.held()
+        self.claim.leader_term()
     }
 
     pub(crate) fn holder(&self) -> Option<&NodeId> {
-        self.claim.holder().map(|h| &h.node)
+        self.claim.leader().map(|h| &h.node)
     }
 
     /// Takes the answer to a read of the stream.
@@ -162,8 +162,8 @@
         let mut rest = Vec::new();
         for act in acts {
             match &act {
-                ClaimAction::Gained(term) => self.log_term(cx, self.events.gained, *term),
-                ClaimAction::Lost(term) => self.log_term(cx, self.events.lost, *term),
+                ClaimAction::LeaseAcquired(term) => self.log_term(cx, self.events.gained, *term),
+                ClaimAction::LeaseLost(term) => self.log_term(cx, self.events.lost, *term),
                 _ => {}
             }
             match act {
--- a/crates/once/tests/properties.rs
+++ b/crates/once/tests/properties.rs
@@ -213,18 +213,18 @@
                     self.tell_claim(node, claim::Event::Appended { id, outcome }, fate);
                     continue;
                 }
-                claim::Action::Gained(term) => {
+                claim::Action::LeaseAcquired(term) => {
                     self.latest = self.latest.max(Some(term));
                     Event::Gained(term)
                 }
-                claim::Action::Lost(_) => Event::Lost,
+                claim::Action::LeaseLost(_) => Event::Lost,
                 claim::Action::Apply { offset, term, id, data } => {
                     Event::Apply { offset, term, id, data }
                 }
                 claim::Action::Restore { data, .. } => Event::Restore(data),
                 claim::Action::Dropped { id } => Event::Dropped(id),
                 claim::Action::SnapshotDue => Event::SnapshotDue,
-                claim::Action::HolderChanged(_) | claim::Action::NoSnapshot => continue,
+                claim::Action::LeaderChanged(_) | claim::Action::NoSnapshot => continue,
             };
             self.tell_shard(node, event, fate);
         }
@@ -262,7 +262,7 @@
             Reply::Answer(data) => assert_eq!(Some(data), run.map(|run| answer(*run)).as_ref()),
             Reply::NotRun { .. } | Reply::NotOwner => {
                 assert_ne!(run, Some(&attempt), "the caller is told that it did not run");
-                let latest = self.nodes[node].reader.claim.held() == self.latest;
+                let latest = self.nodes[node].reader.claim.leader_term() == self.latest;
                 let not_run = matches!(reply, Reply::NotRun { .. });
                 if not_run && latest {
                     assert_eq!(run, None, "{attempt} is told that its key was not run");
@@ -280,7 +280,7 @@
         }
         self.run_well();
         assert!(self.open.is_empty(), "never answered: {:?}", self.open);
-        let owner = (0..NODES).find(|node| self.nodes[*node].reader.claim.held().is_some());
+        let owner = (0..NODES).find(|node| self.nodes[*node].reader.claim.leader_term().is_some());
         // Where every node has started anew since the last snapshot was trimmed, none may own.
         let Some(owner) = owner else { return };
         self.call(owner, 99, Fate::Stored);
@@ -294,7 +294,7 @@
             for node in 0..NODES {
                 self.run(Step::Read(node, 100), Fate::Stored);
                 let mut nodes = self.nodes.iter();
-                let holder_alive = nodes.any(|node| node.reader.claim.held().is_some());
+                let holder_alive = nodes.any(|node| node.reader.claim.leader_term().is_some());
                 let event = claim::Event::Standing { preferred: node == 0, holder_alive };
                 self.tell_claim(node, event, Fate::Stored);
             }
--- a/crates/once/tests/takeover.rs
+++ b/crates/once/tests/takeover.rs
@@ -111,15 +111,15 @@
                     }
                     continue;
                 }
-                claim::Action::Gained(term) => Event::Gained(term),
-                claim::Action::Lost(_) => Event::Lost,
+                claim::Action::LeaseAcquired(term) => Event::Gained(term),
+                claim::Action::LeaseLost(_) => Event::Lost,
                 claim::Action::Apply { offset, term, id, data } => {
                     Event::Apply { offset, term, id, data }
                 }
                 claim::Action::Restore { data, .. } => Event::Restore(data),
                 claim::Action::Dropped { id } => Event::Dropped(id),
                 claim::Action::SnapshotDue => Event::SnapshotDue,
-                claim::Action::HolderChanged(_) | claim::Action::NoSnapshot => continue,
+                claim::Action::LeaderChanged(_) | claim::Action::NoSnapshot => continue,
             };
             match &event {
                 Event::Gained(term) => self.show(node, &format!("gained, term {term}")),
--- a/crates/placement/src/api.rs
+++ b/crates/placement/src/api.rs
@@ -18,7 +18,7 @@
 
 /// An entry that the leader of a failure domain appends to its log stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum KeeperEntry {
+pub enum LeaderEntry {
     /// Recorded before the leader sends an order that can increase memory use to an engine that
     /// ignores fencing tokens.
     Intent {
@@ -52,26 +52,26 @@
 
 /// Input of the leader.
 #[derive(Debug, Clone)]
-pub enum KeeperEvent {
+pub enum LeaderEvent {
     Config {
         version: Offset,
         document: Arc<Document>,
     },
     Floor(Floor),
     /// This node became leader; all entries before its claim have been applied.
-    Gained(Term),
+    LeaseAcquired(Term),
     /// This node is no longer leader and must send no more orders.
-    Lost,
+    LeaseLost,
     /// A valid log entry, written by this or another leader.
     Apply {
         id: RecordId,
-        entry: KeeperEntry,
+        entry: LeaderEntry,
     },
     /// A snapshot of the open intents, which replaces all entries applied before.
-    Restore(Vec<KeeperEntry>),
+    Restore(Vec<LeaderEntry>),
     /// An entry from this node that will never be applied.
     Dropped(RecordId),
-    /// Answer to [`KeeperAction::AskState`].
+    /// Answer to [`LeaderAction::ReadState`].
     State {
         upstream: UpstreamId,
         /// When the state was requested.
@@ -79,7 +79,7 @@
         /// `None` if the engine did not respond.
         state: Option<EngineState>,
     },
-    /// Answer to [`KeeperAction::Order`].
+    /// Answer to [`LeaderAction::Order`].
     Answer {
         order: RecordId,
         result: OrderResult,
@@ -95,9 +95,9 @@
 
 /// Output of the leader.
 #[derive(Debug, Clone, PartialEq)]
-pub enum KeeperAction {
+pub enum LeaderAction {
     /// Append this entry to the log stream.
-    Record { id: RecordId, entry: KeeperEntry },
+    Record { id: RecordId, entry: LeaderEntry },
     Order {
         upstream: UpstreamId,
         order: Order,
@@ -107,9 +107,9 @@
         send_by: Time,
     },
     /// Read the engine's state.
-    AskState(UpstreamId),
+    ReadState(UpstreamId),
     /// Ready items of the engines for which they changed.
     Placement(IndexMap<UpstreamId, Holding>),
     /// All unreachable engines, sent when the list changes.
-    LostEngines(Vec<UpstreamId>),
+    UnreachableEngines(Vec<UpstreamId>),
 }
--- a/crates/placement/src/demand/capacity.rs
+++ b/crates/placement/src/demand/capacity.rs
@@ -17,21 +17,21 @@
 
 impl Capacity {
     pub(super) fn new(engines: &[EngineView], seen: &DemandEstimate, fill: f64) -> Self {
-        let mut holders: IndexMap<ModelId, Vec<UpstreamId>> = IndexMap::new();
+        let mut engines_by_model: IndexMap<ModelId, Vec<UpstreamId>> = IndexMap::new();
         for e in engines {
             for held in &e.models {
-                holders.entry(held.model.clone()).or_default().push(e.upstream.clone());
+                engines_by_model.entry(held.model.clone()).or_default().push(e.upstream.clone());
             }
         }
         let spare = |e: &EngineView| {
             // Includes unmet requests, since `busy` counts only requests that were served.
             let wanted = |m: &ModelId| seen.load(m) + seen.unmet(m) * seen.service(m);
-            let share = |m: &ModelId| wanted(m) / holders[m].len() as f64;
+            let share = |m: &ModelId| wanted(m) / engines_by_model[m].len() as f64;
             let used: f64 = e.models.iter().map(|h| share(&h.model)).sum();
             (e.upstream.clone(), (f64::from(e.slots) * fill - used).max(0.0))
         };
         let spare = engines.iter().map(spare).collect();
-        Capacity { spare, engines_by_model: holders, engines_with_move: IndexSet::new() }
+        Capacity { spare, engines_by_model, engines_with_move: IndexSet::new() }
     }
 
     pub(super) fn spare(&self, upstream: &UpstreamId) -> f64 {
--- a/crates/placement/src/keeper/drain.rs
+++ b/crates/placement/src/leader/drain.rs
@@ -6,11 +6,11 @@
 
 use hgw_types::{ModelId, Time, UpstreamId};
 
-use super::Keeper;
+use super::Leader;
 use super::engine::{Drain, Engine};
-use crate::{Item, KeeperAction};
+use crate::{Item, LeaderAction};
 
-impl Keeper {
+impl Leader {
     /// Withdraws items that are not in the configuration, old versions once the new ones serve, and
     /// all but one old version of a model on the same engine.
     pub(super) fn plan_retirement(&mut self, now: Time) {
@@ -96,7 +96,7 @@
         is_old(&item) && kept.is_some_and(|kept| kept != item)
     }
 
-    pub(super) fn evict_drained(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
+    pub(super) fn evict_drained(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         for id in self.usable() {
             let Some(e) = self.engines.get(&id) else { continue };
             if now < e.paused_until {
--- a/crates/placement/src/keeper/engine.rs
+++ b/crates/placement/src/leader/engine.rs
@@ -5,7 +5,7 @@
 use hgw_wire::upstream::EngineState;
 use indexmap::IndexMap;
 
-use crate::{Item, Ledger, Reading};
+use crate::{Item, Ledger, StateOutcome};
 
 /// Progress of taking over an engine after a leader change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -160,9 +160,9 @@
             return;
         }
         match self.ledger.read(asked, state) {
-            Reading::Stale => return,
-            Reading::Taken => {}
-            Reading::Restarted => self.drains.clear(),
+            StateOutcome::Stale => return,
+            StateOutcome::Applied => {}
+            StateOutcome::Restarted => self.drains.clear(),
         }
         let held = self.ledger.held();
         self.drains.retain(|item, _| held.contains_key(item));
--- a/crates/placement/src/keeper/engine_state.rs
+++ b/crates/placement/src/leader/engine_state.rs
@@ -3,12 +3,12 @@
 use hgw_types::{Term, Time, UpstreamId};
 use hgw_wire::upstream::{EngineState, OrderKind, OrderOutcome};
 
-use super::Keeper;
+use super::Leader;
 use super::engine::Phase;
-use crate::{KeeperAction, OrderResult};
+use crate::{LeaderAction, OrderResult};
 
-impl Keeper {
-    pub(super) fn poll(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
+impl Leader {
+    pub(super) fn poll(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         let mut fences = Vec::new();
         for (id, engine) in self.engines.iter_mut().filter(|(_, e)| e.configured) {
             match engine.phase {
@@ -20,7 +20,7 @@
                         .is_some_and(|asked| now.since(asked) < self.settings.ask_timeout);
                     if !waits && now >= engine.next_read {
                         engine.pending_read = Some(now);
-                        out.push(KeeperAction::AskState(id.clone()));
+                        out.push(LeaderAction::ReadState(id.clone()));
                     }
                 }
             }
@@ -30,7 +30,7 @@
         }
     }
 
-    fn send_fence(&mut self, now: Time, engine: &UpstreamId, out: &mut Vec<KeeperAction>) {
+    fn send_fence(&mut self, now: Time, engine: &UpstreamId, out: &mut Vec<LeaderAction>) {
         if let Some(e) = self.engines.get_mut(engine) {
             e.phase = Phase::Fence(Time::MAX);
         }
--- a/crates/placement/src/keeper/floor_eviction.rs
+++ b/crates/placement/src/leader/floor_eviction.rs
@@ -10,18 +10,18 @@
 
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 
-use super::Keeper;
+use super::Leader;
 use super::load_requests::{Cause, LoadRequest};
 use super::plan::Plan;
-use crate::{Item, KeeperAction};
+use crate::{Item, LeaderAction};
 
-impl Keeper {
+impl Leader {
     pub(super) fn free_memory_for_floor(
         &mut self,
         now: Time,
         unmet: &[LoadRequest],
         plan: &mut Plan,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) {
         let mut waiting = std::mem::take(&mut self.no_room);
         for want in unmet {
--- a/crates/placement/src/keeper/load_requests.rs
+++ b/crates/placement/src/leader/load_requests.rs
@@ -3,7 +3,7 @@
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 use indexmap::IndexSet;
 
-use super::Keeper;
+use super::Leader;
 use crate::Item;
 
 /// Why an engine should load an item, in order of priority.
@@ -50,7 +50,7 @@
     coming: IndexSet<Item>,
 }
 
-impl Keeper {
+impl Leader {
     /// Whether loads may be ordered on the engine.
     pub(super) fn is_usable(&self, engine: &UpstreamId) -> bool {
         self.engines.get(engine).is_some_and(|e| e.is_counted()) && !self.is_leaving(engine)
--- a/crates/placement/src/keeper/mod.rs
+++ b/crates/placement/src/leader/mod.rs
@@ -24,9 +24,9 @@
 use hgw_wire::peer::Holding;
 use indexmap::{IndexMap, IndexSet};
 
-pub use settings::{KeeperSettings, SEND_WINDOW};
+pub use settings::{LeaderSettings, SEND_WINDOW};
 
-use crate::{DemandPlanner, DemandSettings, KeeperAction, KeeperEntry, KeeperEvent, Shares};
+use crate::{DemandPlanner, DemandSettings, LeaderAction, LeaderEntry, LeaderEvent, Shares};
 use domain::Domain;
 use engine::Engine;
 use intents::Intents;
@@ -35,8 +35,8 @@
 
 /// The leader of one failure domain.
 #[derive(Debug)]
-pub struct Keeper {
-    settings: KeeperSettings,
+pub struct Leader {
+    settings: LeaderSettings,
     boot: u64,
     seq: u64,
     domain: Domain,
@@ -69,11 +69,11 @@
     published_lost: Option<Vec<UpstreamId>>,
 }
 
-impl Keeper {
+impl Leader {
     /// Creates a leader without the lease. `boot` is a random number of this process that makes its
     /// ids unique.
-    pub fn new(settings: KeeperSettings, domain: DomainId, boot: u64) -> Keeper {
-        Keeper {
+    pub fn new(settings: LeaderSettings, domain: DomainId, boot: u64) -> Leader {
+        Leader {
             settings,
             boot,
             seq: 0,
@@ -102,27 +102,27 @@
     }
 
     /// Handles one event and appends the resulting actions to `out`. `now` must not decrease.
-    pub fn handle(&mut self, now: Time, event: KeeperEvent, out: &mut Vec<KeeperAction>) {
+    pub fn handle(&mut self, now: Time, event: LeaderEvent, out: &mut Vec<LeaderAction>) {
         let every = match event {
-            KeeperEvent::Tick => self.settings.plan_idle,
+            LeaderEvent::Tick => self.settings.plan_idle,
             _ => self.settings.plan_busy,
         };
         match event {
-            KeeperEvent::Config { version, document } => self.configure(now, version, document),
-            KeeperEvent::Floor(floor) => self.domain.set_floor(floor),
-            KeeperEvent::Gained(term) => self.gain(now, term),
-            KeeperEvent::Lost => self.lose(),
-            KeeperEvent::Apply { id, entry } => self.apply(now, id, entry, out),
-            KeeperEvent::Restore(entries) => self.intents.restore(entries),
-            KeeperEvent::Dropped(id) => self.dropped(now, id),
-            KeeperEvent::State { upstream, asked, state } => {
+            LeaderEvent::Config { version, document } => self.configure(now, version, document),
+            LeaderEvent::Floor(floor) => self.domain.set_floor(floor),
+            LeaderEvent::LeaseAcquired(term) => self.gain(now, term),
+            LeaderEvent::LeaseLost => self.lose(),
+            LeaderEvent::Apply { id, entry } => self.apply(now, id, entry, out),
+            LeaderEvent::Restore(entries) => self.intents.restore(entries),
+            LeaderEvent::Dropped(id) => self.dropped(now, id),
+            LeaderEvent::State { upstream, asked, state } => {
                 self.take_state(now, &upstream, asked, state.as_ref());
             }
-            KeeperEvent::Answer { order, result } => self.answered(now, order, &result),
-            KeeperEvent::Demand(demand) => self.take_demand(now, &demand),
-            KeeperEvent::Leaving(leaving) => self.leaving = leaving,
-            KeeperEvent::LogUp(up) => self.log_up = up,
-            KeeperEvent::Tick => {}
+            LeaderEvent::Answer { order, result } => self.answered(now, order, &result),
+            LeaderEvent::Demand(demand) => self.take_demand(now, &demand),
+            LeaderEvent::Leaving(leaving) => self.leaving = leaving,
+            LeaderEvent::LogUp(up) => self.log_up = up,
+            LeaderEvent::Tick => {}
         }
         if self.term.is_some() {
             self.step(now, every, out);
@@ -130,7 +130,7 @@
     }
 
     /// The open intents, which a snapshot of the log stream must contain.
-    pub fn snapshot(&self) -> Vec<KeeperEntry> {
+    pub fn snapshot(&self) -> Vec<LeaderEntry> {
         self.intents.snapshot()
     }
 
@@ -216,7 +216,7 @@
     ///
     /// Planning looks at all engines while events arrive many times a second, so it runs at most
     /// once per `every`.
-    fn step(&mut self, now: Time, every: Duration, out: &mut Vec<KeeperAction>) {
+    fn step(&mut self, now: Time, every: Duration, out: &mut Vec<LeaderAction>) {
         self.poll(now, out);
         self.close_orders(now, out);
         self.repeat_orders(now, out);
--- a/crates/placement/src/keeper/orders.rs
+++ b/crates/placement/src/leader/orders.rs
@@ -13,8 +13,8 @@
 use hgw_wire::upstream::{Order, OrderKind, OrderOutcome};
 
 use super::settings::successor_wait;
-use super::{Keeper, SEND_WINDOW};
-use crate::{Item, KeeperAction, KeeperEntry, OrderResult, ReserveError};
+use super::{Leader, SEND_WINDOW};
+use crate::{Item, LeaderAction, LeaderEntry, OrderResult, ReserveError};
 
 /// An order of this leader without a final result.
 #[derive(Debug)]
@@ -37,14 +37,14 @@
     Again(Time),
 }
 
-impl Keeper {
+impl Leader {
     /// Issues an order, after reserving the memory that it can use.
     pub(super) fn issue_order(
         &mut self,
         now: Time,
         engine: &UpstreamId,
         kind: OrderKind,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) -> crate::ledger::Result<RecordId> {
         let id = self.next_id();
         let grows = Item::loaded_by(&kind).is_some();
@@ -67,7 +67,7 @@
         engine: &UpstreamId,
         order: RecordId,
         kind: OrderKind,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) {
         let (upstream, stage) = (engine.clone(), Stage::Recording);
         self.orders_in_flight
@@ -84,7 +84,7 @@
         engine: &UpstreamId,
         order: RecordId,
         kind: OrderKind,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) {
         if self.domain.refuses(engine) {
             self.send_unrecorded(now, engine, order, kind, out);
@@ -104,7 +104,7 @@
         order: RecordId,
         record: RecordId,
         kind: OrderKind,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) {
         let Some(e) = self.engines.get(engine) else { return };
         let late_order_ms = u64::try_from(e.late.as_millis()).unwrap_or(u64::MAX);
@@ -117,8 +117,8 @@
             until: Some(now + SEND_WINDOW),
         };
         self.orders_in_flight.insert(order, flight);
-        let entry = KeeperEntry::Intent { upstream, generation, order, kind, late_order_ms };
-        out.push(KeeperAction::Record { id: record, entry });
+        let entry = LeaderEntry::Intent { upstream, generation, order, kind, late_order_ms };
+        out.push(LeaderAction::Record { id: record, entry });
     }
 
     /// Finds the order that waits for this record.
@@ -138,7 +138,7 @@
         self.items_in_flight_to(engine).any(|i| i == *item)
     }
 
-    fn send(&mut self, now: Time, id: RecordId, out: &mut Vec<KeeperAction>) {
+    fn send(&mut self, now: Time, id: RecordId, out: &mut Vec<LeaderAction>) {
         let (Some(fence), Some(flight)) = (self.term, self.orders_in_flight.get_mut(&id)) else {
             return;
         };
@@ -155,7 +155,7 @@
             e.ledger.sending(id);
         }
         let order = Order { id, fence, kind: flight.kind.clone() };
-        out.push(KeeperAction::Order { upstream: flight.upstream.clone(), order, send_by });
+        out.push(LeaderAction::Order { upstream: flight.upstream.clone(), order, send_by });
     }
 
     /// Stops sending the order. Copies already sent still count.
@@ -172,8 +172,8 @@
         &mut self,
         now: Time,
         id: RecordId,
-        entry: KeeperEntry,
-        out: &mut Vec<KeeperAction>,
+        entry: LeaderEntry,
+        out: &mut Vec<LeaderAction>,
     ) {
         self.intents.apply(entry);
         self.settling.take_if(|record| *record == id);
@@ -219,7 +219,7 @@
     }
 
     /// Retries orders without a response, if they are still needed and may still be sent.
-    pub(super) fn repeat_orders(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
+    pub(super) fn repeat_orders(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         let due = |f: &OrderInFlight| matches!(f.stage, Stage::Again(t) if now >= t);
         let due: Vec<RecordId> =
             self.orders_in_flight.iter().filter(|(_, f)| due(f)).map(|(id, _)| *id).collect();
@@ -252,7 +252,7 @@
     /// An engine removed from the configuration before this term has no ledger and is not read. Its
     /// intents are settled after the successor's wait for the recorded bound; otherwise they would
     /// stay in every snapshot. They count if the engine is added again before that.
-    pub(super) fn close_orders(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
+    pub(super) fn close_orders(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         self.engines.values_mut().for_each(|e| e.ledger.expire(now));
         if self.settling.is_some() || !self.log_up {
             return;
@@ -271,7 +271,7 @@
         }
         let id = self.next_id();
         self.settling = Some(id);
-        out.push(KeeperAction::Record { id, entry: KeeperEntry::Settled { orders } });
+        out.push(LeaderAction::Record { id, entry: LeaderEntry::Settled { orders } });
     }
 
     /// Number of orders to the engine that are being recorded, sent or retried.
--- a/crates/placement/src/keeper/plan.rs
+++ b/crates/placement/src/leader/plan.rs
@@ -8,9 +8,9 @@
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 use indexmap::{IndexMap, IndexSet};
 
-use super::Keeper;
+use super::Leader;
 use super::load_requests::{Cause, LoadRequest};
-use crate::{Item, KeeperAction};
+use crate::{Item, LeaderAction};
 
 /// Resources assigned so far in one plan.
 #[derive(Debug, Default)]
@@ -29,8 +29,8 @@
     }
 }
 
-impl Keeper {
-    pub(super) fn plan_loads(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
+impl Leader {
+    pub(super) fn plan_loads(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         let settings = &self.settings;
         self.adapters.retain(|_, asked| now.since(*asked) < settings.adapter_want);
         self.missing.retain(|_, asked| now.since(*asked) < settings.missing_want);
@@ -65,7 +65,7 @@
         model: &ModelId,
         cause: Cause,
         plan: &mut Plan,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) {
         let usable = self.usable();
         let mut wants: Vec<LoadRequest> =
@@ -84,7 +84,7 @@
         now: Time,
         want: &LoadRequest,
         plan: &mut Plan,
-        out: &mut Vec<KeeperAction>,
+        out: &mut Vec<LeaderAction>,
     ) -> bool {
         let Some(engine) = self.engines.get(&want.engine) else { return false };
         if let Some((order, size)) = engine.ledger.repeatable(&want.item) {
--- a/crates/placement/src/keeper/publish.rs
+++ b/crates/placement/src/leader/publish.rs
@@ -4,16 +4,16 @@
 use hgw_wire::peer::Holding;
 use indexmap::IndexMap;
 
-use super::Keeper;
-use crate::{Item, KeeperAction};
+use super::Leader;
+use crate::{Item, LeaderAction};
 
-impl Keeper {
+impl Leader {
     /// Publishes changes.
     ///
     /// The first placement of a term waits, up to a limit, until all engines are read or found
     /// unreachable. It replaces the previous leader's placement, and callers must not lose routes
     /// to engines that have not been read yet.
-    pub(super) fn publish(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
+    pub(super) fn publish(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         let waited = now.since(self.gained) >= self.settings.first_publish;
         if self.first_published.is_none() && !self.is_complete() && !waited {
             return;
@@ -32,12 +32,12 @@
             }
         }
         if !changed.is_empty() {
-            out.push(KeeperAction::Placement(changed));
+            out.push(LeaderAction::Placement(changed));
         }
         let lost = self.lost();
         if self.is_complete() && self.published_lost.as_ref() != Some(&lost) {
             self.published_lost = Some(lost.clone());
-            out.push(KeeperAction::LostEngines(lost));
+            out.push(LeaderAction::UnreachableEngines(lost));
         }
     }
 
--- a/crates/placement/src/keeper/replicas.rs
+++ b/crates/placement/src/leader/replicas.rs
@@ -3,10 +3,10 @@
 use hgw_types::{Time, UpstreamId};
 use hgw_wire::peer::Demand;
 
-use super::Keeper;
+use super::Leader;
 use crate::{EngineView, HeldView, Item};
 
-impl Keeper {
+impl Leader {
     pub(super) fn take_demand(&mut self, now: Time, demand: &[Demand]) {
         if self.term.is_none() {
             return;
--- a/crates/placement/src/keeper/settings.rs
+++ b/crates/placement/src/leader/settings.rs
@@ -8,7 +8,7 @@
 
 /// Delays and limits of the leader.
 #[derive(Debug, Clone)]
-pub struct KeeperSettings {
+pub struct LeaderSettings {
     /// Minimum time between plans while events arrive.
     pub plan_busy: Duration,
     /// Time between plans without events.
@@ -51,9 +51,9 @@
     pub swap_only: Duration,
 }
 
-impl Default for KeeperSettings {
+impl Default for LeaderSettings {
     fn default() -> Self {
-        KeeperSettings {
+        LeaderSettings {
             plan_busy: Duration::from_millis(20),
             plan_idle: Duration::from_millis(200),
             poll_busy: Duration::from_millis(500),
--- a/crates/placement/src/ledger/mod.rs
+++ b/crates/placement/src/ledger/mod.rs
@@ -39,7 +39,7 @@
 
 /// An item in an engine's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct LoadedItem {
     pub size: MemSize,
     /// Whether it accepts requests.
     pub ready: bool,
@@ -56,7 +56,7 @@
     reported: Option<MemSize>,
     generation: Option<Generation>,
     asked: Option<Time>,
-    held: IndexMap<Item, Held>,
+    held: IndexMap<Item, LoadedItem>,
     orders: IndexMap<RecordId, Pending>,
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Items known to be loaded or loading.
-    pub fn held(&self) -> &IndexMap<Item, Held> {
+    pub fn held(&self) -> &IndexMap<Item, LoadedItem> {
         &self.held
     }
 
@@ -211,7 +211,7 @@
                     // A previous leader's order may have been executed and undone long ago, and the
                     // engine still responds `Done`. Only a read shows whether the item is there.
                     let ready = !pending.inherited;
-                    let held = Held { size: pending.size, ready, active: 0, seen: now };
+                    let held = LoadedItem { size: pending.size, ready, active: 0, seen: now };
                     self.held.insert(pending.item.clone(), held);
                 }
             }
@@ -224,9 +224,9 @@
     ///
     /// A state requested before an item was observed does not remove it, since the engine may have
     /// responded before the item was loaded.
-    pub fn read(&mut self, asked: Time, state: &EngineState) -> Reading {
+    pub fn read(&mut self, asked: Time, state: &EngineState) -> StateOutcome {
         if self.asked.is_some_and(|t| asked <= t) {
-            return Reading::Stale;
+            return StateOutcome::Stale;
         }
         let restarted = self.generation.is_some_and(|g| g != state.generation);
         self.asked = Some(asked);
@@ -241,7 +241,7 @@
         self.held.extend(shown);
         let generation = state.generation;
         self.orders.retain(|_, o| o.done_in != Some(generation) || !o.is_over());
-        if restarted { Reading::Restarted } else { Reading::Taken }
+        if restarted { StateOutcome::Restarted } else { StateOutcome::Applied }
     }
 
     /// Releases orders that can no longer take effect by the engine's bound for late orders.
@@ -257,21 +257,21 @@
 
 /// Result of applying a state to the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum StateOutcome {
     /// Ignored: a state requested later has been applied.
     Stale,
-    Taken,
+    Applied,
     /// Applied, and the engine has restarted since the previous state.
     Restarted,
 }
 
-fn shown(asked: Time, state: &EngineState) -> IndexMap<Item, Held> {
+fn shown(asked: Time, state: &EngineState) -> IndexMap<Item, LoadedItem> {
     let models = state.models.iter().map(|m| {
-        let held = Held { size: m.size, ready: m.ready, active: m.active, seen: asked };
+        let held = LoadedItem { size: m.size, ready: m.ready, active: m.active, seen: asked };
         (Item::Model(m.model.clone(), m.version.clone()), held)
     });
     let adapters = state.adapters.iter().map(|a| {
-        let held = Held { size: a.size, ready: a.ready, active: 0, seen: asked };
+        let held = LoadedItem { size: a.size, ready: a.ready, active: 0, seen: asked };
         (Item::Adapter(a.model.clone(), a.adapter.clone(), a.version.clone()), held)
     });
     models.chain(adapters).collect()
--- a/crates/placement/tests/placement/memory.rs
+++ b/crates/placement/tests/placement/memory.rs
@@ -9,7 +9,7 @@
 
 use assert_matches::assert_matches;
 use hgw_config::Fencing::{self, Ignores, Refuses};
-use hgw_placement::{Item, KeeperEntry, SEND_WINDOW};
+use hgw_placement::{Item, LeaderEntry, SEND_WINDOW};
 use hgw_types::{Generation, MemSize, RecordId, Time};
 
 use crate::support::{Fault, STEP, World, changed, document, id};
@@ -260,7 +260,7 @@
 
 /// An intent recorded without the bound for late orders must never expire.
 fn intent_without_its_bound() {
-    let entry = KeeperEntry::Intent {
+    let entry = LeaderEntry::Intent {
         upstream: id("e1"),
         generation: Generation(1),
         order: RecordId { boot: 1, seq: 1 },
@@ -269,8 +269,8 @@
     };
     let mut old = serde_json::to_value(&entry).expect("an entry");
     old["Intent"].as_object_mut().expect("an intent").remove("late_order_ms");
-    let read: KeeperEntry = serde_json::from_value(old).expect("an entry of before");
-    assert_matches!(read, KeeperEntry::Intent { late_order_ms: u64::MAX, .. });
+    let read: LeaderEntry = serde_json::from_value(old).expect("an entry of before");
+    assert_matches!(read, LeaderEntry::Intent { late_order_ms: u64::MAX, .. });
 }
 
 cases! {
--- a/crates/placement/tests/placement/reach.rs
+++ b/crates/placement/tests/placement/reach.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hgw_config::Fencing::{self, Ignores, Refuses};
-use hgw_placement::{Item, KeeperEvent};
+use hgw_placement::{Item, LeaderEvent};
 use hgw_types::{ModelId, UpstreamId};
 use indexmap::IndexMap;
 
@@ -301,7 +301,7 @@
     cut_off_gives_up_a_replica => cut_off_with_replica();
     leaving_by_configuration => leaving(by_configuration);
     leaving_by_the_platforms_list
-        => leaving(|w, e| w.tell(0, KeeperEvent::Leaving(vec![id(e)])));
+        => leaving(|w, e| w.tell(0, LeaderEvent::Leaving(vec![id(e)])));
     leaving_by_its_own_report => leaving(|w, e| w.engine(e).leaving = true);
     new_version_without_room_for_both => version_change_without_room();
     new_version_next_door => version_change_next_door();
--- a/crates/placement/tests/placement/support/node.rs
+++ b/crates/placement/tests/placement/support/node.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use hgw_placement::{Keeper, KeeperAction, KeeperEntry, KeeperEvent, OrderResult};
+use hgw_placement::{Leader, LeaderAction, LeaderEntry, LeaderEvent, OrderResult};
 use hgw_types::{RecordId, Term, Time, UpstreamId};
 use hgw_wire::peer::Demand;
 use hgw_wire::upstream::{Order, OrderKind};
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Record {
     Claim(usize),
-    Entry { term: Term, id: RecordId, entry: KeeperEntry },
+    Entry { term: Term, id: RecordId, entry: LeaderEntry },
 }
 
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 }
 
 pub(crate) struct Node {
-    pub(crate) keeper: Keeper,
+    pub(crate) keeper: Leader,
     pub(crate) read: usize,
     pub(crate) latest: Option<(Term, usize)>,
     pub(crate) frozen: bool,
@@ -45,12 +45,12 @@
     pub(crate) reads: bool,
     /// Whether it pauses when it is about to send an order that can increase memory use.
     pub(crate) freezes_on_load: bool,
-    pub(crate) hand: Vec<KeeperAction>,
-    pub(crate) inbox: Vec<KeeperEvent>,
+    pub(crate) hand: Vec<LeaderAction>,
+    pub(crate) inbox: Vec<LeaderEvent>,
 }
 
 impl Node {
-    pub(crate) fn new(keeper: Keeper) -> Node {
+    pub(crate) fn new(keeper: Leader) -> Node {
         Node {
             keeper,
             read: 0,
--- a/crates/placement/tests/placement/support/world.rs
+++ b/crates/placement/tests/placement/support/world.rs
@@ -5,7 +5,7 @@
 
 use hgw_config::{Document, Fencing};
 use hgw_placement::{
-    Floor, Item, Keeper, KeeperAction, KeeperEntry, KeeperEvent, KeeperSettings, OrderResult, floor,
+    Floor, Item, Leader, LeaderAction, LeaderEntry, LeaderEvent, LeaderSettings, OrderResult, floor,
 };
 use hgw_types::{Offset, RecordId, Term, Time, UpstreamId};
 use hgw_wire::peer::Demand;
@@ -60,8 +60,8 @@
     /// Starts a new process and returns its index.
     pub(crate) fn add_node(&mut self) -> usize {
         let n = self.nodes.len();
-        let settings = KeeperSettings { settle: Duration::from_millis(500), ..Default::default() };
-        let keeper = Keeper::new(settings, id("d1"), n as u64 + 1);
+        let settings = LeaderSettings { settle: Duration::from_millis(500), ..Default::default() };
+        let keeper = Leader::new(settings, id("d1"), n as u64 + 1);
         self.nodes.push(Node::new(keeper));
         self.tell_config(n);
         n
@@ -69,8 +69,8 @@
 
     fn tell_config(&mut self, node: usize) {
         let (version, document) = (self.floor.config, Arc::clone(&self.document));
-        self.tell(node, KeeperEvent::Config { version, document });
-        self.tell(node, KeeperEvent::Floor(self.floor.clone()));
+        self.tell(node, LeaderEvent::Config { version, document });
+        self.tell(node, LeaderEvent::Floor(self.floor.clone()));
     }
 
     pub(crate) fn configure(&mut self, document: Arc<Document>) {
@@ -94,7 +94,7 @@
     pub(crate) fn set_floor(&mut self, change: impl FnOnce(&mut Floor)) {
         change(&mut self.floor);
         let floor = self.floor.clone();
-        (0..self.nodes.len()).for_each(|n| self.tell(n, KeeperEvent::Floor(floor.clone())));
+        (0..self.nodes.len()).for_each(|n| self.tell(n, LeaderEvent::Floor(floor.clone())));
     }
 
     pub(crate) fn claim(&mut self, node: usize) {
@@ -122,7 +122,7 @@
 
     pub(crate) fn set_log(&mut self, up: bool) {
         self.log_up = up;
-        (0..self.nodes.len()).for_each(|n| self.tell(n, KeeperEvent::LogUp(up)));
+        (0..self.nodes.len()).for_each(|n| self.tell(n, LeaderEvent::LogUp(up)));
     }
 
     pub(crate) fn restart(&mut self, engine: &str) {
@@ -134,7 +134,7 @@
         self.engines.get_mut(&id::<UpstreamId>(engine)).expect("an engine of d1")
     }
 
-    pub(crate) fn tell(&mut self, node: usize, event: KeeperEvent) {
+    pub(crate) fn tell(&mut self, node: usize, event: LeaderEvent) {
         if self.nodes[node].dead {
             return;
         }
@@ -148,8 +148,8 @@
     }
 
     /// Executes an action; a paused node queues it.
-    fn act(&mut self, node: usize, action: KeeperAction) {
-        let grows = |a: &KeeperAction| matches!(a, KeeperAction::Order { order, .. } if Item::loaded_by(&order.kind).is_some());
+    fn act(&mut self, node: usize, action: LeaderAction) {
+        let grows = |a: &LeaderAction| matches!(a, LeaderAction::Order { order, .. } if Item::loaded_by(&order.kind).is_some());
         if self.nodes[node].freezes_on_load && grows(&action) {
             self.nodes[node].freezes_on_load = false;
             self.note(format!("{} stands still with a load in hand", name(node)));
@@ -160,12 +160,12 @@
             return;
         }
         match action {
-            KeeperAction::Record { id, entry } => self.append(node, id, entry),
-            KeeperAction::AskState(upstream) => {
+            LeaderAction::Record { id, entry } => self.append(node, id, entry),
+            LeaderAction::ReadState(upstream) => {
                 let wire = Wire::State { node, upstream, asked: self.now };
                 self.wires.push((self.now + STEP, wire));
             }
-            KeeperAction::Order { upstream, order, send_by } => {
+            LeaderAction::Order { upstream, order, send_by } => {
                 self.note(format!("{} -> {upstream}: {}", name(node), show(&order.kind)));
                 if self.now > send_by {
                     self.note(format!("{} -> {upstream}: too late, not sent", name(node)));
@@ -174,7 +174,7 @@
                 }
                 self.send(node, upstream, order);
             }
-            KeeperAction::Placement(changed) => {
+            LeaderAction::Placement(changed) => {
                 for (upstream, holding) in changed {
                     let models = holding.models.iter().map(|(m, v)| format!("{m}@{v}"));
                     let adapters = holding.adapters.iter().map(|(_, a, v)| format!("+{a}@{v}"));
@@ -182,30 +182,30 @@
                     self.note(format!("{} placement {upstream}: {}", name(node), all.join(" ")));
                 }
             }
-            KeeperAction::LostEngines(lost) => {
+            LeaderAction::UnreachableEngines(lost) => {
                 let lost: Vec<&str> = lost.iter().map(UpstreamId::as_str).collect();
                 self.note(format!("{} lost: [{}]", name(node), lost.join(" ")));
             }
         }
     }
 
-    fn append(&mut self, node: usize, id: RecordId, entry: KeeperEntry) {
+    fn append(&mut self, node: usize, id: RecordId, entry: LeaderEntry) {
         let Some((term, holder)) = self.nodes[node].latest else { return };
         if !self.log_up || holder != node {
-            self.tell_later_event(node, KeeperEvent::Dropped(id));
+            self.tell_later_event(node, LeaderEvent::Dropped(id));
             return;
         }
         let text = match &entry {
-            KeeperEntry::Intent { upstream, kind, .. } => {
+            LeaderEntry::Intent { upstream, kind, .. } => {
                 format!("intent {upstream} {}", show(kind))
             }
-            KeeperEntry::Settled { orders } => format!("settled {}", orders.len()),
+            LeaderEntry::Settled { orders } => format!("settled {}", orders.len()),
         };
         self.note(format!("{} records {text}", name(node)));
         self.log.push(Record::Entry { term, id, entry });
     }
 
-    fn tell_later_event(&mut self, node: usize, event: KeeperEvent) {
+    fn tell_later_event(&mut self, node: usize, event: LeaderEvent) {
         self.nodes[node].inbox.push(event);
     }
 
@@ -236,13 +236,13 @@
     /// Reports callers' requests for an adapter that no engine has.
     pub(crate) fn ask_adapter(&mut self, node: usize, model: &str, adapter: &str) {
         let demand = Demand { adapters: vec![id(adapter)], ..demand(model) };
-        self.tell(node, KeeperEvent::Demand(vec![demand]));
+        self.tell(node, LeaderEvent::Demand(vec![demand]));
     }
 
     /// Reports callers' requests for a model without free replicas.
     pub(crate) fn ask_model(&mut self, node: usize, model: &str) {
         let demand = Demand { urgent: 20, unmet: 20, busy_ms: 8000, ..demand(model) };
-        self.tell(node, KeeperEvent::Demand(vec![demand]));
+        self.tell(node, LeaderEvent::Demand(vec![demand]));
     }
 
     pub(crate) fn run(&mut self, time: Duration) {
@@ -269,7 +269,7 @@
                 let inbox = std::mem::take(&mut self.nodes[node].inbox);
                 inbox.into_iter().for_each(|e| self.tell(node, e));
                 self.read_log(node);
-                self.tell(node, KeeperEvent::Tick);
+                self.tell(node, LeaderEvent::Tick);
             }
         }
     }
@@ -277,12 +277,12 @@
     fn deliver(&mut self, wire: Wire) {
         match wire {
             Wire::Answer { node, order, result } => {
-                self.tell(node, KeeperEvent::Answer { order, result });
+                self.tell(node, LeaderEvent::Answer { order, result });
             }
             Wire::State { node, upstream, asked } => {
                 let engine = &self.engines[&upstream];
                 let state = engine.up.then(|| engine.state(self.now));
-                self.tell(node, KeeperEvent::State { upstream, asked, state });
+                self.tell(node, LeaderEvent::State { upstream, asked, state });
             }
             Wire::Order { node, upstream, order, answered, late } => {
                 let engine = &mut self.engines[&upstream];
@@ -312,18 +312,18 @@
                 Record::Claim(claimer) => {
                     n.latest = Some((Term(offset as u64), claimer));
                     if held {
-                        self.tell(node, KeeperEvent::Lost);
+                        self.tell(node, LeaderEvent::LeaseLost);
                     }
                     if claimer == node {
                         self.note(format!("{} gains term {offset}", name(node)));
-                        self.tell(node, KeeperEvent::Gained(Term(offset as u64)));
+                        self.tell(node, LeaderEvent::LeaseAcquired(Term(offset as u64)));
                     }
                 }
                 Record::Entry { term, id, entry } => {
                     if n.latest.is_some_and(|(latest, _)| latest == term) {
-                        self.tell(node, KeeperEvent::Apply { id, entry });
+                        self.tell(node, LeaderEvent::Apply { id, entry });
                     } else {
-                        self.tell(node, KeeperEvent::Dropped(id));
+                        self.tell(node, LeaderEvent::Dropped(id));
                     }
                 }
             }
