--- a/crates/claim/src/api.rs
+++ b/crates/claim/src/api.rs
@@ -1,3 +1,5 @@
+//! Inputs and outputs of the lease state machine.
+
 use bytes::Bytes;
 use hgw_types::{NodeId, Offset, RecordId, Term};
 
@@ -44,11 +46,11 @@
     /// Whether this node should be leader, and whether the current leader is alive, according to
     /// membership. Affects only when to claim, not safety. Must be sent again after each
     /// [`Action::LeaderChanged`], which discards the previous values.
-    Standing {
+    Membership {
         /// This node is first in the order of live nodes for this scope.
         preferred: bool,
         /// The current leader, if any, is alive.
-        holder_alive: bool,
+        leader_alive: bool,
     },
     Tick,
 }
--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -1,3 +1,5 @@
+//! State machine of one node for the lease of a scope.
+
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -5,10 +7,11 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::outbox::{Outbox, Purpose, Verdict, Waiting};
-use crate::reader::{Read, ReadRecord, Reader};
+use crate::fold::RecordEffect;
+use crate::outbox::{AppendStep, Outbox, Purpose, Waiting};
+use crate::reader::{ReadOutcome, ReadRecord, Reader};
 use crate::record::{Body, Entry, Record, Snapshot};
-use crate::{Action, Event, Leader, Settings, fold};
+use crate::{Action, Event, Leader, Settings};
 
 /// One node's state machine for the lease of a scope: reads the stream, claims the lease, and
 /// appends records as leader.
@@ -23,7 +26,7 @@
     reader: Reader,
     outbox: Outbox,
     leader_term: Option<Term>,
-    standing: Option<Standing>,
+    candidacy: Option<Candidacy>,
     /// Whether the last read succeeded and reached the end of the stream.
     caught_up: bool,
     reported_no_snapshot: bool,
@@ -32,9 +35,9 @@
     release_due: bool,
 }
 
-/// Membership's view of this node, as last received.
+/// Whether and when this node may claim the lease, according to the last membership report.
 #[derive(Debug)]
-struct Standing {
+struct Candidacy {
     preferred: bool,
     /// When this node may claim the lease, unless something changes.
     claim_at: Option<Time>,
@@ -61,7 +64,7 @@
             reader: Reader::new(),
             outbox: Outbox::default(),
             leader_term: None,
-            standing: None,
+            candidacy: None,
             caught_up: false,
             reported_no_snapshot: false,
             snapshot: SnapshotClock::default(),
@@ -91,15 +94,15 @@
             Event::CaughtUp => self.caught_up(out),
             Event::ReadFailed => self.caught_up = false,
             Event::Appended { id, outcome } => {
-                let verdict = self.outbox.answered(now, id, outcome);
-                self.handle_append_step(now, verdict, out);
+                let step = self.outbox.handle_outcome(now, id, outcome);
+                self.handle_append_step(now, step, out);
             }
-            Event::Standing { preferred, holder_alive } => {
-                self.update_standing(now, preferred, holder_alive);
+            Event::Membership { preferred, leader_alive } => {
+                self.update_candidacy(now, preferred, leader_alive);
             }
             Event::Tick => {
-                let verdict = self.outbox.tick(now, &self.cfg);
-                self.handle_append_step(now, verdict, out);
+                let step = self.outbox.tick(now, &self.cfg);
+                self.handle_append_step(now, step, out);
                 let expired = self.outbox.expired(now, &self.cfg);
                 out.extend(expired.into_iter().map(|id| Action::Dropped { id }));
             }
@@ -139,8 +142,8 @@
     /// After [`Action::NoSnapshot`]: assumes that the state before the oldest record was empty,
     /// because its entries have expired for their users too.
     pub fn begin_empty(&mut self, now: Time, out: &mut Vec<Action>) {
-        for judged in self.reader.begin_empty() {
-            self.apply_record(now, judged, out);
+        for record in self.reader.begin_empty() {
+            self.apply_record(now, record, out);
         }
         self.advance(now, out);
     }
@@ -154,32 +157,32 @@
             return;
         };
         match self.reader.read(offset, record, self.cfg.buffered_records) {
-            Read::Judged(judged) => self.apply_record(now, *judged, out),
-            Read::Waiting => {}
-            Read::Restored(snapshot, judged) => {
+            ReadOutcome::Known(record) => self.apply_record(now, *record, out),
+            ReadOutcome::Buffered => {}
+            ReadOutcome::Restored(snapshot, records) => {
                 self.reported_no_snapshot = false;
-                self.standing = None;
+                self.candidacy = None;
                 out.push(Action::Restore { offset, data: snapshot.data });
                 out.push(Action::LeaderChanged(self.leader().cloned()));
-                for judged in judged {
-                    self.apply_record(now, judged, out);
+                for record in records {
+                    self.apply_record(now, record, out);
                 }
             }
         }
     }
 
-    fn apply_record(&mut self, now: Time, judged: ReadRecord, out: &mut Vec<Action>) {
-        let ReadRecord { offset, record, verdict } = judged;
-        self.outbox.read_back(record.id, verdict != fold::Verdict::Void);
-        match (verdict, record.body) {
-            (fold::Verdict::Claimed, _) => self.claimed(now, record.id, out),
-            (fold::Verdict::Released, _) => self.released(now, out),
-            (fold::Verdict::Entries, Body::Entries { term, entries, .. }) => {
+    fn apply_record(&mut self, now: Time, read: ReadRecord, out: &mut Vec<Action>) {
+        let ReadRecord { offset, record, effect } = read;
+        self.outbox.read_back(record.id, effect != RecordEffect::Void);
+        match (effect, record.body) {
+            (RecordEffect::Claimed, _) => self.claimed(now, record.id, out),
+            (RecordEffect::Released, _) => self.released(now, out),
+            (RecordEffect::Entries, Body::Entries { term, entries, .. }) => {
                 self.snapshot.entries += entries.len() as u64;
                 let apply = |Entry { id, data }| Action::Apply { offset, term, id, data };
                 out.extend(entries.into_iter().map(apply));
             }
-            (fold::Verdict::Snapshot, _) => {
+            (RecordEffect::Snapshot, _) => {
                 self.snapshot.entries = 0;
                 self.snapshot.next = now + self.cfg.snapshot_age;
             }
@@ -191,7 +194,7 @@
         self.end_term(true, out);
         out.push(Action::LeaderChanged(self.leader().cloned()));
         // Membership's last report was about the previous leader.
-        self.standing = None;
+        self.candidacy = None;
         if id.boot != self.boot {
             return;
         }
@@ -206,8 +209,8 @@
     fn released(&mut self, now: Time, out: &mut Vec<Action>) {
         self.end_term(true, out);
         out.push(Action::LeaderChanged(None));
-        let preferred = self.standing.as_ref().is_some_and(|standing| standing.preferred);
-        self.update_standing(now, preferred, false);
+        let preferred = self.candidacy.as_ref().is_some_and(|candidacy| candidacy.preferred);
+        self.update_candidacy(now, preferred, false);
     }
 
     /// Ends this node's term. `void` means that records sent but not read back can no longer take
@@ -225,7 +228,7 @@
     }
 
     fn trimmed(&mut self, first: Offset, out: &mut Vec<Action>) {
-        let had_holder = self.leader().is_some();
+        let had_leader = self.leader().is_some();
         if !self.reader.trimmed(first) {
             return;
         }
@@ -233,7 +236,7 @@
         self.reported_no_snapshot = false;
         self.end_term(false, out);
         self.outbox.clear();
-        if had_holder {
+        if had_leader {
             out.push(Action::LeaderChanged(None));
         }
     }
@@ -247,21 +250,21 @@
         }
     }
 
-    fn handle_append_step(&mut self, now: Time, verdict: Verdict, out: &mut Vec<Action>) {
-        match verdict {
-            Verdict::Nothing => {}
-            Verdict::Again(id, data) => out.push(Action::Append { id, data }),
-            Verdict::Refused(Purpose::Entries(ids)) => {
+    fn handle_append_step(&mut self, now: Time, step: AppendStep, out: &mut Vec<Action>) {
+        match step {
+            AppendStep::Wait => {}
+            AppendStep::Resend(id, data) => out.push(Action::Append { id, data }),
+            AppendStep::Rejected(Purpose::Entries(ids)) => {
                 out.extend(ids.into_iter().map(|id| Action::Dropped { id }));
             }
-            Verdict::Refused(Purpose::Claim) => {
+            AppendStep::Rejected(Purpose::Claim) => {
                 let claim_at = now + self.cfg.retry + self.jitter(self.cfg.jitter);
-                if let Some(standing) = &mut self.standing {
-                    standing.claim_at = Some(claim_at);
+                if let Some(candidacy) = &mut self.candidacy {
+                    candidacy.claim_at = Some(claim_at);
                 }
             }
-            Verdict::Refused(Purpose::Snapshot) => self.snapshot.next = now + self.cfg.retry,
-            Verdict::Refused(Purpose::Release) => self.release_due = true,
+            AppendStep::Rejected(Purpose::Snapshot) => self.snapshot.next = now + self.cfg.retry,
+            AppendStep::Rejected(Purpose::Release) => self.release_due = true,
         }
     }
 
@@ -270,13 +273,13 @@
     /// Two nodes may briefly both be preferred, each in its own view. Each waits until that has
     /// lasted for a while plus random jitter, and does not claim if it reads the other's claim
     /// meanwhile.
-    fn update_standing(&mut self, now: Time, preferred: bool, holder_alive: bool) {
+    fn update_candidacy(&mut self, now: Time, preferred: bool, leader_alive: bool) {
         let vacant = self.leader().is_none_or(|leader| leader.node == self.node);
-        let wanted = vacant || !holder_alive;
-        let last = self.standing.as_ref().filter(|standing| standing.preferred == preferred);
-        let last = last.and_then(|standing| standing.claim_at);
-        let claim_at = wanted.then(|| last.unwrap_or_else(|| now + self.claim_delay(preferred)));
-        self.standing = Some(Standing { preferred, claim_at });
+        let may_claim = vacant || !leader_alive;
+        let last = self.candidacy.as_ref().filter(|candidacy| candidacy.preferred == preferred);
+        let last = last.and_then(|candidacy| candidacy.claim_at);
+        let claim_at = may_claim.then(|| last.unwrap_or_else(|| now + self.claim_delay(preferred)));
+        self.candidacy = Some(Candidacy { preferred, claim_at });
     }
 
     /// Returns the delay before a claim.
@@ -288,14 +291,14 @@
         let released = self.leader().is_none() && self.reader.fold.term != Term(0);
         match (preferred, released) {
             (true, true) => self.jitter(self.cfg.jitter),
-            (true, false) => self.cfg.settle + self.jitter(self.cfg.jitter),
-            (false, _) => self.cfg.backup + self.jitter(self.cfg.backup),
+            (true, false) => self.cfg.preferred_delay + self.jitter(self.cfg.jitter),
+            (false, _) => self.cfg.backup_delay + self.jitter(self.cfg.backup_delay),
         }
     }
 
-    fn jitter(&mut self, most: Duration) -> Duration {
-        let most = u64::try_from(most.as_micros()).unwrap_or(u64::MAX);
-        Duration::from_micros(self.rng.random_range(0..=most))
+    fn jitter(&mut self, max: Duration) -> Duration {
+        let max_us = u64::try_from(max.as_micros()).unwrap_or(u64::MAX);
+        Duration::from_micros(self.rng.random_range(0..=max_us))
     }
 
     /// Sends the next append, if one is due and none is in flight.
@@ -308,13 +311,13 @@
             return;
         }
         match self.leader_term {
-            Some(term) => self.write(now, term, out),
+            Some(term) => self.append_next(now, term, out),
             None => self.claim_if_due(now, out),
         }
     }
 
-    fn write(&mut self, now: Time, term: Term, out: &mut Vec<Action>) {
-        self.ask_snapshot(now, out);
+    fn append_next(&mut self, now: Time, term: Term, out: &mut Vec<Action>) {
+        self.request_snapshot_if_due(now, out);
         let seq = self.reader.fold.seq + 1;
         if let Some((covers_seq, covers, data)) = self.snapshot.waiting.take() {
             let node = self.node.clone();
@@ -331,7 +334,7 @@
         }
     }
 
-    fn ask_snapshot(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn request_snapshot_if_due(&mut self, now: Time, out: &mut Vec<Action>) {
         let due = now >= self.snapshot.next || self.snapshot.entries >= self.cfg.snapshot_entries;
         if due && !self.releasing {
             self.snapshot.entries = 0;
@@ -342,7 +345,7 @@
 
     fn claim_if_due(&mut self, now: Time, out: &mut Vec<Action>) {
         let ready = self.caught_up && self.reader.is_usable() && !self.releasing;
-        let claim_at = self.standing.as_ref().and_then(|standing| standing.claim_at);
+        let claim_at = self.candidacy.as_ref().and_then(|candidacy| candidacy.claim_at);
         if !ready || claim_at.is_none_or(|at| now < at) {
             return;
         }
--- a/crates/claim/src/fold.rs
+++ b/crates/claim/src/fold.rs
@@ -22,7 +22,7 @@
 
 /// Effect of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum RecordEffect {
     Claimed,
     Entries,
     Snapshot,
@@ -51,7 +51,7 @@
         self.missed.is_some()
     }
 
-    pub(crate) fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
+    pub(crate) fn apply(&mut self, offset: Offset, record: &Record) -> RecordEffect {
         match &record.body {
             Body::Claim { node, read_to } => {
                 // A delayed or duplicated claim must not replace a leader that its writer did not
@@ -59,26 +59,28 @@
                 // replace. Of two concurrent claims, the first one is valid.
                 let known = self.missed.is_none_or(|missed| *read_to >= missed);
                 if read_to.0 < self.term.0 || !known {
-                    return Verdict::Void;
+                    return RecordEffect::Void;
                 }
                 self.term = Term(offset.0);
                 self.seq = 0;
                 self.leader = Some(Leader { node: node.clone(), term: self.term });
                 self.claim = Some(record.id);
                 self.missed = None;
-                Verdict::Claimed
+                RecordEffect::Claimed
+            }
+            Body::Entries { term, seq, .. } => {
+                self.check_sequence(*term, *seq, RecordEffect::Entries)
             }
-            Body::Entries { term, seq, .. } => self.check_sequence(*term, *seq, Verdict::Entries),
             Body::Snapshot(snapshot) => {
-                self.check_sequence(snapshot.term, snapshot.seq, Verdict::Snapshot)
+                self.check_sequence(snapshot.term, snapshot.seq, RecordEffect::Snapshot)
             }
             Body::Release { term, seq } => {
-                let verdict = self.check_sequence(*term, *seq, Verdict::Released);
-                if verdict == Verdict::Released {
+                let effect = self.check_sequence(*term, *seq, RecordEffect::Released);
+                if effect == RecordEffect::Released {
                     self.leader = None;
                     self.claim = None;
                 }
-                verdict
+                effect
             }
         }
     }
@@ -86,14 +88,14 @@
     /// A record of an older term is void, because its writer was superseded. A duplicate is void,
     /// because its `seq` was already seen. There are no gaps, since the leader sends the next
     /// record only after reading this one back.
-    fn check_sequence(&mut self, term: Term, seq: u64, verdict: Verdict) -> Verdict {
+    fn check_sequence(&mut self, term: Term, seq: u64, effect: RecordEffect) -> RecordEffect {
         let next = self.leader.is_some() && term == self.term && seq == self.seq + 1;
         let possible = self.missed.is_some() && (term, seq) > (self.term, self.seq);
         if !next && !possible {
-            return Verdict::Void;
+            return RecordEffect::Void;
         }
         self.term = term;
         self.seq = seq;
-        verdict
+        effect
     }
 }
--- a/crates/claim/src/outbox.rs
+++ b/crates/claim/src/outbox.rs
@@ -48,16 +48,17 @@
 
 /// Reads that must end without the record before it is sent again. The first read may have started
 /// before the append timed out; the second did not.
-const LOOK_UPS: u32 = 2;
+const LOOK_UP_READS: u32 = 2;
 
 /// Next step for the append in flight.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    Nothing,
+pub(crate) enum AppendStep {
+    /// Nothing to do yet.
+    Wait,
     /// It was not stored and will not be.
-    Refused(Purpose),
+    Rejected(Purpose),
     /// Send the same bytes again under the same id.
-    Again(RecordId, Bytes),
+    Resend(RecordId, Bytes),
 }
 
 #[derive(Debug, Default)]
@@ -90,23 +91,28 @@
         }
     }
 
-    pub(crate) fn answered(&mut self, now: Time, id: RecordId, outcome: AppendOutcome) -> Verdict {
+    pub(crate) fn handle_outcome(
+        &mut self,
+        now: Time,
+        id: RecordId,
+        outcome: AppendOutcome,
+    ) -> AppendStep {
         let Some(flight) = self.in_flight.as_mut().filter(|flight| flight.id == id) else {
-            return Verdict::Nothing;
+            return AppendStep::Wait;
         };
         match outcome {
             AppendOutcome::Stored(_) => flight.state = AppendState::Stored,
             AppendOutcome::NotStored if !flight.maybe_stored => {
                 let purpose = flight.purpose.clone();
                 self.in_flight = None;
-                return Verdict::Refused(purpose);
+                return AppendStep::Rejected(purpose);
             }
             AppendOutcome::NotStored | AppendOutcome::Unknown => {
                 flight.maybe_stored = true;
                 flight.state = AppendState::LookUp { since: now, reads: 0 };
             }
         }
-        Verdict::Nothing
+        AppendStep::Wait
     }
 
     /// Handles a read that returned all records that existed when it was made.
@@ -122,27 +128,27 @@
     /// The first copy may still be stored later. That is harmless: both copies have the same term
     /// and `seq`, so every reader applies the first and ignores the other. A claim has no `seq`: it
     /// is abandoned, and a new one is written later.
-    pub(crate) fn tick(&mut self, now: Time, cfg: &Settings) -> Verdict {
-        let Some(flight) = &mut self.in_flight else { return Verdict::Nothing };
+    pub(crate) fn tick(&mut self, now: Time, cfg: &Settings) -> AppendStep {
+        let Some(flight) = &mut self.in_flight else { return AppendStep::Wait };
         match flight.state {
             AppendState::Sent(at) if now.since(at) >= cfg.append_timeout => {
                 flight.maybe_stored = true;
                 flight.state = AppendState::LookUp { since: now, reads: 0 };
-                Verdict::Nothing
+                AppendStep::Wait
             }
             AppendState::LookUp { since, reads }
-                if reads >= LOOK_UPS && now.since(since) >= cfg.retry =>
+                if reads >= LOOK_UP_READS && now.since(since) >= cfg.retry =>
             {
                 if flight.purpose == Purpose::Claim {
                     self.in_flight = None;
-                    return Verdict::Nothing;
+                    return AppendStep::Wait;
                 }
                 flight.state = AppendState::Sent(now);
-                let again = Verdict::Again(flight.id, flight.data.clone());
+                let step = AppendStep::Resend(flight.id, flight.data.clone());
                 self.last_sent = Some(now);
-                again
+                step
             }
-            _ => Verdict::Nothing,
+            _ => AppendStep::Wait,
         }
     }
 
--- a/crates/claim/src/reader.rs
+++ b/crates/claim/src/reader.rs
@@ -4,7 +4,7 @@
 
 use hgw_types::Offset;
 
-use crate::fold::{Fold, Verdict};
+use crate::fold::{Fold, RecordEffect};
 use crate::record::{Body, Record, Snapshot};
 
 /// A record with its effect.
@@ -12,15 +12,16 @@
 pub(crate) struct ReadRecord {
     pub(crate) offset: Offset,
     pub(crate) record: Record,
-    pub(crate) verdict: Verdict,
+    pub(crate) effect: RecordEffect,
 }
 
 /// Result of reading a record.
 #[derive(Debug)]
-pub(crate) enum Read {
-    Judged(Box<ReadRecord>),
+pub(crate) enum ReadOutcome {
+    /// A record whose effect is known.
+    Known(Box<ReadRecord>),
     /// The effect is not known yet, since the state before it is unknown.
-    Waiting,
+    Buffered,
     /// A snapshot that establishes the state, with the records after the offset that it covers.
     Restored(Box<Snapshot>, Vec<ReadRecord>),
 }
@@ -77,27 +78,27 @@
         replay(&mut self.fold, search.records.iter())
     }
 
-    pub(crate) fn read(&mut self, offset: Offset, record: Record, limit: usize) -> Read {
+    pub(crate) fn read(&mut self, offset: Offset, record: Record, limit: usize) -> ReadOutcome {
         self.position = offset;
         let Some(search) = &mut self.search else {
-            let verdict = self.fold.apply(offset, &record);
-            return Read::Judged(Box::new(ReadRecord { offset, record, verdict }));
+            let effect = self.fold.apply(offset, &record);
+            return ReadOutcome::Known(Box::new(ReadRecord { offset, record, effect }));
         };
         search.records.push_back((offset, record.clone()));
-        if let Some((snapshot, fold, judged)) = search.restore() {
+        if let Some((snapshot, fold, records)) = search.restore() {
             self.fold = fold;
             self.search = None;
-            return Read::Restored(Box::new(snapshot), judged);
+            return ReadOutcome::Restored(Box::new(snapshot), records);
         }
         search.shrink(limit);
         if !search.assumed_empty {
-            return Read::Waiting;
+            return ReadOutcome::Buffered;
         }
-        let verdict = self.fold.apply(offset, &record);
+        let effect = self.fold.apply(offset, &record);
         if !self.fold.is_unknown() {
             self.search = None;
         }
-        Read::Judged(Box::new(ReadRecord { offset, record, verdict }))
+        ReadOutcome::Known(Box::new(ReadRecord { offset, record, effect }))
     }
 }
 
@@ -119,9 +120,9 @@
         }
         let mut fold = Fold::at_snapshot(snapshot);
         let after = self.records.iter().filter(|(offset, _)| *offset > snapshot.covers);
-        let judged = replay(&mut fold, after);
-        let valid = judged.last().is_some_and(|last| last.verdict == Verdict::Snapshot);
-        valid.then(|| (snapshot.clone(), fold, judged))
+        let records = replay(&mut fold, after);
+        let valid = records.last().is_some_and(|last| last.effect == RecordEffect::Snapshot);
+        valid.then(|| (snapshot.clone(), fold, records))
     }
 
     /// Drops the oldest records, as if the log had trimmed them.
@@ -138,9 +139,9 @@
     fold: &mut Fold,
     records: impl Iterator<Item = &'a (Offset, Record)>,
 ) -> Vec<ReadRecord> {
-    let judge = |(offset, record): &(Offset, Record)| {
-        let verdict = fold.apply(*offset, record);
-        ReadRecord { offset: *offset, record: record.clone(), verdict }
+    let classify = |(offset, record): &(Offset, Record)| {
+        let effect = fold.apply(*offset, record);
+        ReadRecord { offset: *offset, record: record.clone(), effect }
     };
-    records.map(judge).collect()
+    records.map(classify).collect()
 }
--- a/crates/claim/src/settings.rs
+++ b/crates/claim/src/settings.rs
@@ -1,3 +1,5 @@
+//! Delays and limits of the lease state machine.
+
 use std::time::Duration;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -5,12 +7,12 @@
     /// How long this node must have been preferred, with the leader dead, before it claims.
     /// Prevents two nodes with briefly different membership views from taking the lease from each
     /// other in turns.
-    pub settle: Duration,
-    /// Maximum random jitter added to `settle`, so that two nodes seldom claim at once.
+    pub preferred_delay: Duration,
+    /// Maximum random jitter added to `preferred_delay`, so that two nodes seldom claim at once.
     pub jitter: Duration,
     /// How long the scope must have been without a live leader before a node that is not preferred
     /// claims; random jitter of up to the same length is added.
-    pub backup: Duration,
+    pub backup_delay: Duration,
     /// Minimum time between appends. Proposals within it share one append, since the log accepts
     /// only a few hundred appends per second over all streams.
     pub batch_gap: Duration,
@@ -42,9 +44,9 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            settle: Duration::from_millis(300),
+            preferred_delay: Duration::from_millis(300),
             jitter: Duration::from_millis(100),
-            backup: Duration::from_secs(3),
+            backup_delay: Duration::from_secs(3),
             batch_gap: Duration::from_millis(5),
             batch_entries: 256,
             batch_bytes: 256 * 1024,
--- a/crates/claim/tests/common/mod.rs
+++ b/crates/claim/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fake log with faults, and a reader for it.
+//! A fake log with faults, and a node that reads it.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -6,18 +6,19 @@
 use hgw_claim::{Action, AppendOutcome, Claim, Event, Settings};
 use hgw_types::{NodeId, Offset, RecordId, Scope, Time};
 
-/// Outcome of an append.
+/// What happens to an append and its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum Delivery {
     Stored,
-    Refused,
+    Rejected,
     /// Stored, but the response is lost.
-    AnswerLost,
+    ResponseLost,
     /// Neither stored nor acknowledged.
     RecordLost,
-    /// Not acknowledged, and stored when [`Log::land`] is called.
-    Late,
-    Twice,
+    /// Not acknowledged, and stored when [`Log::deliver_delayed`] is called.
+    Delayed,
+    /// Stored twice.
+    Duplicated,
 }
 
 #[derive(Debug, Default)]
@@ -25,26 +26,26 @@
     pub(crate) records: Vec<Bytes>,
     /// Records up to this number were trimmed.
     pub(crate) trimmed: usize,
-    pub(crate) late: Vec<Bytes>,
+    pub(crate) delayed: Vec<Bytes>,
     pub(crate) appends: usize,
 }
 
 impl Log {
-    pub(crate) fn append(&mut self, data: Bytes, fate: Fate) -> AppendOutcome {
+    pub(crate) fn append(&mut self, data: Bytes, delivery: Delivery) -> AppendOutcome {
         self.appends += 1;
-        match fate {
-            Fate::Stored => self.records.push(data),
-            Fate::Refused => return AppendOutcome::NotStored,
-            Fate::AnswerLost => {
+        match delivery {
+            Delivery::Stored => self.records.push(data),
+            Delivery::Rejected => return AppendOutcome::NotStored,
+            Delivery::ResponseLost => {
                 self.records.push(data);
                 return AppendOutcome::Unknown;
             }
-            Fate::RecordLost => return AppendOutcome::Unknown,
-            Fate::Late => {
-                self.late.push(data);
+            Delivery::RecordLost => return AppendOutcome::Unknown,
+            Delivery::Delayed => {
+                self.delayed.push(data);
                 return AppendOutcome::Unknown;
             }
-            Fate::Twice => {
+            Delivery::Duplicated => {
                 self.records.push(data.clone());
                 self.records.push(data);
             }
@@ -52,10 +53,10 @@
         AppendOutcome::Stored(Offset(self.records.len() as u64))
     }
 
-    /// Stores the late append with this index.
-    pub(crate) fn land(&mut self, index: usize) {
-        if !self.late.is_empty() {
-            let data = self.late.remove(index % self.late.len());
+    /// Stores the delayed append with this index.
+    pub(crate) fn deliver_delayed(&mut self, index: usize) {
+        if !self.delayed.is_empty() {
+            let data = self.delayed.remove(index % self.delayed.len());
             self.records.push(data);
         }
     }
@@ -66,19 +67,19 @@
     }
 }
 
-/// A claim with its position in the log.
+/// A node with its position in the log.
 #[derive(Debug)]
-pub(crate) struct Reader {
+pub(crate) struct TestNode {
     pub(crate) claim: Claim,
     pub(crate) next: usize,
     pub(crate) node: NodeId,
 }
 
-impl Reader {
-    pub(crate) fn new(cfg: Settings, name: &str, boot: u64) -> Reader {
+impl TestNode {
+    pub(crate) fn new(cfg: Settings, name: &str, boot: u64) -> TestNode {
         let node: NodeId = name.parse().unwrap();
         let scope: Scope = "keeper/d1".parse().unwrap();
-        Reader { claim: Claim::new(cfg, scope, node.clone(), boot), next: 1, node }
+        TestNode { claim: Claim::new(cfg, scope, node.clone(), boot), next: 1, node }
     }
 
     pub(crate) fn read(&mut self, log: &Log, now: Time, max: usize, out: &mut Vec<Action>) {
--- a/crates/claim/tests/takeover.rs
+++ b/crates/claim/tests/takeover.rs
@@ -6,21 +6,21 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{Fate, Log, Reader, id};
+use common::{Delivery, Log, TestNode, id};
 use hgw_claim::{Action, AppendOutcome, Event, Settings};
 use hgw_types::{RecordId, Time};
 
 struct Session {
     now: Time,
     log: Log,
-    nodes: Vec<Reader>,
+    nodes: Vec<TestNode>,
     transcript: String,
 }
 
 impl Session {
     fn new() -> Session {
         let cfg = Settings { jitter: Duration::ZERO, ..Settings::default() };
-        let nodes = vec![Reader::new(cfg.clone(), "a", 0xa), Reader::new(cfg, "b", 0xb)];
+        let nodes = vec![TestNode::new(cfg.clone(), "a", 0xa), TestNode::new(cfg, "b", 0xb)];
         Session { now: Time::ZERO, log: Log::default(), nodes, transcript: String::new() }
     }
 
@@ -28,44 +28,44 @@
         writeln!(self.transcript, "# {text}").unwrap();
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
     }
 
-    fn tell(&mut self, node: usize, event: Event, fate: Fate) {
+    fn handle(&mut self, node: usize, event: Event, delivery: Delivery) {
         let mut out = Vec::new();
         self.nodes[node].claim.handle(self.now, event, &mut out);
-        self.carry_out(node, out, fate);
+        self.execute(node, out, delivery);
     }
 
-    fn tick(&mut self, node: usize, fate: Fate) {
-        self.tell(node, Event::Tick, fate);
+    fn tick(&mut self, node: usize, delivery: Delivery) {
+        self.handle(node, Event::Tick, delivery);
     }
 
-    fn stand(&mut self, node: usize, preferred: bool, holder_alive: bool) {
-        self.tell(node, Event::Standing { preferred, holder_alive }, Fate::Stored);
+    fn report_membership(&mut self, node: usize, preferred: bool, leader_alive: bool) {
+        self.handle(node, Event::Membership { preferred, leader_alive }, Delivery::Stored);
     }
 
     fn read(&mut self, node: usize) {
         let mut out = Vec::new();
         self.nodes[node].read(&self.log, self.now, 100, &mut out);
-        self.carry_out(node, out, Fate::Stored);
+        self.execute(node, out, Delivery::Stored);
     }
 
-    fn propose(&mut self, node: usize, id: RecordId, fate: Fate) {
+    fn propose(&mut self, node: usize, id: RecordId, delivery: Delivery) {
         let mut out = Vec::new();
         let data = Bytes::from_static(b"entry");
         self.nodes[node].claim.propose(self.now, id, data, &mut out);
-        self.carry_out(node, out, fate);
+        self.execute(node, out, delivery);
     }
 
-    fn carry_out(&mut self, node: usize, actions: Vec<Action>, fate: Fate) {
+    fn execute(&mut self, node: usize, actions: Vec<Action>, delivery: Delivery) {
         for action in actions {
             let name = &self.nodes[node].node;
             let now = self.now;
             let shown = match &action {
                 Action::Append { id, data } => {
-                    format!("Append {id}, {} bytes: {fate:?}", data.len())
+                    format!("Append {id}, {} bytes: {delivery:?}", data.len())
                 }
                 Action::Dropped { id } => format!("Dropped {id}"),
                 Action::Apply { offset, term, id, .. } => {
@@ -77,8 +77,8 @@
             let mut more = Vec::new();
             match action {
                 Action::Append { id, data } => {
-                    let outcome = self.log.append(data, fate);
-                    if outcome != AppendOutcome::Unknown || fate != Fate::Late {
+                    let outcome = self.log.append(data, delivery);
+                    if outcome != AppendOutcome::Unknown || delivery != Delivery::Delayed {
                         let event = Event::Appended { id, outcome };
                         self.nodes[node].claim.handle(now, event, &mut more);
                     }
@@ -89,27 +89,27 @@
                 }
                 _ => {}
             }
-            self.carry_out(node, more, fate);
+            self.execute(node, more, delivery);
         }
     }
 
     /// Node 0 acquires the lease, and both nodes read its claim.
-    fn begin(&mut self) {
-        self.note("a comes first and claims after the settle time");
+    fn elect_first(&mut self) {
+        self.note("a is preferred and claims after its delay");
         self.read(0);
         self.read(1);
-        self.stand(0, true, false);
-        self.stand(1, false, false);
-        self.pass(300);
-        self.tick(0, Fate::Stored);
+        self.report_membership(0, true, false);
+        self.report_membership(1, false, false);
+        self.advance(300);
+        self.tick(0, Delivery::Stored);
         self.read(0);
         self.read(1);
-        self.pass(5);
-        self.tick(0, Fate::Stored);
+        self.advance(5);
+        self.tick(0, Delivery::Stored);
         self.read(0);
         self.read(1);
-        self.stand(1, false, true);
-        self.pass(5);
+        self.report_membership(1, false, true);
+        self.advance(5);
     }
 }
 
@@ -118,25 +118,25 @@
 #[test]
 fn paused_holder_is_superseded() {
     let mut s = Session::new();
-    s.begin();
-    s.note("a proposes; the append hangs, and a is paused");
-    s.propose(0, id(1, 1), Fate::Late);
+    s.elect_first();
+    s.note("a proposes; the append is delayed, and a is paused");
+    s.propose(0, id(1, 1), Delivery::Delayed);
     s.note("b finds a dead and claims");
-    s.stand(1, true, false);
-    s.pass(300);
-    s.tick(1, Fate::Stored);
+    s.report_membership(1, true, false);
+    s.advance(300);
+    s.tick(1, Delivery::Stored);
     s.read(1);
-    s.note("the append of a lands");
-    s.log.land(0);
+    s.note("the append of a is stored");
+    s.log.deliver_delayed(0);
     s.read(1);
-    s.pass(5);
-    s.propose(1, id(2, 1), Fate::Stored);
-    s.pass(5);
-    s.tick(1, Fate::Stored);
+    s.advance(5);
+    s.propose(1, id(2, 1), Delivery::Stored);
+    s.advance(5);
+    s.tick(1, Delivery::Stored);
     s.read(1);
-    s.note("a thaws");
+    s.note("a resumes");
     s.read(0);
-    s.propose(0, id(1, 2), Fate::Stored);
+    s.propose(0, id(1, 2), Delivery::Stored);
     insta::assert_snapshot!(s.transcript);
 }
 
@@ -145,10 +145,10 @@
 #[test]
 fn lost_answer_is_looked_up() {
     let mut s = Session::new();
-    s.begin();
-    s.propose(0, id(1, 1), Fate::AnswerLost);
-    s.pass(100);
-    s.tick(0, Fate::Stored);
+    s.elect_first();
+    s.propose(0, id(1, 1), Delivery::ResponseLost);
+    s.advance(100);
+    s.tick(0, Delivery::Stored);
     s.read(0);
     s.read(1);
     insta::assert_snapshot!(s.transcript);
@@ -158,17 +158,17 @@
 #[test]
 fn repeated_append_counts_once() {
     let mut s = Session::new();
-    s.begin();
-    s.propose(0, id(1, 1), Fate::Late);
-    s.note("no answer for 5 s, then two reads without the record");
-    s.pass(5000);
-    s.tick(0, Fate::Stored);
+    s.elect_first();
+    s.propose(0, id(1, 1), Delivery::Delayed);
+    s.note("no response for 5 s, then two reads without the record");
+    s.advance(5000);
+    s.tick(0, Delivery::Stored);
     s.read(0);
     s.read(0);
-    s.pass(100);
-    s.tick(0, Fate::Stored);
-    s.note("the first copy lands behind the second one");
-    s.log.land(0);
+    s.advance(100);
+    s.tick(0, Delivery::Stored);
+    s.note("the first copy is stored after the second one");
+    s.log.deliver_delayed(0);
     s.read(0);
     s.read(1);
     insta::assert_snapshot!(s.transcript);
@@ -179,20 +179,20 @@
 #[test]
 fn log_down_drops_proposals_and_keeps_the_term() {
     let mut s = Session::new();
-    s.begin();
-    s.propose(0, id(1, 1), Fate::Refused);
-    s.propose(0, id(1, 2), Fate::RecordLost);
-    s.pass(5);
-    s.tick(0, Fate::RecordLost);
-    s.tell(0, Event::ReadFailed, Fate::RecordLost);
-    s.propose(0, id(1, 3), Fate::RecordLost);
-    s.pass(500);
-    s.tick(0, Fate::RecordLost);
-    s.note(&format!("held: {:?}", s.nodes[0].claim.leader_term()));
-    s.note("the log is back: what is in doubt is settled first");
+    s.elect_first();
+    s.propose(0, id(1, 1), Delivery::Rejected);
+    s.propose(0, id(1, 2), Delivery::RecordLost);
+    s.advance(5);
+    s.tick(0, Delivery::RecordLost);
+    s.handle(0, Event::ReadFailed, Delivery::RecordLost);
+    s.propose(0, id(1, 3), Delivery::RecordLost);
+    s.advance(500);
+    s.tick(0, Delivery::RecordLost);
+    s.note(&format!("term: {:?}", s.nodes[0].claim.leader_term()));
+    s.note("the log is available again: the append with an unknown outcome is retried first");
     s.read(0);
     s.read(0);
-    s.tick(0, Fate::Stored);
+    s.tick(0, Delivery::Stored);
     s.read(0);
     insta::assert_snapshot!(s.transcript);
 }
@@ -201,15 +201,15 @@
 #[test]
 fn released_scope_is_claimed_at_once() {
     let mut s = Session::new();
-    s.begin();
-    s.stand(1, true, true);
+    s.elect_first();
+    s.report_membership(1, true, true);
     let mut out = Vec::new();
     s.nodes[0].claim.release(s.now, &mut out);
-    s.carry_out(0, out, Fate::Stored);
+    s.execute(0, out, Delivery::Stored);
     s.read(0);
     s.read(1);
-    s.pass(1);
-    s.tick(1, Fate::Stored);
+    s.advance(1);
+    s.tick(1, Delivery::Stored);
     s.read(1);
     insta::assert_snapshot!(s.transcript);
 }
@@ -219,20 +219,20 @@
 fn late_claim_takes_nothing() {
     let mut s = Session::new();
     s.read(0);
-    s.stand(0, true, false);
-    s.pass(300);
-    s.tick(0, Fate::Late);
+    s.report_membership(0, true, false);
+    s.advance(300);
+    s.tick(0, Delivery::Delayed);
     s.note("b claims");
     s.read(1);
-    s.stand(1, true, false);
-    s.pass(300);
-    s.tick(1, Fate::Stored);
+    s.report_membership(1, true, false);
+    s.advance(300);
+    s.tick(1, Delivery::Stored);
     s.read(1);
-    s.note("the claim of a lands");
-    s.log.land(0);
+    s.note("the claim of a is stored");
+    s.log.deliver_delayed(0);
     s.read(1);
-    s.pass(5);
-    s.propose(1, id(2, 1), Fate::Stored);
+    s.advance(5);
+    s.propose(1, id(2, 1), Delivery::Stored);
     s.read(1);
     insta::assert_snapshot!(s.transcript);
 }
--- a/crates/node/src/scope/mod.rs
+++ b/crates/node/src/scope/mod.rs
@@ -113,7 +113,7 @@
         is_alive: impl Fn(&NodeId) -> bool,
     ) -> Vec<ClaimAction> {
         let holder_alive = self.holder().is_some_and(is_alive);
-        self.handle(cx, ClaimEvent::Standing { preferred, holder_alive })
+        self.handle(cx, ClaimEvent::Membership { preferred, leader_alive: holder_alive })
     }
 
     pub(crate) fn propose(
--- a/crates/once/tests/properties.rs
+++ b/crates/once/tests/properties.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{Fate, Log, Reader};
+use common::{Delivery, Log, TestNode};
 use hgw_claim as claim;
 use hgw_once::{Action, Call, Event, Reply, RunOutcome, Settings, Shard};
 use hgw_types::{AttemptId, Term, Time};
@@ -43,7 +43,7 @@
     Crash(usize),
 }
 
-fn step() -> impl Strategy<Value = (Step, Fate)> {
+fn step() -> impl Strategy<Value = (Step, Delivery)> {
     let end = prop_oneof![3 => Just(End::Ran), 2 => Just(End::NotRun), 1 => Just(End::Unknown)];
     let node = 0..NODES;
     let step = prop_oneof![
@@ -56,19 +56,19 @@
         1 => (1usize..10).prop_map(Step::Trim),
         1 => node.prop_map(Step::Crash),
     ];
-    let fate = prop_oneof![
-        6 => Just(Fate::Stored),
-        1 => Just(Fate::Refused),
-        1 => Just(Fate::AnswerLost),
-        1 => Just(Fate::RecordLost),
-        2 => Just(Fate::Late),
-        1 => Just(Fate::Twice),
+    let delivery = prop_oneof![
+        6 => Just(Delivery::Stored),
+        1 => Just(Delivery::Rejected),
+        1 => Just(Delivery::ResponseLost),
+        1 => Just(Delivery::RecordLost),
+        2 => Just(Delivery::Delayed),
+        1 => Just(Delivery::Duplicated),
     ];
-    (step, fate)
+    (step, delivery)
 }
 
 struct Node {
-    reader: Reader,
+    reader: TestNode,
     shard: Shard,
     /// Dispatched calls that have not ended.
     running: Vec<AttemptId>,
@@ -92,7 +92,7 @@
 fn settings() -> claim::Settings {
     let millis = Duration::from_millis;
     claim::Settings {
-        settle: millis(50),
+        preferred_delay: millis(50),
         jitter: millis(20),
         snapshot_entries: 3,
         snapshot_age: millis(1000),
@@ -122,37 +122,38 @@
 
     fn start(&mut self, index: usize) -> Node {
         self.starts += 1;
-        let reader = Reader::new(settings(), &format!("n{index}"), self.starts);
+        let reader = TestNode::new(settings(), &format!("n{index}"), self.starts);
         Node { reader, shard: Shard::new(Settings::default(), self.starts), running: Vec::new() }
     }
 
-    fn run(&mut self, step: Step, fate: Fate) {
+    fn run(&mut self, step: Step, delivery: Delivery) {
         match step {
             Step::Advance(millis) => {
                 self.now += Duration::from_millis(millis);
                 for node in 0..NODES {
-                    self.tell_claim(node, claim::Event::Tick, fate);
-                    self.tell_shard(node, Event::Tick, fate);
+                    self.tell_claim(node, claim::Event::Tick, delivery);
+                    self.tell_shard(node, Event::Tick, delivery);
                 }
             }
             Step::Read(node, max) => {
                 let mut out = Vec::new();
                 self.nodes[node].reader.read(&self.log, self.now, max, &mut out);
-                self.carry_out_claim(node, out, fate);
+                self.carry_out_claim(node, out, delivery);
             }
             Step::Stand(node, holder_alive) => {
-                let event = claim::Event::Standing { preferred: true, holder_alive };
-                self.tell_claim(node, event, fate);
+                let event =
+                    claim::Event::Membership { preferred: true, leader_alive: holder_alive };
+                self.tell_claim(node, event, delivery);
             }
-            Step::Call { node, key } => self.call(node, key, fate),
-            Step::End { index, end } => self.end(index, end, fate),
-            Step::Land(index) => self.log.land(index),
+            Step::Call { node, key } => self.call(node, key, delivery),
+            Step::End { index, end } => self.end(index, end, delivery),
+            Step::Land(index) => self.log.deliver_delayed(index),
             Step::Trim(keep) => self.log.trim(keep),
             Step::Crash(node) => self.crash(node),
         }
     }
 
-    fn call(&mut self, node: usize, key: u64, fate: Fate) {
+    fn call(&mut self, node: usize, key: u64, delivery: Delivery) {
         self.calls += 1;
         let attempt = AttemptId { boot: 1, seq: self.calls };
         self.open.insert(attempt, node);
@@ -164,11 +165,11 @@
             fingerprint: key,
             deadline: self.now + Duration::from_millis(700),
         };
-        self.tell_shard(node, Event::Call(call), fate);
+        self.tell_shard(node, Event::Call(call), delivery);
     }
 
     /// One of the running calls ends. A caller is told `NotRun` only where it did not run.
-    fn end(&mut self, index: usize, end: End, fate: Fate) {
+    fn end(&mut self, index: usize, end: End, delivery: Delivery) {
         let running = self.nodes.iter().enumerate();
         let running = running.flat_map(|(node, n)| n.running.iter().map(move |a| (node, *a)));
         let running: Vec<_> = running.collect();
@@ -185,7 +186,7 @@
             }
             End::Unknown => RunOutcome::Unknown,
         };
-        self.tell_shard(node, Event::Ended { attempt, outcome }, fate);
+        self.tell_shard(node, Event::Ended { attempt, outcome }, delivery);
     }
 
     fn crash(&mut self, node: usize) {
@@ -193,24 +194,24 @@
         self.open.retain(|_, at| *at != node);
     }
 
-    fn tell_claim(&mut self, node: usize, event: claim::Event, fate: Fate) {
+    fn tell_claim(&mut self, node: usize, event: claim::Event, delivery: Delivery) {
         let mut out = Vec::new();
         self.nodes[node].reader.claim.handle(self.now, event, &mut out);
-        self.carry_out_claim(node, out, fate);
+        self.carry_out_claim(node, out, delivery);
     }
 
-    fn tell_shard(&mut self, node: usize, event: Event, fate: Fate) {
+    fn tell_shard(&mut self, node: usize, event: Event, delivery: Delivery) {
         let mut out = Vec::new();
         self.nodes[node].shard.handle(self.now, event, &mut out);
-        self.carry_out(node, out, fate);
+        self.carry_out(node, out, delivery);
     }
 
-    fn carry_out_claim(&mut self, node: usize, actions: Vec<claim::Action>, fate: Fate) {
+    fn carry_out_claim(&mut self, node: usize, actions: Vec<claim::Action>, delivery: Delivery) {
         for action in actions {
             let event = match action {
                 claim::Action::Append { id, data } => {
-                    let outcome = self.log.append(data, fate);
-                    self.tell_claim(node, claim::Event::Appended { id, outcome }, fate);
+                    let outcome = self.log.append(data, delivery);
+                    self.tell_claim(node, claim::Event::Appended { id, outcome }, delivery);
                     continue;
                 }
                 claim::Action::LeaseAcquired(term) => {
@@ -226,11 +227,11 @@
                 claim::Action::SnapshotDue => Event::SnapshotDue,
                 claim::Action::LeaderChanged(_) | claim::Action::NoSnapshot => continue,
             };
-            self.tell_shard(node, event, fate);
+            self.tell_shard(node, event, delivery);
         }
     }
 
-    fn carry_out(&mut self, node: usize, actions: Vec<Action>, fate: Fate) {
+    fn carry_out(&mut self, node: usize, actions: Vec<Action>, delivery: Delivery) {
         for action in actions {
             let mut out = Vec::new();
             let claim = &mut self.nodes[node].reader.claim;
@@ -240,7 +241,7 @@
                 Action::Dispatch(attempt) => self.dispatch(node, attempt),
                 Action::Reply { attempt, reply } => self.reply(node, attempt, &reply),
             }
-            self.carry_out_claim(node, out, fate);
+            self.carry_out_claim(node, out, delivery);
         }
     }
 
@@ -275,28 +276,29 @@
 
     /// All is well for a while: every open call is answered, and a new key runs.
     fn settle(&mut self) {
-        while !self.log.late.is_empty() {
-            self.log.land(0);
+        while !self.log.delayed.is_empty() {
+            self.log.deliver_delayed(0);
         }
         self.run_well();
         assert!(self.open.is_empty(), "never answered: {:?}", self.open);
         let owner = (0..NODES).find(|node| self.nodes[*node].reader.claim.leader_term().is_some());
         // Where every node has started anew since the last snapshot was trimmed, none may own.
         let Some(owner) = owner else { return };
-        self.call(owner, 99, Fate::Stored);
+        self.call(owner, 99, Delivery::Stored);
         self.run_well();
         assert!(self.may_have_run.contains_key(&99), "a new key does not run");
     }
 
     fn run_well(&mut self) {
         for _ in 0..500 {
-            self.run(Step::Advance(20), Fate::Stored);
+            self.run(Step::Advance(20), Delivery::Stored);
             for node in 0..NODES {
-                self.run(Step::Read(node, 100), Fate::Stored);
+                self.run(Step::Read(node, 100), Delivery::Stored);
                 let mut nodes = self.nodes.iter();
                 let holder_alive = nodes.any(|node| node.reader.claim.leader_term().is_some());
-                let event = claim::Event::Standing { preferred: node == 0, holder_alive };
-                self.tell_claim(node, event, Fate::Stored);
+                let event =
+                    claim::Event::Membership { preferred: node == 0, leader_alive: holder_alive };
+                self.tell_claim(node, event, Delivery::Stored);
             }
         }
     }
@@ -316,8 +318,8 @@
     let steps = prop::collection::vec(step(), 1..200);
     let result = TestRunner::new(config).run(&steps, |steps| {
         let mut world = World::new();
-        for (step, fate) in steps {
-            world.run(step, fate);
+        for (step, delivery) in steps {
+            world.run(step, delivery);
         }
         world.settle();
         Ok(())
--- a/crates/once/tests/takeover.rs
+++ b/crates/once/tests/takeover.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{Fate, Log, Reader};
+use common::{Delivery, Log, TestNode};
 use hgw_claim as claim;
 use hgw_once::{Action, Call, Event, Reply, RunOutcome, Settings, Shard};
 use hgw_types::{AttemptId, Time};
@@ -15,7 +15,7 @@
 struct Session {
     now: Time,
     log: Log,
-    nodes: Vec<(Reader, Shard)>,
+    nodes: Vec<(TestNode, Shard)>,
     transcript: String,
 }
 
@@ -24,7 +24,7 @@
     fn new() -> Session {
         let cfg = claim::Settings { jitter: Duration::ZERO, ..claim::Settings::default() };
         let node = |name, boot| {
-            (Reader::new(cfg.clone(), name, boot), Shard::new(Settings::default(), boot))
+            (TestNode::new(cfg.clone(), name, boot), Shard::new(Settings::default(), boot))
         };
         let nodes = vec![node("a", 0xa), node("b", 0xb)];
         let mut s =
@@ -50,15 +50,15 @@
 
     /// The node finds the holder dead and takes the scope.
     fn claim(&mut self, node: usize) {
-        let event = claim::Event::Standing { preferred: true, holder_alive: false };
-        self.tell_claim(node, event, Fate::Stored);
+        let event = claim::Event::Membership { preferred: true, leader_alive: false };
+        self.tell_claim(node, event, Delivery::Stored);
         self.pass(300);
-        self.tick(node, Fate::Stored);
+        self.tick(node, Delivery::Stored);
         self.read(node);
         self.pass(5);
     }
 
-    fn call(&mut self, node: usize, attempt: u64, key: &str, fate: Fate) {
+    fn call(&mut self, node: usize, attempt: u64, key: &str, delivery: Delivery) {
         let call = Call {
             attempt: AttemptId { boot: 1, seq: attempt },
             service: "app".parse().unwrap(),
@@ -67,47 +67,47 @@
             deadline: self.now + Duration::from_secs(2),
         };
         self.show(node, &format!("< call {attempt} with key {key}"));
-        self.tell(node, Event::Call(call), fate);
+        self.tell(node, Event::Call(call), delivery);
     }
 
     fn end(&mut self, node: usize, attempt: u64, outcome: RunOutcome) {
         self.pass(5);
         self.show(node, &format!("< call {attempt} ended: {outcome:?}"));
         let attempt = AttemptId { boot: 1, seq: attempt };
-        self.tell(node, Event::Ended { attempt, outcome }, Fate::Stored);
+        self.tell(node, Event::Ended { attempt, outcome }, Delivery::Stored);
     }
 
-    fn tick(&mut self, node: usize, fate: Fate) {
-        self.tell_claim(node, claim::Event::Tick, fate);
-        self.tell(node, Event::Tick, fate);
+    fn tick(&mut self, node: usize, delivery: Delivery) {
+        self.tell_claim(node, claim::Event::Tick, delivery);
+        self.tell(node, Event::Tick, delivery);
     }
 
     fn read(&mut self, node: usize) {
         let mut out = Vec::new();
         self.nodes[node].0.read(&self.log, self.now, 100, &mut out);
-        self.carry_out_claim(node, out, Fate::Stored);
+        self.carry_out_claim(node, out, Delivery::Stored);
     }
 
-    fn tell_claim(&mut self, node: usize, event: claim::Event, fate: Fate) {
+    fn tell_claim(&mut self, node: usize, event: claim::Event, delivery: Delivery) {
         let mut out = Vec::new();
         self.nodes[node].0.claim.handle(self.now, event, &mut out);
-        self.carry_out_claim(node, out, fate);
+        self.carry_out_claim(node, out, delivery);
     }
 
-    fn tell(&mut self, node: usize, event: Event, fate: Fate) {
+    fn tell(&mut self, node: usize, event: Event, delivery: Delivery) {
         let mut out = Vec::new();
         self.nodes[node].1.handle(self.now, event, &mut out);
-        self.carry_out(node, out, fate);
+        self.carry_out(node, out, delivery);
     }
 
-    fn carry_out_claim(&mut self, node: usize, actions: Vec<claim::Action>, fate: Fate) {
+    fn carry_out_claim(&mut self, node: usize, actions: Vec<claim::Action>, delivery: Delivery) {
         for action in actions {
             let event = match action {
                 claim::Action::Append { id, data } => {
-                    self.show(node, &format!("> append: {fate:?}"));
-                    let outcome = self.log.append(data, fate);
-                    if fate != Fate::Late {
-                        self.tell_claim(node, claim::Event::Appended { id, outcome }, fate);
+                    self.show(node, &format!("> append: {delivery:?}"));
+                    let outcome = self.log.append(data, delivery);
+                    if delivery != Delivery::Delayed {
+                        self.tell_claim(node, claim::Event::Appended { id, outcome }, delivery);
                     }
                     continue;
                 }
@@ -130,11 +130,11 @@
                 Event::Dropped(id) => self.show(node, &format!("dropped {id}")),
                 _ => {}
             }
-            self.tell(node, event, fate);
+            self.tell(node, event, delivery);
         }
     }
 
-    fn carry_out(&mut self, node: usize, actions: Vec<Action>, fate: Fate) {
+    fn carry_out(&mut self, node: usize, actions: Vec<Action>, delivery: Delivery) {
         for action in actions {
             let mut out = Vec::new();
             let now = self.now;
@@ -151,7 +151,7 @@
                     self.show(node, &format!("> reply to call {}: {reply:?}", attempt.seq));
                 }
             }
-            self.carry_out_claim(node, out, fate);
+            self.carry_out_claim(node, out, delivery);
         }
     }
 }
@@ -165,12 +165,12 @@
 #[test]
 fn repeats_share_one_run() {
     let mut s = Session::new();
-    s.call(0, 1, "k", Fate::Stored);
-    s.call(0, 2, "k", Fate::Stored);
+    s.call(0, 1, "k", Delivery::Stored);
+    s.call(0, 2, "k", Delivery::Stored);
     s.read(0);
     s.end(0, 1, ran());
     s.read(0);
-    s.call(0, 3, "k", Fate::Stored);
+    s.call(0, 3, "k", Delivery::Stored);
     insta::assert_snapshot!(s.transcript);
 }
 
@@ -180,18 +180,18 @@
 #[test]
 fn owner_dies_after_dispatch() {
     let mut s = Session::new();
-    s.call(0, 1, "ended", Fate::Stored);
+    s.call(0, 1, "ended", Delivery::Stored);
     s.read(0);
     s.end(0, 1, ran());
     s.read(0);
     s.pass(5);
-    s.call(0, 2, "open", Fate::Stored);
+    s.call(0, 2, "open", Delivery::Stored);
     s.read(0);
     s.note("a dies");
     s.read(1);
     s.claim(1);
-    s.call(1, 3, "open", Fate::Stored);
-    s.call(1, 4, "ended", Fate::Stored);
+    s.call(1, 3, "open", Delivery::Stored);
+    s.call(1, 4, "ended", Delivery::Stored);
     insta::assert_snapshot!(s.transcript);
 }
 
@@ -201,19 +201,19 @@
 #[test]
 fn owner_is_paused_before_its_begin_lands() {
     let mut s = Session::new();
-    s.call(0, 1, "k", Fate::Late);
+    s.call(0, 1, "k", Delivery::Delayed);
     s.note("a is paused");
     s.read(1);
     s.claim(1);
-    s.call(1, 2, "k", Fate::Stored);
+    s.call(1, 2, "k", Delivery::Stored);
     s.read(1);
     s.note("the Begin of a lands");
-    s.log.land(0);
+    s.log.deliver_delayed(0);
     s.end(1, 2, ran());
     s.read(1);
     s.note("a thaws");
     s.read(0);
-    s.tick(0, Fate::Stored);
+    s.tick(0, Delivery::Stored);
     insta::assert_snapshot!(s.transcript);
 }
 
@@ -223,17 +223,17 @@
 #[test]
 fn log_is_down() {
     let mut s = Session::new();
-    s.call(0, 1, "k", Fate::AnswerLost);
+    s.call(0, 1, "k", Delivery::ResponseLost);
     s.pass(500);
-    s.tick(0, Fate::Stored);
-    s.call(0, 2, "k2", Fate::Stored);
+    s.tick(0, Delivery::Stored);
+    s.call(0, 2, "k2", Delivery::Stored);
     s.note("the log is back");
     s.read(0);
     s.pass(5);
-    s.tick(0, Fate::Stored);
+    s.tick(0, Delivery::Stored);
     s.read(0);
     s.pass(5);
-    s.call(0, 3, "k", Fate::Stored);
+    s.call(0, 3, "k", Delivery::Stored);
     s.read(0);
     insta::assert_snapshot!(s.transcript);
 }
@@ -242,7 +242,7 @@
 #[test]
 fn key_is_reused() {
     let mut s = Session::new();
-    s.call(0, 1, "k", Fate::Stored);
+    s.call(0, 1, "k", Delivery::Stored);
     for attempt in 2..4 {
         let call = Call {
             attempt: AttemptId { boot: 1, seq: attempt },
@@ -251,7 +251,7 @@
             fingerprint: 8,
             deadline: s.now + Duration::from_secs(2),
         };
-        s.tell(0, Event::Call(call), Fate::Stored);
+        s.tell(0, Event::Call(call), Delivery::Stored);
         s.read(0);
     }
     assert!(s.transcript.contains(&format!("reply to call 2: {:?}", Reply::KeyReused)));
