--- a/crates/load/src/decisions/place.rs
+++ b/crates/load/src/decisions/place.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hgw_config::{Document, Fencing};
-use hgw_placement::{EngineView, HeldView, Move, Shares};
+use hgw_placement::{EngineView, PlannedLoad, ReplicaView, WeightStoreShare};
 use hgw_types::{MemSize, ModelId, Offset, Time, UpstreamId};
 
 use super::policy::Placing;
@@ -17,7 +17,7 @@
 /// decides, the whole.
 #[derive(Debug)]
 pub(super) struct Store {
-    shares: Vec<Shares>,
+    shares: Vec<WeightStoreShare>,
     interval: Duration,
     parallel: usize,
     next: Time,
@@ -28,7 +28,7 @@
     pub(super) fn new(document: &Document) -> Store {
         let store = &document.weight_store;
         let share = |domain| {
-            let mut share = Shares::new(Time::ZERO);
+            let mut share = WeightStoreShare::new(Time::ZERO);
             share.configure(document, domain);
             share
         };
@@ -45,7 +45,7 @@
         let may = if whole {
             self.running.iter().sum::<usize>() < self.parallel && now >= self.next
         } else {
-            self.shares[domain].take(now, self.running[domain])
+            self.shares[domain].try_acquire(now, self.running[domain])
         };
         if may {
             self.next = now + self.interval;
@@ -171,7 +171,7 @@
 
     fn view(&self, u: usize) -> EngineView {
         let upstream = &self.upstreams[u];
-        let held = |(&m, &ready): (&usize, &bool)| HeldView {
+        let held = |(&m, &ready): (&usize, &bool)| ReplicaView {
             model: self.deployment.model(m),
             size: self.size(m),
             floor: self.is_floor(u, m),
@@ -186,11 +186,11 @@
         }
     }
 
-    fn carry_out(&mut self, order: &Move) {
+    fn carry_out(&mut self, order: &PlannedLoad) {
         let models = &self.document.services[0].models;
         let place = |id: &ModelId| models.get_index_of(id);
         let Some(u) = self.upstreams.iter().position(|u| u.id == order.upstream) else { return };
-        let Some(model) = place(&order.load) else { return };
+        let Some(model) = place(&order.model) else { return };
         let evict: Vec<usize> = order.evict.iter().filter_map(place).collect();
         self.load(u, model, &evict);
     }
--- a/crates/placement/src/api.rs
+++ b/crates/placement/src/api.rs
@@ -1,3 +1,5 @@
+//! Inputs, outputs and log entries of the leader.
+
 use std::sync::Arc;
 
 use hgw_config::Document;
--- a/crates/placement/src/demand/api.rs
+++ b/crates/placement/src/demand/api.rs
@@ -1,3 +1,5 @@
+//! Inputs, outputs and settings of the demand planner.
+
 use std::time::Duration;
 
 use hgw_types::{MemSize, ModelId, UpstreamId};
@@ -12,11 +14,11 @@
     /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Models that are loaded or loading.
-    pub models: Vec<HeldView>,
+    pub models: Vec<ReplicaView>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldView {
+pub struct ReplicaView {
     pub model: ModelId,
     /// Memory of the model and its adapters on this engine.
     pub size: MemSize,
@@ -28,9 +30,9 @@
 
 /// A model to load once the models in `evict` have been evicted from the same engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Move {
+pub struct PlannedLoad {
     pub upstream: UpstreamId,
-    pub load: ModelId,
+    pub model: ModelId,
     /// Demand replicas to evict first; empty if there is enough free memory.
     pub evict: Vec<ModelId>,
 }
@@ -48,17 +50,17 @@
     pub cool_down: Duration,
     /// Time after a load before another replica of the model is loaded in the domain, so that the
     /// demand estimate first reflects the new replica.
-    pub settle: Duration,
-    /// Minimum ratio of gain to cost of a move; above 1 so that noise causes no moves.
+    pub load_interval: Duration,
+    /// Minimum ratio of gain to cost of a load; above 1 so that noise causes no loads.
     pub hysteresis: f64,
     /// Weight of demand for a model with no replica in the domain: other domains may be full or
     /// unreachable.
     pub absent_weight: f64,
     /// Maximum fraction of an engine's slots planned for urgent requests; above it, queueing delay
     /// grows quickly.
-    pub fill: f64,
-    /// Maximum number of moves per call of `plan`, since the weight store serves few loads at once.
-    pub moves_at_once: usize,
+    pub max_utilization: f64,
+    /// Maximum number of loads per call of `plan`, since the weight store serves few loads at once.
+    pub max_planned_loads: usize,
 }
 
 impl Default for DemandSettings {
@@ -67,11 +69,11 @@
             half_life: Duration::from_secs(5),
             horizon: Duration::from_secs(30),
             cool_down: Duration::from_secs(30),
-            settle: Duration::from_secs(5),
+            load_interval: Duration::from_secs(5),
             hysteresis: 1.5,
             absent_weight: 3.0,
-            fill: 0.9,
-            moves_at_once: 2,
+            max_utilization: 0.9,
+            max_planned_loads: 2,
         }
     }
 }
--- a/crates/placement/src/demand/estimate.rs
+++ b/crates/placement/src/demand/estimate.rs
@@ -1,3 +1,5 @@
+//! Decaying estimate of recent demand.
+
 use std::time::Duration;
 
 use hgw_types::{ModelId, Time};
@@ -5,14 +7,14 @@
 use indexmap::IndexMap;
 
 /// Assumed service time of an urgent request before one is observed, in seconds.
-const USUAL_SERVICE: f64 = 0.3;
+const DEFAULT_SERVICE_SECS: f64 = 0.3;
 
 /// Models whose decayed request count is at most this are removed.
-const FORGOTTEN: f64 = 0.01;
+const MIN_REQUESTS: f64 = 0.01;
 
 /// Assumed period that the first report covers, in seconds; without it the first rates would be far
 /// too high.
-const FIRST_MESSAGE: f64 = 1.0;
+const FIRST_REPORT_SECS: f64 = 1.0;
 
 /// Exponentially decaying sums of demand for one model.
 #[derive(Debug, Default)]
@@ -26,8 +28,8 @@
 #[derive(Debug)]
 pub(super) struct DemandEstimate {
     half_life: f64,
-    began: Option<Time>,
-    at: Time,
+    first_report: Option<Time>,
+    decayed_at: Time,
     models: IndexMap<ModelId, Sums>,
 }
 
@@ -35,15 +37,15 @@
     pub(super) fn new(half_life: Duration) -> Self {
         DemandEstimate {
             half_life: half_life.as_secs_f64(),
-            began: None,
-            at: Time::ZERO,
+            first_report: None,
+            decayed_at: Time::ZERO,
             models: IndexMap::new(),
         }
     }
 
     pub(super) fn add(&mut self, now: Time, demand: &[Demand]) {
         self.decay(now);
-        self.began.get_or_insert(now);
+        self.first_report.get_or_insert(now);
         for d in demand {
             let sums = self.models.entry(d.model.clone()).or_default();
             sums.urgent += f64::from(d.urgent);
@@ -53,14 +55,14 @@
     }
 
     pub(super) fn decay(&mut self, now: Time) {
-        let factor = 0.5_f64.powf(now.since(self.at).as_secs_f64() / self.half_life);
-        self.at = now;
+        let factor = 0.5_f64.powf(now.since(self.decayed_at).as_secs_f64() / self.half_life);
+        self.decayed_at = now;
         for sums in self.models.values_mut() {
             sums.urgent *= factor;
             sums.unmet *= factor;
             sums.busy *= factor;
         }
-        self.models.retain(|_, s| s.urgent + s.unmet > FORGOTTEN);
+        self.models.retain(|_, s| s.urgent + s.unmet > MIN_REQUESTS);
     }
 
     /// Urgent requests per second that found no capacity.
@@ -74,18 +76,18 @@
     }
 
     /// Average number of slots used by urgent requests for the model.
-    pub(super) fn load(&self, model: &ModelId) -> f64 {
+    pub(super) fn busy_slots(&self, model: &ModelId) -> f64 {
         self.models.get(model).map_or(0.0, |s| s.busy) * self.sum_to_rate()
     }
 
     /// Service time of an urgent request, in seconds.
-    pub(super) fn service(&self, model: &ModelId) -> f64 {
-        let measured = self.models.get(model).filter(|s| s.urgent >= 1.0 && s.busy > 0.0);
-        measured.map_or(USUAL_SERVICE, |s| s.busy / s.urgent)
+    pub(super) fn service_secs(&self, model: &ModelId) -> f64 {
+        let observed = self.models.get(model).filter(|s| s.urgent >= 1.0 && s.busy > 0.0);
+        observed.map_or(DEFAULT_SERVICE_SECS, |s| s.busy / s.urgent)
     }
 
     /// Reduces the unmet demand by `rate` requests per second that a planned replica will serve.
-    pub(super) fn answered(&mut self, model: &ModelId, rate: f64) {
+    pub(super) fn reduce_unmet(&mut self, model: &ModelId, rate: f64) {
         let per_second = self.sum_to_rate();
         if let Some(sums) = self.models.get_mut(model) {
             sums.unmet = (sums.unmet - rate / per_second).max(0.0);
@@ -97,8 +99,10 @@
     /// Corrects for sums that cover less time than the decay window, as on a new leader. Without
     /// that, busy engines would look idle to it.
     fn sum_to_rate(&self) -> f64 {
-        let watched = self.began.map_or(0.0, |t| self.at.since(t).as_secs_f64()) + FIRST_MESSAGE;
-        let covered = 1.0 - 0.5_f64.powf(watched / self.half_life);
+        let observed_secs =
+            self.first_report.map_or(0.0, |t| self.decayed_at.since(t).as_secs_f64())
+                + FIRST_REPORT_SECS;
+        let covered = 1.0 - 0.5_f64.powf(observed_secs / self.half_life);
         std::f64::consts::LN_2 / self.half_life / covered
     }
 }
--- a/crates/placement/src/demand/mod.rs
+++ b/crates/placement/src/demand/mod.rs
@@ -6,5 +6,5 @@
 mod estimate;
 mod planner;
 
-pub use api::{DemandSettings, EngineView, HeldView, Move};
+pub use api::{DemandSettings, EngineView, PlannedLoad, ReplicaView};
 pub use planner::DemandPlanner;
--- a/crates/placement/src/floor/mod.rs
+++ b/crates/placement/src/floor/mod.rs
@@ -3,14 +3,14 @@
 //! A pure function of the configuration, the unreachable engines and the previous floor. It ignores
 //! load, so it changes only when configuration or reachability do.
 
-mod region;
+mod packing;
 
 use hgw_config::{Document, ServiceKind};
 use hgw_types::{Offset, RegionId, ServiceId, UpstreamId};
 use indexmap::IndexSet;
 
 use crate::Floor;
-use region::Packing;
+use packing::{EngineSpace, Packing};
 
 /// Computes the floor.
 ///
@@ -18,12 +18,12 @@
 /// model that fits. Models without a replica in an earlier region are placed first, so that a model
 /// left out of one region for lack of memory is included in the next.
 ///
-/// Unreachable (`lost`) and leaving engines get no replicas. Replicas in `previous` are kept where
+/// Unreachable and leaving engines get no replicas. Replicas in `previous` are kept where
 /// they still fit.
 pub fn floor(
     document: &Document,
     version: Offset,
-    lost: &[UpstreamId],
+    unreachable: &[UpstreamId],
     previous: Option<&Floor>,
 ) -> Floor {
     let mut floor = Floor { config: version, ..Floor::default() };
@@ -35,7 +35,7 @@
             floor.models.entry(model.clone()).or_default();
         }
         for region in regions(document) {
-            let engines = engines(document, id, region, lost);
+            let engines = engines(document, id, region, unreachable);
             let packing = Packing::best(service, engines, &floor, previous);
             packing.add_to(&mut floor);
         }
@@ -51,13 +51,14 @@
     document: &'a Document,
     service: &ServiceId,
     region: &RegionId,
-    lost: &[UpstreamId],
-) -> Vec<region::Room<'a>> {
-    let here = |u: &hgw_config::Upstream| {
+    unreachable: &[UpstreamId],
+) -> Vec<EngineSpace<'a>> {
+    let is_in_region = |u: &hgw_config::Upstream| {
         u.service == *service
             && document.domains.get(&u.domain).is_some_and(|d| d.region == *region)
     };
-    let stays = |id: &UpstreamId, u: &hgw_config::Upstream| !u.leaving && !lost.contains(id);
-    let usable = document.upstreams.iter().filter(|(id, u)| here(u) && stays(id, u));
-    usable.map(|(id, u)| region::Room::new(id, &u.domain, u.memory)).collect()
+    let is_usable =
+        |id: &UpstreamId, u: &hgw_config::Upstream| !u.leaving && !unreachable.contains(id);
+    let usable = document.upstreams.iter().filter(|(id, u)| is_in_region(u) && is_usable(id, u));
+    usable.map(|(id, u)| EngineSpace::new(id, &u.domain, u.memory)).collect()
 }
--- a/crates/placement/src/leader/domain.rs
+++ b/crates/placement/src/leader/domain.rs
@@ -1,3 +1,5 @@
+//! One failure domain's view of configuration and residency floor.
+
 use std::sync::Arc;
 
 use hgw_config::{Document, Fencing, Model, ServiceKind, Upstream};
@@ -80,7 +82,7 @@
     }
 
     /// Whether the engine rejects old fencing tokens. Unknown engines are assumed to ignore them.
-    pub(super) fn refuses(&self, engine: &UpstreamId) -> bool {
+    pub(super) fn rejects_old_fences(&self, engine: &UpstreamId) -> bool {
         self.upstream(engine).is_some_and(|u| u.fencing == Fencing::Refuses)
     }
 
@@ -91,7 +93,11 @@
     }
 
     /// The configured version of the model, and its size.
-    pub(super) fn current(&self, engine: &UpstreamId, model: &ModelId) -> Option<(Item, MemSize)> {
+    pub(super) fn current_version(
+        &self,
+        engine: &UpstreamId,
+        model: &ModelId,
+    ) -> Option<(Item, MemSize)> {
         let found = self.model(engine, model)?;
         Some((Item::Model(model.clone(), found.version.clone()), found.size))
     }
--- a/crates/placement/src/leader/drain.rs
+++ b/crates/placement/src/leader/drain.rs
@@ -14,18 +14,18 @@
     /// Withdraws items that are not in the configuration, old versions once the new ones serve, and
     /// all but one old version of a model on the same engine.
     pub(super) fn plan_retirement(&mut self, now: Time) {
-        for id in self.usable() {
+        for id in self.usable_engines() {
             let Some(e) = self.engines.get(&id) else { continue };
-            let serving = e.ledger.held().keys().filter(|i| e.serves(i));
-            let going: Vec<Item> =
+            let serving = e.ledger.loaded().keys().filter(|i| e.serves(i));
+            let obsolete: Vec<Item> =
                 serving.filter(|i| self.is_obsolete(now, &id, i)).cloned().collect();
-            for item in going {
+            for item in obsolete {
                 // One old version of a model is drained at a time, while its other replicas serve
                 // its requests. Extra versions on the same engine are exempt, because another one
                 // stays there.
-                let may_go_now = self.domain.model(&id, item.model()).is_none()
+                let may_drain = self.domain.model(&id, item.model()).is_none()
                     || self.is_extra_version(&id, &item);
-                if may_go_now || !self.is_draining(item.model()) {
+                if may_drain || !self.is_draining(item.model()) {
                     self.drain(now, &id, item);
                 }
             }
@@ -59,7 +59,7 @@
             return false;
         }
         let Some(model) = self.domain.model(engine, item.model()) else {
-            return now.since(self.gained) >= self.settings.unknown_wait;
+            return now.since(self.term_began) >= self.settings.removal_delay;
         };
         let Some(e) = self.engines.get(engine) else { return false };
         match item {
@@ -81,9 +81,9 @@
     /// Whether the engine serves this old version along with a later one that is old too.
     ///
     /// When versions are published faster than they load, old versions that wait for the newest one
-    /// would fill the engine and block it until `swap_only` has passed. One old version is enough,
-    /// since versions on one engine share its slots. The latest is kept. Versions that are still
-    /// loading do not count, so that one version always serves.
+    /// would fill the engine and block it until `evict_only_replica_after` has passed. One old version
+    /// is enough, since versions on one engine share its slots. The latest is kept. Versions that
+    /// are still loading do not count, so that one version always serves.
     fn is_extra_version(&self, engine: &UpstreamId, item: &Item) -> bool {
         let Some(e) = self.engines.get(engine) else { return false };
         let is_old = |i: &&Item| {
@@ -92,12 +92,12 @@
                 && e.serves(i)
                 && !self.domain.is_current(engine, i)
         };
-        let kept = e.ledger.held().keys().rfind(is_old);
+        let kept = e.ledger.loaded().keys().rfind(is_old);
         is_old(&item) && kept.is_some_and(|kept| kept != item)
     }
 
     pub(super) fn evict_drained(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
-        for id in self.usable() {
+        for id in self.usable_engines() {
             let Some(e) = self.engines.get(&id) else { continue };
             if now < e.paused_until {
                 continue;
@@ -123,14 +123,14 @@
     }
 
     fn is_unused(&self, now: Time, engine: &Engine, item: &Item, drain: &Drain) -> bool {
-        let Some(opened) = self.first_published else { return false };
-        let settled = drain.since.max(opened) + self.settings.settle;
+        let Some(published) = self.first_published else { return false };
+        let unused_after = drain.since.max(published) + self.settings.drain_delay;
         let ledger = &engine.ledger;
-        if ledger.asked().is_none_or(|asked| asked < settled) {
+        if ledger.read_requested_at().is_none_or(|requested| requested < unused_after) {
             return false;
         }
         let uses = |i: &Item| i == item || (!item.is_model() && i.model() == item.model());
-        let active = ledger.held().iter().any(|(i, h)| uses(i) && h.active > 0);
+        let active = ledger.loaded().iter().any(|(i, h)| uses(i) && h.active > 0);
         !active || now.since(drain.since) >= self.settings.drain_limit
     }
 }
--- a/crates/placement/src/leader/engine.rs
+++ b/crates/placement/src/leader/engine.rs
@@ -1,3 +1,5 @@
+//! The leader's state of one engine.
+
 use std::time::Duration;
 
 use hgw_config::{Fencing, Upstream};
@@ -15,7 +17,7 @@
     /// Its state must be read by a request made after this time.
     Read(Time),
     /// Its state is known.
-    Counted,
+    Known,
 }
 
 /// An item that is being drained before its eviction.
@@ -36,7 +38,7 @@
     fenced: bool,
     /// Maximum delay of late orders, as configured. Keeps the last value after the engine is
     /// removed from the configuration.
-    pub(super) late: Duration,
+    pub(super) late_order_bound: Duration,
     /// Whether the configuration lists it in this domain.
     pub(super) configured: bool,
     /// When the pending state read was requested.
@@ -44,7 +46,7 @@
     pub(super) next_read: Time,
     /// Consecutive reads and orders without a response.
     pub(super) consecutive_failures: u32,
-    pub(super) lost: bool,
+    pub(super) unreachable: bool,
     /// Whether it reports itself as leaving.
     pub(super) reports_leaving: bool,
     pub(super) drains: IndexMap<Item, Drain>,
@@ -58,12 +60,12 @@
             ledger: Ledger::new(upstream.memory),
             phase: Phase::first(now, upstream.fencing),
             fenced: upstream.fencing == Fencing::Refuses,
-            late: Duration::from_millis(upstream.late_order_ms),
+            late_order_bound: Duration::from_millis(upstream.late_order_ms),
             configured: true,
             pending_read: None,
             next_read: now,
             consecutive_failures: 0,
-            lost: false,
+            unreachable: false,
             reports_leaving: false,
             drains: IndexMap::new(),
             paused_until: now,
@@ -76,27 +78,27 @@
             self.phase = Phase::Fence(now);
         }
         self.fenced = upstream.fencing == Fencing::Refuses;
-        self.late = Duration::from_millis(upstream.late_order_ms);
+        self.late_order_bound = Duration::from_millis(upstream.late_order_ms);
     }
 
     /// Whether its state is known and it is reachable.
-    pub(super) fn is_counted(&self) -> bool {
-        self.configured && !self.lost && self.phase == Phase::Counted
+    pub(super) fn is_available(&self) -> bool {
+        self.configured && !self.unreachable && self.phase == Phase::Known
     }
 
     /// Whether its state is known or it is considered unreachable.
     pub(super) fn is_known(&self) -> bool {
-        self.lost || self.phase == Phase::Counted
+        self.unreachable || self.phase == Phase::Known
     }
 
     /// Whether the item is ready and not draining.
     pub(super) fn serves(&self, item: &Item) -> bool {
-        self.is_counted() && self.ledger.is_ready(item) && !self.drains.contains_key(item)
+        self.is_available() && self.ledger.is_ready(item) && !self.drains.contains_key(item)
     }
 
     /// Whether an operation is in progress whose result the next read may show.
     pub(super) fn is_busy(&self) -> bool {
-        self.phase != Phase::Counted || !self.drains.is_empty() || self.ledger.is_unsettled()
+        self.phase != Phase::Known || !self.drains.is_empty() || self.ledger.may_be_loading()
     }
 
     /// Free memory after all drains complete.
@@ -107,13 +109,13 @@
     /// Memory that evicting the item frees. Evicting the last version of a model also evicts its
     /// adapters.
     pub(super) fn memory_freed_by(&self, item: &Item) -> MemSize {
-        let held = self.ledger.held();
-        let versions = held.keys().filter(|i| i.is_model() && i.model() == item.model()).count();
-        let goes = |i: &Item| {
-            let goes_along = item.is_model() && versions == 1 && i.model() == item.model();
-            i == item || (goes_along && !self.drains.contains_key(i))
+        let loaded = self.ledger.loaded();
+        let versions = loaded.keys().filter(|i| i.is_model() && i.model() == item.model()).count();
+        let is_freed = |i: &Item| {
+            let is_adapter_of_it = item.is_model() && versions == 1 && i.model() == item.model();
+            i == item || (is_adapter_of_it && !self.drains.contains_key(i))
         };
-        held.iter().filter(|(i, _)| goes(i)).map(|(_, h)| h.size).sum()
+        loaded.iter().filter(|(i, _)| is_freed(i)).map(|(_, h)| h.size).sum()
     }
 
     /// Withdraws the item from the placement; it is evicted once it is unused.
@@ -129,9 +131,9 @@
         }
     }
 
-    pub(super) fn record_failure(&mut self, lost_after: u32) {
+    pub(super) fn record_failure(&mut self, unreachable_after: u32) {
         self.consecutive_failures += 1;
-        self.lost = self.lost || self.consecutive_failures >= lost_after;
+        self.unreachable = self.unreachable || self.consecutive_failures >= unreachable_after;
     }
 
     /// Applies a state, unless the engine's fencing token must be raised first.
@@ -164,10 +166,10 @@
             StateOutcome::Applied => {}
             StateOutcome::Restarted => self.drains.clear(),
         }
-        let held = self.ledger.held();
-        self.drains.retain(|item, _| held.contains_key(item));
-        self.phase = Phase::Counted;
-        self.lost = false;
+        let loaded = self.ledger.loaded();
+        self.drains.retain(|item, _| loaded.contains_key(item));
+        self.phase = Phase::Known;
+        self.unreachable = false;
         self.reports_leaving = state.leaving;
     }
 }
--- a/crates/placement/src/leader/engine_state.rs
+++ b/crates/placement/src/leader/engine_state.rs
@@ -14,11 +14,11 @@
             match engine.phase {
                 Phase::Fence(due) if now >= due => fences.push(id.clone()),
                 Phase::Fence(_) => {}
-                Phase::Read(_) | Phase::Counted => {
-                    let waits = engine
+                Phase::Read(_) | Phase::Known => {
+                    let pending = engine
                         .pending_read
-                        .is_some_and(|asked| now.since(asked) < self.settings.ask_timeout);
-                    if !waits && now >= engine.next_read {
+                        .is_some_and(|asked| now.since(asked) < self.settings.read_timeout);
+                    if !pending && now >= engine.next_read {
                         engine.pending_read = Some(now);
                         out.push(LeaderAction::ReadState(id.clone()));
                     }
@@ -37,7 +37,12 @@
         let _ = self.issue_order(now, engine, OrderKind::Fence, out);
     }
 
-    pub(super) fn fence_answered(&mut self, now: Time, engine: &UpstreamId, result: &OrderResult) {
+    pub(super) fn handle_fence_result(
+        &mut self,
+        now: Time,
+        engine: &UpstreamId,
+        result: &OrderResult,
+    ) {
         let settings = &self.settings;
         let Some(e) = self.engines.get_mut(engine) else { return };
         if !matches!(e.phase, Phase::Fence(_)) {
@@ -53,21 +58,21 @@
             // Another leader has taken over; the log will show its claim.
             OrderResult::Answered(_) => e.phase = Phase::Fence(now + settings.poll_idle),
             OrderResult::NotSent | OrderResult::Lost => {
-                e.record_failure(settings.lost_after);
-                let wait = if e.lost { settings.poll_idle } else { settings.retry };
+                e.record_failure(settings.unreachable_after);
+                let wait = if e.unreachable { settings.poll_idle } else { settings.retry };
                 e.phase = Phase::Fence(now + wait);
             }
         }
     }
 
-    pub(super) fn take_state(
+    pub(super) fn handle_state(
         &mut self,
         now: Time,
         engine: &UpstreamId,
         asked: Time,
         state: Option<&EngineState>,
     ) {
-        let fence: Option<Term> = self.term.filter(|_| self.domain.refuses(engine));
+        let fence: Option<Term> = self.term.filter(|_| self.domain.rejects_old_fences(engine));
         let settings = &self.settings;
         let Some(e) = self.engines.get_mut(engine) else { return };
         if e.pending_read == Some(asked) {
@@ -75,9 +80,9 @@
         }
         match state {
             Some(state) => e.read(now, asked, state, fence),
-            None => e.record_failure(settings.lost_after),
+            None => e.record_failure(settings.unreachable_after),
         }
-        let busy = e.is_busy() || (e.consecutive_failures > 0 && !e.lost);
+        let busy = e.is_busy() || (e.consecutive_failures > 0 && !e.unreachable);
         e.next_read = now + if busy { settings.poll_busy } else { settings.poll_idle };
     }
 
--- a/crates/placement/src/leader/intents.rs
+++ b/crates/placement/src/leader/intents.rs
@@ -1,3 +1,5 @@
+//! Recorded orders that may still take effect.
+
 use std::time::Duration;
 
 use hgw_types::{RecordId, UpstreamId};
@@ -45,7 +47,7 @@
         })
     }
 
-    pub(super) fn of(&self, engine: &UpstreamId) -> Vec<(RecordId, OrderKind)> {
+    pub(super) fn of_engine(&self, engine: &UpstreamId) -> Vec<(RecordId, OrderKind)> {
         let orders = self.open.values().filter_map(|entry| match entry {
             LeaderEntry::Intent { upstream, order, kind, .. } if upstream == engine => {
                 Some((*order, kind.clone()))
--- a/crates/placement/src/leader/mod.rs
+++ b/crates/placement/src/leader/mod.rs
@@ -26,7 +26,9 @@
 
 pub use settings::{LeaderSettings, SEND_WINDOW};
 
-use crate::{DemandPlanner, DemandSettings, LeaderAction, LeaderEntry, LeaderEvent, Shares};
+use crate::{
+    DemandPlanner, DemandSettings, LeaderAction, LeaderEntry, LeaderEvent, WeightStoreShare,
+};
 use domain::Domain;
 use engine::Engine;
 use intents::Intents;
@@ -45,28 +47,28 @@
     log_up: bool,
     /// Set while this node has the lease.
     term: Option<Term>,
-    gained: Time,
+    term_began: Time,
     /// When this term's first placement was published.
     first_published: Option<Time>,
     engines: IndexMap<UpstreamId, Engine>,
     orders_in_flight: IndexMap<RecordId, OrderInFlight>,
     /// The pending record that settles intents.
-    settling: Option<RecordId>,
-    shares: Shares,
+    settle_record: Option<RecordId>,
+    weight_store: WeightStoreShare,
     demand: DemandPlanner,
     demand_due: Time,
     /// Loads requested by the demand planner that are not ready yet, with the time of the request.
     replicas: IndexMap<(UpstreamId, ModelId), Time>,
     /// Models with unmet requests in this domain, with the time of the last one.
-    missing: IndexMap<ModelId, Time>,
+    unmet_models: IndexMap<ModelId, Time>,
     /// Adapters that callers requested and no engine had, with the time of the last request.
     adapters: IndexMap<(ModelId, AdapterId), Time>,
     /// Since when a floor replica has found no memory on its engine.
-    no_room: IndexMap<(UpstreamId, ModelId), Time>,
+    waiting_for_memory: IndexMap<(UpstreamId, ModelId), Time>,
     available: AvailableItems,
-    planned: Option<Time>,
+    planned_at: Option<Time>,
     placement: IndexMap<UpstreamId, Holding>,
-    published_lost: Option<Vec<UpstreamId>>,
+    published_unreachable: Option<Vec<UpstreamId>>,
 }
 
 impl Leader {
@@ -82,50 +84,50 @@
             leaving: Vec::new(),
             log_up: true,
             term: None,
-            gained: Time::ZERO,
+            term_began: Time::ZERO,
             first_published: None,
             engines: IndexMap::new(),
             orders_in_flight: IndexMap::new(),
-            settling: None,
-            shares: Shares::default(),
+            settle_record: None,
+            weight_store: WeightStoreShare::default(),
             demand: DemandPlanner::new(DemandSettings::default(), boot),
             demand_due: Time::ZERO,
             replicas: IndexMap::new(),
-            missing: IndexMap::new(),
+            unmet_models: IndexMap::new(),
             adapters: IndexMap::new(),
-            no_room: IndexMap::new(),
+            waiting_for_memory: IndexMap::new(),
             available: AvailableItems::default(),
-            planned: None,
+            planned_at: None,
             placement: IndexMap::new(),
-            published_lost: None,
+            published_unreachable: None,
         }
     }
 
     /// Handles one event and appends the resulting actions to `out`. `now` must not decrease.
     pub fn handle(&mut self, now: Time, event: LeaderEvent, out: &mut Vec<LeaderAction>) {
-        let every = match event {
+        let interval = match event {
             LeaderEvent::Tick => self.settings.plan_idle,
             _ => self.settings.plan_busy,
         };
         match event {
             LeaderEvent::Config { version, document } => self.configure(now, version, document),
             LeaderEvent::Floor(floor) => self.domain.set_floor(floor),
-            LeaderEvent::LeaseAcquired(term) => self.gain(now, term),
-            LeaderEvent::LeaseLost => self.lose(),
+            LeaderEvent::LeaseAcquired(term) => self.begin_term(now, term),
+            LeaderEvent::LeaseLost => self.end_term(),
             LeaderEvent::Apply { id, entry } => self.apply(now, id, entry, out),
             LeaderEvent::Restore(entries) => self.intents.restore(entries),
             LeaderEvent::Dropped(id) => self.dropped(now, id),
             LeaderEvent::State { upstream, asked, state } => {
-                self.take_state(now, &upstream, asked, state.as_ref());
+                self.handle_state(now, &upstream, asked, state.as_ref());
             }
-            LeaderEvent::Answer { order, result } => self.answered(now, order, &result),
-            LeaderEvent::Demand(demand) => self.take_demand(now, &demand),
+            LeaderEvent::Answer { order, result } => self.handle_result(now, order, &result),
+            LeaderEvent::Demand(demand) => self.handle_demand(now, &demand),
             LeaderEvent::Leaving(leaving) => self.leaving = leaving,
             LeaderEvent::LogUp(up) => self.log_up = up,
             LeaderEvent::Tick => {}
         }
         if self.term.is_some() {
-            self.step(now, every, out);
+            self.step(now, interval, out);
         }
     }
 
@@ -146,9 +148,9 @@
     }
 
     /// Unreachable engines.
-    pub fn lost(&self) -> Vec<UpstreamId> {
-        let lost = self.engines.iter().filter(|(_, e)| e.configured && e.lost);
-        lost.map(|(id, _)| id.clone()).collect()
+    pub fn unreachable(&self) -> Vec<UpstreamId> {
+        let unreachable = self.engines.iter().filter(|(_, e)| e.configured && e.unreachable);
+        unreachable.map(|(id, _)| id.clone()).collect()
     }
 
     /// Reserved memory of an engine, while this node is leader.
@@ -163,50 +165,50 @@
         }
     }
 
-    fn gain(&mut self, now: Time, term: Term) {
-        self.lose();
+    fn begin_term(&mut self, now: Time, term: Term) {
+        self.end_term();
         self.term = Some(term);
-        self.gained = now;
-        self.shares = Shares::new(now);
+        self.term_began = now;
+        self.weight_store = WeightStoreShare::new(now);
         self.sync_engines(now);
     }
 
     /// Clears the state of the term. The next leader accounts for orders that were sent before.
-    fn lose(&mut self) {
+    fn end_term(&mut self) {
         self.term = None;
         self.first_published = None;
         self.demand = DemandPlanner::new(DemandSettings::default(), self.boot);
         self.engines.clear();
         self.orders_in_flight.clear();
-        self.settling = None;
+        self.settle_record = None;
         self.replicas.clear();
-        self.missing.clear();
+        self.unmet_models.clear();
         self.adapters.clear();
-        self.no_room.clear();
-        self.planned = None;
+        self.waiting_for_memory.clear();
+        self.planned_at = None;
         self.placement.clear();
-        self.published_lost = None;
+        self.published_unreachable = None;
     }
 
     /// Updates the engines from the configuration. An engine removed from the configuration is
     /// kept, since orders to it may still take effect if it is added again.
     fn sync_engines(&mut self, now: Time) {
-        self.shares.configure(self.domain.document(), self.domain.id());
-        let wanted: IndexSet<UpstreamId> =
+        self.weight_store.configure(self.domain.document(), self.domain.id());
+        let configured: IndexSet<UpstreamId> =
             self.domain.engines().map(|(id, _)| id.clone()).collect();
         for (id, engine) in &mut self.engines {
-            engine.configured = wanted.contains(id);
+            engine.configured = configured.contains(id);
         }
-        for id in &wanted {
+        for id in &configured {
             let Some(upstream) = self.domain.upstream(id) else { continue };
             if let Some(engine) = self.engines.get_mut(id) {
                 engine.reconfigure(now, upstream);
                 continue;
             }
             let mut engine = Engine::new(now, upstream);
-            let dead_at = self.gained + settings::successor_wait(engine.late);
-            for (order, kind) in self.intents.of(id) {
-                engine.ledger.inherit(order, &kind, dead_at);
+            let expires_at = self.term_began + settings::successor_wait(engine.late_order_bound);
+            for (order, kind) in self.intents.of_engine(id) {
+                engine.ledger.inherit(order, &kind, expires_at);
             }
             self.engines.insert(id.clone(), engine);
         }
@@ -215,15 +217,15 @@
     /// Runs all steps in the order of their dependencies.
     ///
     /// Planning looks at all engines while events arrive many times a second, so it runs at most
-    /// once per `every`.
-    fn step(&mut self, now: Time, every: Duration, out: &mut Vec<LeaderAction>) {
+    /// once per `interval`.
+    fn step(&mut self, now: Time, interval: Duration, out: &mut Vec<LeaderAction>) {
         self.poll(now, out);
         self.close_orders(now, out);
-        self.repeat_orders(now, out);
-        if self.planned.is_some_and(|t| now.since(t) < every) {
+        self.retry_orders(now, out);
+        if self.planned_at.is_some_and(|t| now.since(t) < interval) {
             return;
         }
-        self.planned = Some(now);
+        self.planned_at = Some(now);
         self.plan_demand(now);
         self.plan_loads(now, out);
         self.plan_retirement(now);
--- a/crates/placement/src/leader/orders.rs
+++ b/crates/placement/src/leader/orders.rs
@@ -24,7 +24,7 @@
     stage: Stage,
     record: RecordId,
     /// Deadline for sending; `None` if the engine itself rejects the order after a leader change.
-    until: Option<Time>,
+    send_by: Option<Time>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Waits for the response.
     Sent,
     /// Will be retried at this time.
-    Again(Time),
+    RetryAt(Time),
 }
 
 impl Leader {
@@ -47,13 +47,13 @@
         out: &mut Vec<LeaderAction>,
     ) -> crate::ledger::Result<RecordId> {
         let id = self.next_id();
-        let grows = Item::loaded_by(&kind).is_some();
-        let refuses = self.domain.refuses(engine);
+        let may_load = Item::loaded_by(&kind).is_some();
+        let rejects = self.domain.rejects_old_fences(engine);
         let e = self.engines.get_mut(engine).ok_or(ReserveError::NotRead)?;
-        if grows {
+        if may_load {
             e.ledger.reserve(id, &kind)?;
         }
-        if grows && !refuses {
+        if may_load && !rejects {
             self.record_intent(now, engine, id, id, kind, out);
         } else {
             self.send_unrecorded(now, engine, id, kind, out);
@@ -71,7 +71,7 @@
     ) {
         let (upstream, stage) = (engine.clone(), Stage::Recording);
         self.orders_in_flight
-            .insert(order, OrderInFlight { upstream, kind, stage, record: order, until: None });
+            .insert(order, OrderInFlight { upstream, kind, stage, record: order, send_by: None });
         self.send(now, order, out);
     }
 
@@ -86,12 +86,12 @@
         kind: OrderKind,
         out: &mut Vec<LeaderAction>,
     ) {
-        if self.domain.refuses(engine) {
+        if self.domain.rejects_old_fences(engine) {
             self.send_unrecorded(now, engine, order, kind, out);
             return;
         }
         if let Some(e) = self.engines.get_mut(engine) {
-            e.ledger.renew(order, now + SEND_WINDOW + e.late);
+            e.ledger.extend(order, now + SEND_WINDOW + e.late_order_bound);
         }
         let record = self.next_id();
         self.record_intent(now, engine, order, record, kind, out);
@@ -107,14 +107,14 @@
         out: &mut Vec<LeaderAction>,
     ) {
         let Some(e) = self.engines.get(engine) else { return };
-        let late_order_ms = u64::try_from(e.late.as_millis()).unwrap_or(u64::MAX);
+        let late_order_ms = u64::try_from(e.late_order_bound.as_millis()).unwrap_or(u64::MAX);
         let (upstream, generation) = (engine.clone(), e.ledger.generation().unwrap_or_default());
         let flight = OrderInFlight {
             upstream: upstream.clone(),
             kind: kind.clone(),
             stage: Stage::Recording,
             record,
-            until: Some(now + SEND_WINDOW),
+            send_by: Some(now + SEND_WINDOW),
         };
         self.orders_in_flight.insert(order, flight);
         let entry = LeaderEntry::Intent { upstream, generation, order, kind, late_order_ms };
@@ -123,14 +123,14 @@
 
     /// Finds the order that waits for this record.
     fn recorded_by(&self, record: RecordId) -> Option<RecordId> {
-        let waits = |f: &OrderInFlight| f.record == record && f.stage == Stage::Recording;
-        self.orders_in_flight.iter().find(|(_, f)| waits(f)).map(|(order, _)| *order)
+        let is_recorded_by = |f: &OrderInFlight| f.record == record && f.stage == Stage::Recording;
+        self.orders_in_flight.iter().find(|(_, f)| is_recorded_by(f)).map(|(order, _)| *order)
     }
 
     /// Items that orders in flight to the engine load.
     pub(super) fn items_in_flight_to(&self, engine: &UpstreamId) -> impl Iterator<Item = Item> {
-        let there = self.orders_in_flight.values().filter(move |f| f.upstream == *engine);
-        there.filter_map(|f| Some(Item::loaded_by(&f.kind)?.0))
+        let to_engine = self.orders_in_flight.values().filter(move |f| f.upstream == *engine);
+        to_engine.filter_map(|f| Some(Item::loaded_by(&f.kind)?.0))
     }
 
     /// Whether an order in flight loads the item on the engine.
@@ -142,17 +142,17 @@
         let (Some(fence), Some(flight)) = (self.term, self.orders_in_flight.get_mut(&id)) else {
             return;
         };
-        let send_by = flight.until.unwrap_or(now + SEND_WINDOW);
-        let grows = Item::loaded_by(&flight.kind).is_some();
+        let send_by = flight.send_by.unwrap_or(now + SEND_WINDOW);
+        let may_load = Item::loaded_by(&flight.kind).is_some();
         let engine = self.engines.get(&flight.upstream);
         let reserved = engine.is_some_and(|e| e.ledger.is_open(id));
-        if now > send_by || (grows && !reserved) {
+        if now > send_by || (may_load && !reserved) {
             self.cancel_order(now, id);
             return;
         }
         flight.stage = Stage::Sent;
         if let Some(e) = self.engines.get_mut(&flight.upstream) {
-            e.ledger.sending(id);
+            e.ledger.record_send(id);
         }
         let order = Order { id, fence, kind: flight.kind.clone() };
         out.push(LeaderAction::Order { upstream: flight.upstream.clone(), order, send_by });
@@ -176,30 +176,30 @@
         out: &mut Vec<LeaderAction>,
     ) {
         self.intents.apply(entry);
-        self.settling.take_if(|record| *record == id);
+        self.settle_record.take_if(|record| *record == id);
         if let Some(order) = self.recorded_by(id) {
             self.send(now, order, out);
         }
     }
 
     pub(super) fn dropped(&mut self, now: Time, id: RecordId) {
-        self.settling.take_if(|record| *record == id);
+        self.settle_record.take_if(|record| *record == id);
         if let Some(order) = self.recorded_by(id) {
             self.cancel_order(now, order);
         }
     }
 
-    pub(super) fn answered(&mut self, now: Time, id: RecordId, result: &OrderResult) {
+    pub(super) fn handle_result(&mut self, now: Time, id: RecordId, result: &OrderResult) {
         let Some(flight) = self.orders_in_flight.get_mut(&id) else { return };
         let engine = flight.upstream.clone();
         if flight.kind == OrderKind::Fence {
             self.orders_in_flight.shift_remove(&id);
-            self.fence_answered(now, &engine, result);
+            self.handle_fence_result(now, &engine, result);
             return;
         }
-        flight.stage = Stage::Again(now + self.settings.retry);
+        flight.stage = Stage::RetryAt(now + self.settings.retry);
         if let Some(e) = self.engines.get_mut(&engine) {
-            e.ledger.answered(now, id, result, e.late);
+            e.ledger.handle_result(now, id, result, e.late_order_bound);
             match result {
                 OrderResult::Answered(outcome) => {
                     if *outcome != OrderOutcome::Done {
@@ -208,7 +208,7 @@
                     e.finish_eviction(now, id);
                 }
                 OrderResult::NotSent | OrderResult::Lost => {
-                    e.record_failure(self.settings.lost_after)
+                    e.record_failure(self.settings.unreachable_after)
                 }
             }
         }
@@ -219,12 +219,12 @@
     }
 
     /// Retries orders without a response, if they are still needed and may still be sent.
-    pub(super) fn repeat_orders(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
-        let due = |f: &OrderInFlight| matches!(f.stage, Stage::Again(t) if now >= t);
+    pub(super) fn retry_orders(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
+        let due = |f: &OrderInFlight| matches!(f.stage, Stage::RetryAt(t) if now >= t);
         let due: Vec<RecordId> =
             self.orders_in_flight.iter().filter(|(_, f)| due(f)).map(|(id, _)| *id).collect();
         for id in due {
-            if self.is_still_wanted(id) {
+            if self.is_still_needed(id) {
                 self.send(now, id, out);
             } else {
                 self.cancel_order(now, id);
@@ -232,15 +232,15 @@
         }
     }
 
-    fn is_still_wanted(&self, id: RecordId) -> bool {
+    fn is_still_needed(&self, id: RecordId) -> bool {
         let Some(flight) = self.orders_in_flight.get(&id) else { return false };
-        let Some(e) = self.engines.get(&flight.upstream).filter(|e| e.is_counted()) else {
+        let Some(e) = self.engines.get(&flight.upstream).filter(|e| e.is_available()) else {
             return false;
         };
         match Item::loaded_by(&flight.kind) {
             Some((item, _)) => {
                 let current = self.domain.is_current(&flight.upstream, &item);
-                current && e.ledger.repeatable(&item).is_some_and(|(order, _)| order == id)
+                current && e.ledger.retryable(&item).is_some_and(|(order, _)| order == id)
             }
             None => e.drains.values().any(|d| d.order == Some(id)),
         }
@@ -254,23 +254,24 @@
     /// stay in every snapshot. They count if the engine is added again before that.
     pub(super) fn close_orders(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
         self.engines.values_mut().for_each(|e| e.ledger.expire(now));
-        if self.settling.is_some() || !self.log_up {
+        if self.settle_record.is_some() || !self.log_up {
             return;
         }
-        let is_over = |order: RecordId, engine: &UpstreamId, late: Duration| {
+        let is_expired = |order: RecordId, engine: &UpstreamId, late_order_bound: Duration| {
             let Some(e) = self.engines.get(engine) else {
-                return now >= self.gained + successor_wait(late);
+                return now >= self.term_began + successor_wait(late_order_bound);
             };
             !e.ledger.is_open(order) && !self.orders_in_flight.contains_key(&order)
         };
-        let over =
-            self.intents.orders().filter(|(order, engine, late)| is_over(*order, engine, *late));
-        let orders: Vec<RecordId> = over.map(|(order, ..)| order).collect();
+        let expired = self.intents.orders().filter(|(order, engine, late_order_bound)| {
+            is_expired(*order, engine, *late_order_bound)
+        });
+        let orders: Vec<RecordId> = expired.map(|(order, ..)| order).collect();
         if orders.is_empty() {
             return;
         }
         let id = self.next_id();
-        self.settling = Some(id);
+        self.settle_record = Some(id);
         out.push(LeaderAction::Record { id, entry: LeaderEntry::Settled { orders } });
     }
 
@@ -280,10 +281,10 @@
     }
 
     /// Number of loads in the domain that use the weight store or are about to.
-    pub(super) fn loads_running(&self) -> usize {
+    pub(super) fn running_loads(&self) -> usize {
         let recording =
             self.orders_in_flight.values().filter(|f| f.stage == Stage::Recording).count();
-        let answering = self.engines.values().filter(|e| e.configured && !e.lost);
-        recording + answering.map(|e| e.ledger.loading()).sum::<usize>()
+        let reachable = self.engines.values().filter(|e| e.configured && !e.unreachable);
+        recording + reachable.map(|e| e.ledger.loads_in_progress()).sum::<usize>()
     }
 }
--- a/crates/placement/src/leader/publish.rs
+++ b/crates/placement/src/leader/publish.rs
@@ -14,8 +14,8 @@
     /// unreachable. It replaces the previous leader's placement, and callers must not lose routes
     /// to engines that have not been read yet.
     pub(super) fn publish(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
-        let waited = now.since(self.gained) >= self.settings.first_publish;
-        if self.first_published.is_none() && !self.is_complete() && !waited {
+        let timed_out = now.since(self.term_began) >= self.settings.first_publish_timeout;
+        if self.first_published.is_none() && !self.is_complete() && !timed_out {
             return;
         }
         self.first_published.get_or_insert(now);
@@ -24,8 +24,9 @@
         for id in ids {
             let holding = self.holding(&id);
             let known = self.engines[&id].is_known();
-            let before = self.placement.get(&id);
-            if known && before != Some(&holding) || !known && before.is_some_and(|b| *b != holding)
+            let previous = self.placement.get(&id);
+            if known && previous != Some(&holding)
+                || !known && previous.is_some_and(|b| *b != holding)
             {
                 self.placement.insert(id.clone(), holding.clone());
                 changed.insert(id, holding);
@@ -34,10 +35,10 @@
         if !changed.is_empty() {
             out.push(LeaderAction::Placement(changed));
         }
-        let lost = self.lost();
-        if self.is_complete() && self.published_lost.as_ref() != Some(&lost) {
-            self.published_lost = Some(lost.clone());
-            out.push(LeaderAction::UnreachableEngines(lost));
+        let unreachable = self.unreachable();
+        if self.is_complete() && self.published_unreachable.as_ref() != Some(&unreachable) {
+            self.published_unreachable = Some(unreachable.clone());
+            out.push(LeaderAction::UnreachableEngines(unreachable));
         }
     }
 
@@ -48,7 +49,7 @@
             return holding;
         }
         let Some(e) = self.engines.get(engine) else { return holding };
-        for item in e.ledger.held().keys().filter(|i| e.serves(i)) {
+        for item in e.ledger.loaded().keys().filter(|i| e.serves(i)) {
             if self.domain.model(engine, item.model()).is_none() {
                 continue;
             }
--- a/crates/placement/src/ledger/item.rs
+++ b/crates/placement/src/ledger/item.rs
@@ -1,3 +1,5 @@
+//! Items in engine memory and the orders that load or evict them.
+
 use derive_more::Display;
 use hgw_types::{AdapterId, MemSize, ModelId, VersionId};
 use hgw_wire::upstream::OrderKind;
--- a/crates/placement/src/ledger/pending.rs
+++ b/crates/placement/src/ledger/pending.rs
@@ -1,3 +1,5 @@
+//! An order that the ledger counts.
+
 use hgw_types::{Generation, MemSize, Time};
 
 use super::Item;
@@ -16,9 +18,9 @@
     /// Lost copies.
     pub(super) lost: u32,
     /// Engine generation in which the order is known to have been executed.
-    pub(super) done_in: Option<Generation>,
+    pub(super) executed_in: Option<Generation>,
     /// When lost copies can no longer take effect.
-    pub(super) dead_at: Option<Time>,
+    pub(super) expires_at: Option<Time>,
     /// Whether the only copy in flight is known to have taken effect.
     pub(super) consumed: bool,
     /// Whether a previous leader sent the order, an unknown number of times.
@@ -32,8 +34,8 @@
             size,
             in_flight: 0,
             lost: 0,
-            done_in: None,
-            dead_at: None,
+            executed_in: None,
+            expires_at: None,
             consumed: false,
             inherited: false,
         }
@@ -41,11 +43,11 @@
 
     /// Records that the engine's state shows the item. If there was only one copy, that copy loaded
     /// it.
-    pub(super) fn seen(&mut self, generation: Generation) {
-        if self.done_in == Some(generation) {
+    pub(super) fn record_observed(&mut self, generation: Generation) {
+        if self.executed_in == Some(generation) {
             return;
         }
-        self.done_in = Some(generation);
+        self.executed_in = Some(generation);
         if self.inherited || self.in_flight + self.lost != 1 {
             return;
         }
@@ -53,26 +55,26 @@
         self.lost = 0;
     }
 
-    pub(super) fn lose(&mut self, dead_at: Time) {
+    pub(super) fn record_loss(&mut self, expires_at: Time) {
         if self.consumed {
             return;
         }
         self.lost += 1;
-        self.dead_at = self.dead_at.max(Some(dead_at));
+        self.expires_at = self.expires_at.max(Some(expires_at));
     }
 
     /// Whether it may still load its item on an engine of this generation.
-    pub(super) fn may_grow(&self, generation: Option<Generation>) -> bool {
-        self.done_in.is_none() || self.done_in != generation
+    pub(super) fn may_load(&self, generation: Option<Generation>) -> bool {
+        self.executed_in.is_none() || self.executed_in != generation
     }
 
     /// Whether no copy can take effect any more, apart from the bound for late orders.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn has_no_copies(&self) -> bool {
         !self.inherited && self.in_flight == 0 && self.lost == 0
     }
 
     /// Whether the bound for late orders has passed for all copies.
-    pub(super) fn is_dead(&self, now: Time) -> bool {
-        self.in_flight == 0 && self.dead_at.is_some_and(|t| now >= t)
+    pub(super) fn is_expired(&self, now: Time) -> bool {
+        self.in_flight == 0 && self.expires_at.is_some_and(|t| now >= t)
     }
 }
--- a/crates/placement/src/shares/mod.rs
+++ b/crates/placement/src/weight_store/mod.rs
@@ -11,7 +11,7 @@
 
 /// Fraction of the store's rate that is shared. The rest is for new leaders, which start with an
 /// empty token bucket but do not know when the previous leader last loaded.
-const SHARED_OUT: f64 = 0.9;
+const SHARED_FRACTION: f64 = 0.9;
 
 /// One domain's share: a token bucket of loads and a limit on concurrent loads.
 ///
@@ -19,21 +19,21 @@
 /// so that its average use stays within its fraction of the slots. The domains share no clock, so
 /// concurrent loads may briefly exceed the store's limit.
 #[derive(Debug, Clone, Default)]
-pub struct Shares {
-    every: Duration,
+pub struct WeightStoreShare {
+    interval: Duration,
     parallel: usize,
     /// Seconds of pause for each second of loading; above 0 only if domains outnumber slots.
-    rest: f64,
+    pause_factor: f64,
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
     busy_since: Option<Time>,
-    rests_until: Time,
+    paused_until: Time,
 }
 
-impl Shares {
+impl WeightStoreShare {
     /// Creates a share with an empty token bucket.
-    pub fn new(now: Time) -> Shares {
-        Shares { filled: now, ..Shares::default() }
+    pub fn new(now: Time) -> WeightStoreShare {
+        WeightStoreShare { refilled_at: now, ..WeightStoreShare::default() }
     }
 
     /// Computes the share of `domain`; the tokens in the bucket are kept.
@@ -45,39 +45,40 @@
             return;
         };
         let WeightStore { loads_per_second, parallel } = document.weight_store;
-        let rate = loads_per_second.as_per_second() * SHARED_OUT / domains.len() as f64;
-        self.every = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX);
-        (self.parallel, self.rest) = slots(parallel as usize, domains.len(), rank);
+        let rate = loads_per_second.as_per_second() * SHARED_FRACTION / domains.len() as f64;
+        self.interval = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX);
+        (self.parallel, self.pause_factor) = slots(parallel as usize, domains.len(), rank);
     }
 
     /// Takes a token if a load may begin now, with `running` others in progress.
-    pub fn take(&mut self, now: Time, running: usize) -> bool {
+    pub fn try_acquire(&mut self, now: Time, running: usize) -> bool {
         self.refill(now);
-        let may = running < self.parallel && self.tokens >= 1.0 && now >= self.rests_until;
-        if may {
+        let allowed = running < self.parallel && self.tokens >= 1.0 && now >= self.paused_until;
+        if allowed {
             self.tokens -= 1.0;
         }
-        may
+        allowed
     }
 
     /// Must be called at each tick with the number of loads in progress.
     pub fn observe(&mut self, now: Time, running: usize) {
-        if self.rest == 0.0 {
+        if self.pause_factor == 0.0 {
             return;
         }
         match (self.busy_since, running) {
             (None, 1..) => self.busy_since = Some(now),
             (Some(since), 0) => {
                 self.busy_since = None;
-                self.rests_until = now + now.since(since).mul_f64(self.rest);
+                self.paused_until = now + now.since(since).mul_f64(self.pause_factor);
             }
             _ => {}
         }
     }
 
     fn refill(&mut self, now: Time) {
-        let gained = now.since(self.filled).as_secs_f64() / self.every.as_secs_f64().max(1e-6);
-        self.filled = now;
+        let gained =
+            now.since(self.refilled_at).as_secs_f64() / self.interval.as_secs_f64().max(1e-6);
+        self.refilled_at = now;
         // At most one token, so that idle domains cannot all burst at once.
         self.tokens = (self.tokens + gained).min(1.0);
     }
--- a/crates/placement/tests/demand.rs
+++ b/crates/placement/tests/demand.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hgw_config::Document;
-use hgw_placement::{DemandPlanner, DemandSettings, EngineView, HeldView, Move};
+use hgw_placement::{DemandPlanner, DemandSettings, EngineView, PlannedLoad, ReplicaView};
 use hgw_types::{MemSize, ModelId, Time, UpstreamId};
 use hgw_wire::peer::Demand;
 
@@ -29,13 +29,13 @@
 
 /// An engine; prefix `f` marks a floor replica, `l` one that is loading.
 fn engine(name: &str, models: &[&str]) -> EngineView {
-    let held = |text: &&str| HeldView {
+    let held = |text: &&str| ReplicaView {
         model: text.trim_start_matches(['f', 'l']).parse().unwrap(),
         size: MemSize(50),
         floor: text.starts_with('f'),
         ready: !text.starts_with('l'),
     };
-    let models: Vec<HeldView> = models.iter().map(held).collect();
+    let models: Vec<ReplicaView> = models.iter().map(held).collect();
     EngineView {
         upstream: name.parse().unwrap(),
         memory: MemSize(110),
@@ -58,7 +58,12 @@
 }
 
 /// Reports the demand for some seconds, with a plan each second, and returns the first moves.
-fn moves(seconds: u64, cost: f64, per_second: &[Demand], engines: &[EngineView]) -> Vec<Move> {
+fn moves(
+    seconds: u64,
+    cost: f64,
+    per_second: &[Demand],
+    engines: &[EngineView],
+) -> Vec<PlannedLoad> {
     let mut planner = DemandPlanner::new(DemandSettings::default(), 1);
     let document = document(cost);
     let mut moves = Vec::new();
@@ -73,11 +78,11 @@
     moves
 }
 
-fn a_move(upstream: &str, load: &str, evict: &[&str]) -> Vec<Move> {
+fn a_move(upstream: &str, load: &str, evict: &[&str]) -> Vec<PlannedLoad> {
     let evict = evict.iter().map(|m| m.parse::<ModelId>().unwrap()).collect();
-    vec![Move {
+    vec![PlannedLoad {
         upstream: upstream.parse::<UpstreamId>().unwrap(),
-        load: load.parse().unwrap(),
+        model: load.parse().unwrap(),
         evict,
     }]
 }
--- a/crates/placement/tests/placement/shares.rs
+++ b/crates/placement/tests/placement/shares.rs
@@ -4,7 +4,7 @@
 
 use hgw_config::Document;
 use hgw_config::Fencing::Refuses;
-use hgw_placement::Shares;
+use hgw_placement::WeightStoreShare;
 use hgw_types::{DomainId, Rate, Time};
 
 use crate::support::{document, id};
@@ -23,7 +23,8 @@
 fn run(domains: usize, rate: f64, parallel: u32, takes: Duration) -> (f64, usize, f64) {
     const STEPS: u64 = 6000;
     let (doc, names) = store(domains, rate, parallel);
-    let mut shares: Vec<Shares> = names.iter().map(|_| Shares::new(Time::ZERO)).collect();
+    let mut shares: Vec<WeightStoreShare> =
+        names.iter().map(|_| WeightStoreShare::new(Time::ZERO)).collect();
     shares.iter_mut().zip(&names).for_each(|(s, d)| s.configure(&doc, d));
     let mut running: Vec<Vec<Time>> = vec![Vec::new(); domains];
     let (mut begun, mut most, mut sum) = (0u32, 0, 0);
@@ -32,7 +33,7 @@
         for (share, loads) in shares.iter_mut().zip(&mut running) {
             loads.retain(|end| *end > now);
             share.observe(now, loads.len());
-            while share.take(now, loads.len()) {
+            while share.try_acquire(now, loads.len()) {
                 loads.push(now + takes);
                 share.observe(now, loads.len());
                 begun += 1;
@@ -60,11 +61,11 @@
 /// An idle bucket must not save up a burst.
 fn no_burst_after_idling() {
     let (doc, names) = store(4, 1.5, 6);
-    let mut share = Shares::new(Time::ZERO);
+    let mut share = WeightStoreShare::new(Time::ZERO);
     share.configure(&doc, &names[0]);
     let now = Time::from_millis(3_600_000);
-    assert!(share.take(now, 0));
-    assert!(!share.take(now, 0));
+    assert!(share.try_acquire(now, 0));
+    assert!(!share.try_acquire(now, 0));
 }
 
 cases! {
--- a/crates/placement/tests/placement/support/world.rs
+++ b/crates/placement/tests/placement/support/world.rs
@@ -60,7 +60,8 @@
     /// Starts a new process and returns its index.
     pub(crate) fn add_node(&mut self) -> usize {
         let n = self.nodes.len();
-        let settings = LeaderSettings { settle: Duration::from_millis(500), ..Default::default() };
+        let settings =
+            LeaderSettings { drain_delay: Duration::from_millis(500), ..Default::default() };
         let keeper = Leader::new(settings, id("d1"), n as u64 + 1);
         self.nodes.push(Node::new(keeper));
         self.tell_config(n);
