--- a/crates/placement/tests/demand.rs
+++ b/crates/placement/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Tests of the demand planner's moves.
+//! Tests of the loads that the demand planner selects.
 
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
 
 /// An engine; prefix `f` marks a floor replica, `l` one that is loading.
 fn engine(name: &str, models: &[&str]) -> EngineView {
-    let held = |text: &&str| ReplicaView {
+    let replica = |text: &&str| ReplicaView {
         model: text.trim_start_matches(['f', 'l']).parse().unwrap(),
         size: MemSize(50),
         floor: text.starts_with('f'),
         ready: !text.starts_with('l'),
     };
-    let models: Vec<ReplicaView> = models.iter().map(held).collect();
+    let models: Vec<ReplicaView> = models.iter().map(replica).collect();
     EngineView {
         upstream: name.parse().unwrap(),
         memory: MemSize(110),
@@ -57,8 +57,8 @@
     }
 }
 
-/// Reports the demand for some seconds, with a plan each second, and returns the first moves.
-fn moves(
+/// Reports the demand for some seconds, with a plan each second, and returns the first loads.
+fn first_loads(
     seconds: u64,
     cost: f64,
     per_second: &[Demand],
@@ -66,19 +66,19 @@
 ) -> Vec<PlannedLoad> {
     let mut planner = DemandPlanner::new(DemandSettings::default(), 1);
     let document = document(cost);
-    let mut moves = Vec::new();
+    let mut loads = Vec::new();
     for second in 1..=seconds {
         let now = Time::from_millis(second * 1000);
         planner.observe(now, per_second);
-        moves.extend(planner.plan(now, &document, engines));
-        if !moves.is_empty() {
+        loads.extend(planner.plan(now, &document, engines));
+        if !loads.is_empty() {
             break;
         }
     }
-    moves
+    loads
 }
 
-fn a_move(upstream: &str, load: &str, evict: &[&str]) -> Vec<PlannedLoad> {
+fn planned(upstream: &str, load: &str, evict: &[&str]) -> Vec<PlannedLoad> {
     let evict = evict.iter().map(|m| m.parse::<ModelId>().unwrap()).collect();
     vec![PlannedLoad {
         upstream: upstream.parse::<UpstreamId>().unwrap(),
@@ -88,17 +88,17 @@
 }
 
 macro_rules! cases {
-    ($($name:ident: $seconds:expr, $cost:expr, $demand:expr, $engines:expr => $moves:expr;)*) => {$(
+    ($($name:ident: $seconds:expr, $cost:expr, $demand:expr, $engines:expr => $loads:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(moves($seconds, $cost, &$demand, &$engines), $moves);
+            assert_eq!(first_loads($seconds, $cost, &$demand, &$engines), $loads);
         }
     )*};
 }
 
 cases! {
     loads_where_there_is_room: 30, 5.0, [demand("a", 20, 10, 6.0)],
-        [engine("e1", &["fa", "fb"]), engine("e2", &["fc"])] => a_move("e2", "a", &[]);
+        [engine("e1", &["fa", "fb"]), engine("e2", &["fc"])] => planned("e2", "a", &[]);
     leaves_all_where_nothing_is_refused: 60, 0.1, [demand("a", 30, 0, 7.0)],
         [engine("e1", &["fa"]), engine("e2", &["fc"])] => vec![];
     leaves_all_for_a_gain_below_the_cost: 60, 1000.0, [demand("a", 20, 10, 6.0)],
@@ -107,7 +107,7 @@
         [demand("a", 20, 10, 7.0), demand("c", 20, 10, 7.0)],
         [engine("e1", &["fa"]), engine("e2", &["fc"])] => vec![];
     evicts_an_idle_replica: 30, 5.0, [demand("a", 20, 10, 6.0)],
-        [engine("e1", &["fa", "fb"]), engine("e2", &["fc", "d"])] => a_move("e2", "a", &["d"]);
+        [engine("e1", &["fa", "fb"]), engine("e2", &["fc", "d"])] => planned("e2", "a", &["d"]);
     never_evicts_the_floor: 60, 1.0, [demand("a", 20, 10, 6.0)],
         [engine("e1", &["fa", "fb"]), engine("e2", &["fc", "fd"])] => vec![];
     keeps_a_replica_in_use: 60, 5.0, [demand("a", 20, 3, 6.0), demand("d", 20, 0, 5.0)],
@@ -115,7 +115,7 @@
     waits_for_a_load_under_way: 60, 5.0, [demand("a", 20, 10, 6.0)],
         [engine("e1", &["fa", "fb"]), engine("e2", &["la"])] => vec![];
     loads_what_no_engine_here_holds: 30, 10.0, [demand("d", 0, 1, 0.0)],
-        [engine("e1", &["fa", "fb"]), engine("e2", &["fc"])] => a_move("e2", "d", &[]);
+        [engine("e1", &["fa", "fb"]), engine("e2", &["fc"])] => planned("e2", "d", &[]);
 }
 
 #[test]
--- a/crates/placement/tests/placement/floor.rs
+++ b/crates/placement/tests/placement/floor.rs
@@ -12,7 +12,7 @@
 use crate::support::{document, id};
 
 /// Engines `e0..` spread over the domains, and models `m0..` of these sizes.
-fn made(domains: &[&str], engines: usize, memory: u64, sizes: &[u64]) -> Document {
+fn sized_document(domains: &[&str], engines: usize, memory: u64, sizes: &[u64]) -> Document {
     let engines: Vec<(String, &str)> =
         (0..engines).map(|n| (format!("e{n}"), domains[n % domains.len()])).collect();
     let engines: Vec<_> = engines.iter().map(|(e, d)| (e.as_str(), *d, memory, Refuses)).collect();
@@ -21,7 +21,7 @@
     document(&engines, &models).as_ref().clone()
 }
 
-fn fresh(document: &Document) -> Floor {
+fn new_floor(document: &Document) -> Floor {
     floor(document, Offset(1), &[], None)
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// Number of replicas that were added.
-fn moved(from: &Floor, to: &Floor) -> usize {
+fn added_replicas(from: &Floor, to: &Floor) -> usize {
     let new = |(m, engines): (&_, &Vec<UpstreamId>)| {
         engines.iter().filter(|e| !from.models[m].contains(e)).count()
     };
@@ -38,48 +38,52 @@
 }
 
 /// 13 models of 40 to 70 on nine engines in two domains.
-fn valdivieso() -> Document {
+fn two_domains_of_nine_engines() -> Document {
     let sizes: Vec<u64> = (0..13).map(|n| 40 + n * 5 % 31).collect();
-    made(&["d1", "d2"], 9, 240, &sizes)
+    sized_document(&["d1", "d2"], 9, 240, &sizes)
 }
 
-fn two_copies_in_two_domains() {
-    let doc = valdivieso();
-    for (model, engines) in &fresh(&doc).models {
+fn two_replicas_in_two_domains() {
+    let doc = two_domains_of_nine_engines();
+    for (model, engines) in &new_floor(&doc).models {
         assert_eq!((engines.len(), domains(&doc, engines)), (2, 2), "{model}: {engines:?}");
     }
 }
 
 /// Losing one engine must move only its own replicas, or second replicas that they displace.
-fn a_lost_engine_moves_its_own_copies() {
-    let doc = valdivieso();
-    let before = fresh(&doc);
-    let lost = id::<UpstreamId>("e4");
-    let held = before.models.values().filter(|e| e.contains(&lost)).count();
-    let after = floor(&doc, Offset(1), std::slice::from_ref(&lost), Some(&before));
-    assert!(after.models.values().all(|e| !e.contains(&lost) && !e.is_empty()));
-    assert!(moved(&before, &after) <= held, "{} moved for {held}", moved(&before, &after));
-    let back = floor(&doc, Offset(1), &[], Some(&after));
-    assert!(back.models.values().all(|e| domains(&doc, e) == 2));
+fn unreachable_engine_moves_only_its_replicas() {
+    let doc = two_domains_of_nine_engines();
+    let before = new_floor(&doc);
+    let unreachable = id::<UpstreamId>("e4");
+    let replicas = before.models.values().filter(|e| e.contains(&unreachable)).count();
+    let after = floor(&doc, Offset(1), std::slice::from_ref(&unreachable), Some(&before));
+    assert!(after.models.values().all(|e| !e.contains(&unreachable) && !e.is_empty()));
+    assert!(
+        added_replicas(&before, &after) <= replicas,
+        "{} added for {replicas}",
+        added_replicas(&before, &after)
+    );
+    let recovered = floor(&doc, Offset(1), &[], Some(&after));
+    assert!(recovered.models.values().all(|e| domains(&doc, e) == 2));
 }
 
-fn a_leaving_engine_gets_nothing() {
-    let mut doc = valdivieso();
+fn leaving_engine_gets_no_replica() {
+    let mut doc = two_domains_of_nine_engines();
     doc.upstreams[0].leaving = true;
-    assert!(fresh(&doc).models.values().all(|e| !e.contains(&id("e0")) && !e.is_empty()));
+    assert!(new_floor(&doc).models.values().all(|e| !e.contains(&id("e0")) && !e.is_empty()));
 }
 
 /// Two regions that fit two of three models each: no model may be left out of both.
-fn what_one_region_leaves_out_the_other_takes() {
-    let doc = made(&["d1", "d3"], 2, 90, &[40, 40, 40]);
-    let floor = fresh(&doc);
+fn model_left_out_of_one_region_is_in_the_other() {
+    let doc = sized_document(&["d1", "d3"], 2, 90, &[40, 40, 40]);
+    let floor = new_floor(&doc);
     assert!(floor.models.values().all(|e| !e.is_empty()), "{floor:?}");
 }
 
 /// Each region must have its own floor if memory allows.
 fn each_region_has_every_model() {
-    let doc = made(&["d1", "d2", "d3", "d4"], 8, 240, &[40, 50, 60]);
-    for engines in fresh(&doc).models.values() {
+    let doc = sized_document(&["d1", "d2", "d3", "d4"], 8, 240, &[40, 50, 60]);
+    for engines in new_floor(&doc).models.values() {
         let in_r1 =
             engines.iter().filter(|e| ["d1", "d2"].contains(&doc.upstreams[*e].domain.as_str()));
         assert_eq!((in_r1.count(), engines.len()), (2, 4));
@@ -87,16 +91,16 @@
 }
 
 /// Spreading the models would leave no space for the smallest one.
-fn tight_memory_still_takes_every_model() {
-    let doc = made(&["d1", "d2"], 2, 100, &[50, 45, 40, 35, 20]);
-    assert!(fresh(&doc).models.values().all(|e| !e.is_empty()));
+fn little_memory_still_fits_every_model() {
+    let doc = sized_document(&["d1", "d2"], 2, 100, &[50, 45, 40, 35, 20]);
+    assert!(new_floor(&doc).models.values().all(|e| !e.is_empty()));
 }
 
 /// Second replicas must leave one engine with enough memory for a version change of the largest
 /// model.
 fn headroom_for_a_version_change() {
-    let doc = made(&["d1", "d2"], 4, 100, &[60, 60]);
-    let floor = fresh(&doc);
+    let doc = sized_document(&["d1", "d2"], 4, 100, &[60, 60]);
+    let floor = new_floor(&doc);
     let free = |e: &&UpstreamId| !floor.models.values().any(|engines| engines.contains(*e));
     assert!(doc.upstreams.keys().filter(free).count() >= 1, "{floor:?}");
 }
@@ -108,8 +112,8 @@
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let strategy = (1..12usize, 60..300u64, prop::collection::vec(10..120u64, 1..30));
     let check = |(engines, memory, sizes): (usize, u64, Vec<u64>)| {
-        let doc = made(&["d1", "d2", "d3"], engines, memory, &sizes);
-        let floor = fresh(&doc);
+        let doc = sized_document(&["d1", "d2", "d3"], engines, memory, &sizes);
+        let floor = new_floor(&doc);
         let size = |m: &hgw_types::ModelId| doc.services[0].models[m].size;
         let used = |e: &UpstreamId| -> MemSize {
             let here = floor.models.iter().filter(|(_, engines)| engines.contains(e));
@@ -130,12 +134,12 @@
 }
 
 cases! {
-    every_model_twice_in_two_domains => two_copies_in_two_domains();
-    lost_engine_moves_few => a_lost_engine_moves_its_own_copies();
-    leaving_engine_gets_no_copy => a_leaving_engine_gets_nothing();
-    regions_make_up_for_each_other => what_one_region_leaves_out_the_other_takes();
+    every_model_twice_in_two_domains => two_replicas_in_two_domains();
+    lost_engine_moves_few => unreachable_engine_moves_only_its_replicas();
+    leaving_engine_gets_no_copy => leaving_engine_gets_no_replica();
+    regions_make_up_for_each_other => model_left_out_of_one_region_is_in_the_other();
     regions_have_floors_of_their_own => each_region_has_every_model();
-    tight_memory => tight_memory_still_takes_every_model();
+    tight_memory => little_memory_still_fits_every_model();
     version_change_headroom => headroom_for_a_version_change();
     any_sizes => holds_for_any_sizes();
 }
--- a/crates/placement/tests/placement/golden.rs
+++ b/crates/placement/tests/placement/golden.rs
@@ -11,7 +11,7 @@
 fn takeover(fencing: Fencing) -> String {
     let engines = [("e1", "d1", 100, fencing), ("e2", "d1", 100, fencing)];
     let mut world = World::new(document(&engines, &[("a", "1", 60), ("b", "1", 45)]), 2);
-    world.faults.push_back(Fault::Late(Duration::from_secs(6)));
+    world.faults.push_back(Fault::Delayed(Duration::from_secs(6)));
     world.claim(0);
     world.run_secs(1);
     world.kill(0);
@@ -19,7 +19,7 @@
     world.run_secs(12);
     world.configure(document(&engines, &[("a", "1", 60), ("b", "2", 45)]));
     world.run_secs(12);
-    world.ask_adapter(1, "a", "a-a");
+    world.request_adapter(1, "a", "a-a");
     world.run_secs(3);
     world.configure(document(&engines, &[("a", "1", 60)]));
     world.run_secs(12);
--- a/crates/placement/tests/placement/memory.rs
+++ b/crates/placement/tests/placement/memory.rs
@@ -14,13 +14,14 @@
 
 use crate::support::{Fault, STEP, World, changed, document, id};
 
-const ROOM: u64 = 100;
+const ENGINE_MEMORY: u64 = 100;
 /// Maximum delay of late orders of the tests' engines.
 const LATE_ORDER: Duration = Duration::from_secs(20);
 
 /// The setup up to A's order of `a`, which `fault` affects.
-fn ordered(fencing: Fencing, fault: Fault) -> World {
-    let mut world = World::new(document(&[("e1", "d1", ROOM, fencing)], &[("a", "1", 60)]), 2);
+fn world_with_order(fencing: Fencing, fault: Fault) -> World {
+    let mut world =
+        World::new(document(&[("e1", "d1", ENGINE_MEMORY, fencing)], &[("a", "1", 60)]), 2);
     world.faults.push_back(fault);
     world.claim(0);
     world.run(Duration::from_millis(400));
@@ -28,56 +29,58 @@
 }
 
 /// The configuration replaces `a` by `b`, and B claims the lease.
-fn succeeded(world: &mut World, fencing: Fencing) {
-    world.configure(document(&[("e1", "d1", ROOM, fencing)], &[("b", "1", 60)]));
+fn replace_model_and_take_over(world: &mut World, fencing: Fencing) {
+    world.configure(document(&[("e1", "d1", ENGINE_MEMORY, fencing)], &[("b", "1", 60)]));
     world.claim(1);
 }
 
 /// `fault` affects A's order; B takes over and must in the end serve `b`.
 fn fault_then_takeover(fencing: Fencing, fault: Fault) {
-    let mut world = ordered(fencing, fault);
-    succeeded(&mut world, fencing);
+    let mut world = world_with_order(fencing, fault);
+    replace_model_and_take_over(&mut world, fencing);
     world.run_secs(90);
     world.check(&[("b", "1")]);
 }
 
 /// As `fault_then_takeover`, with A's order arriving at every step of B's start.
-fn late_into_a_takeover(fencing: Fencing) {
+fn order_arrives_during_takeover(fencing: Fencing) {
     for steps in 1..24 {
-        let mut world = ordered(fencing, Fault::Late(STEP * steps));
-        succeeded(&mut world, fencing);
+        let mut world = world_with_order(fencing, Fault::Delayed(STEP * steps));
+        replace_model_and_take_over(&mut world, fencing);
         world.run_secs(40);
         world.check(&[("b", "1")]);
     }
 }
 
 /// A is paused for `secs` with an unsent order while B takes over.
-fn frozen(fencing: Fencing, secs: u64) {
-    let mut world = World::new(document(&[("e1", "d1", ROOM, fencing)], &[("a", "1", 60)]), 2);
-    world.nodes[0].freezes_on_load = true;
+fn paused_with_unsent_load(fencing: Fencing, secs: u64) {
+    let mut world =
+        World::new(document(&[("e1", "d1", ENGINE_MEMORY, fencing)], &[("a", "1", 60)]), 2);
+    world.nodes[0].pauses_on_load = true;
     world.claim(0);
     world.run(Duration::from_millis(400));
-    succeeded(&mut world, fencing);
+    replace_model_and_take_over(&mut world, fencing);
     world.run_secs(secs);
-    world.thaw(0);
+    world.resume(0);
     world.run_secs(90);
     world.check(&[("b", "1")]);
 }
 
 /// A reads its intent back long after B has taken over. The entry is valid, but A must not send the
 /// order, because B no longer counts it.
-fn reads_its_intent_late() {
-    let mut world = World::new(document(&[("e1", "d1", ROOM, Ignores)], &[("a", "1", 60)]), 2);
+fn intent_read_back_after_takeover() {
+    let mut world =
+        World::new(document(&[("e1", "d1", ENGINE_MEMORY, Ignores)], &[("a", "1", 60)]), 2);
     world.claim(0);
     world.run(Duration::from_millis(50));
-    world.nodes[0].reads = false;
+    world.nodes[0].reads_log = false;
     world.run(Duration::from_millis(100));
     assert!(world.transcript.contains("intent e1 load a@1"), "{}", world.transcript);
     assert!(!world.transcript.contains("-> e1"), "{}", world.transcript);
-    succeeded(&mut world, Ignores);
+    replace_model_and_take_over(&mut world, Ignores);
     world.run_secs(60);
     world.check(&[("b", "1")]);
-    world.nodes[0].reads = true;
+    world.nodes[0].reads_log = true;
     world.run_secs(10);
     world.check(&[("b", "1")]);
 }
@@ -85,7 +88,7 @@
 /// A version change while the old version is in use and a third model needs memory. Both versions
 /// count until the engine confirms the eviction, so only one of the two new items fits at first.
 fn version_change(fencing: Fencing, takeover: bool, fault: Fault) {
-    let engines = [("e1", "d1", ROOM, fencing)];
+    let engines = [("e1", "d1", ENGINE_MEMORY, fencing)];
     let mut world = World::new(document(&engines, &[("a", "1", 40)]), 2);
     world.claim(0);
     world.run_secs(3);
@@ -99,17 +102,17 @@
     }
     world.run_secs(40);
     world.check(&[("a", "1")]);
-    assert!(world.engine("e1").held.contains_key(&old), "evicted in use\n{}", world.transcript);
+    assert!(world.engine("e1").loaded.contains_key(&old), "evicted in use\n{}", world.transcript);
     let others = [world.is_reachable("a", "2"), world.is_reachable("c", "1")];
-    assert_ne!(others[0], others[1], "room for one of them\n{}", world.transcript);
+    assert_ne!(others[0], others[1], "memory for one of them\n{}", world.transcript);
     world.engine("e1").active.clear();
     world.run_secs(90);
     world.check(&[("a", "2"), ("c", "1")]);
 }
 
 /// `fault` affects the order of a leader that stays; `a` must be loaded once.
-fn fault_alone(fencing: Fencing, fault: Fault) {
-    let mut world = ordered(fencing, fault);
+fn fault_without_takeover(fencing: Fencing, fault: Fault) {
+    let mut world = world_with_order(fencing, fault);
     world.run_secs(40);
     world.check(&[("a", "1")]);
     let loaded = world.transcript.matches("e1 load a@1: Done").count();
@@ -119,41 +122,42 @@
 /// A late copy of an order that was retried must not overcommit an engine that restarted and forgot
 /// the order's id.
 fn late_copy_after_restart(fencing: Fencing) {
-    let mut world = ordered(fencing, Fault::Late(Duration::from_secs(12)));
+    let mut world = world_with_order(fencing, Fault::Delayed(Duration::from_secs(12)));
     world.run_secs(6);
     world.check(&[("a", "1")]);
-    world.configure(document(&[("e1", "d1", ROOM, fencing)], &[("b", "1", 60)]));
+    world.configure(document(&[("e1", "d1", ENGINE_MEMORY, fencing)], &[("b", "1", 60)]));
     world.restart("e1");
     world.run_secs(60);
     world.check(&[("b", "1")]);
 }
 
-/// As `frozen`, with an engine restart before A resumes: a restart does not prove that an order
+/// As `paused_with_unsent_load`, with an engine restart before A resumes: a restart does not prove that an order
 /// cannot arrive later.
-fn frozen_over_restart() {
-    let mut world = World::new(document(&[("e1", "d1", ROOM, Ignores)], &[("a", "1", 60)]), 2);
-    world.nodes[0].freezes_on_load = true;
+fn paused_during_engine_restart() {
+    let mut world =
+        World::new(document(&[("e1", "d1", ENGINE_MEMORY, Ignores)], &[("a", "1", 60)]), 2);
+    world.nodes[0].pauses_on_load = true;
     world.claim(0);
     world.run(Duration::from_millis(400));
-    succeeded(&mut world, Ignores);
+    replace_model_and_take_over(&mut world, Ignores);
     world.run_secs(2);
     world.restart("e1");
     world.run_secs(5);
-    world.thaw(0);
+    world.resume(0);
     world.run_secs(60);
     world.check(&[("b", "1")]);
 }
 
 /// A's order is late, B takes over and is paused with an unsent load, then C takes over.
 fn two_takeovers(fencing: Fencing) {
-    let mut world = ordered(fencing, Fault::Late(Duration::from_secs(25)));
-    succeeded(&mut world, fencing);
-    world.nodes[1].freezes_on_load = true;
+    let mut world = world_with_order(fencing, Fault::Delayed(Duration::from_secs(25)));
+    replace_model_and_take_over(&mut world, fencing);
+    world.nodes[1].pauses_on_load = true;
     world.run_secs(5);
     let c = world.add_node();
     world.claim(c);
     world.run_secs(15);
-    world.thaw(1);
+    world.resume(1);
     world.run_secs(90);
     world.check(&[("b", "1")]);
 }
@@ -164,8 +168,8 @@
     let mut world = World::new(document(&engines, &[("a", "1", 60)]), 2);
     world.claim(0);
     world.run_secs(3);
-    world.faults.push_back(Fault::Late(Duration::from_secs(8)));
-    world.ask_adapter(0, "a", "a-a");
+    world.faults.push_back(Fault::Delayed(Duration::from_secs(8)));
+    world.request_adapter(0, "a", "a-a");
     world.run_secs(1);
     world.claim(1);
     let doc = document(&engines, &[("a", "1", 60)]);
@@ -174,15 +178,15 @@
         let adapter = adapters.shift_remove_index(0).expect("an adapter").1;
         adapters.insert(id("other"), adapter);
     }));
-    world.ask_adapter(1, "a", "other");
+    world.request_adapter(1, "a", "other");
     world.run_secs(60);
     world.check(&[("a", "1")]);
 }
 
 /// An engine that restarts may execute A's order, undone before, a second time next to B's order.
 /// With more memory reserved than there is, C must not retry A's order.
-fn more_reserved_than_there_is() {
-    let engines = [("e1", "d1", ROOM, Ignores)];
+fn more_memory_reserved_than_available() {
+    let engines = [("e1", "d1", ENGINE_MEMORY, Ignores)];
     let (a, b) = (document(&engines, &[("a", "1", 60)]), document(&engines, &[("b", "1", 60)]));
     let mut world = World::new(Arc::clone(&a), 3);
     world.claim(0);
@@ -203,22 +207,22 @@
 
 /// An order that B retries just before it would expire must still count when B reads its new record
 /// late.
-fn repeated_order_is_counted_anew() {
-    let engines = [("e1", "d1", ROOM, Ignores)];
+fn retried_order_is_counted_again() {
+    let engines = [("e1", "d1", ENGINE_MEMORY, Ignores)];
     let (a, b) = (document(&engines, &[("a", "1", 60)]), document(&engines, &[("b", "1", 60)]));
     let mut world = World::new(Arc::clone(&a), 2);
-    world.nodes[0].freezes_on_load = true;
+    world.nodes[0].pauses_on_load = true;
     world.claim(0);
     world.run(Duration::from_millis(400));
     world.configure(Arc::clone(&b));
     world.claim(1);
     world.run_secs(25);
-    world.nodes[1].reads = false;
+    world.nodes[1].reads_log = false;
     world.configure(a);
     world.run_secs(7);
     world.configure(b);
     world.run_secs(1);
-    world.nodes[1].reads = true;
+    world.nodes[1].reads_log = true;
     world.run_secs(90);
     world.check(&[("b", "1")]);
 }
@@ -230,29 +234,29 @@
 /// The intent of an engine removed from the configuration must stay as long as the order may take
 /// effect and then be settled; otherwise it would stay in every snapshot.
 fn intent_of_a_removed_engine(fault: Fault, takeover: bool) {
-    let mut world = ordered(Ignores, fault);
+    let mut world = world_with_order(Ignores, fault);
     world.configure(document(&[], &[]));
-    let keeper = usize::from(takeover);
-    let mut kept = LATE_ORDER;
+    let leader = usize::from(takeover);
+    let mut expires_after = LATE_ORDER;
     if takeover {
-        world.claim(keeper);
-        kept += SEND_WINDOW;
+        world.claim(leader);
+        expires_after += SEND_WINDOW;
     }
-    world.run(kept);
-    assert_eq!(world.open_intents(keeper), 1, "{}", world.transcript);
+    world.run(expires_after);
+    assert_eq!(world.open_intents(leader), 1, "{}", world.transcript);
     world.run_secs(2);
-    assert_eq!(world.open_intents(keeper), 0, "{}", world.transcript);
+    assert_eq!(world.open_intents(leader), 0, "{}", world.transcript);
     world.check(&[]);
 }
 
 /// `e1` is removed with A's order in flight, B takes over, and `e1` is added again for `b` after
 /// `secs`. B must still count the order.
-fn removed_engine_comes_back(secs: u64) {
-    let mut world = ordered(Ignores, Fault::Late(Duration::from_secs(19)));
+fn removed_engine_is_added_again(secs: u64) {
+    let mut world = world_with_order(Ignores, Fault::Delayed(Duration::from_secs(19)));
     world.configure(document(&[], &[]));
     world.claim(1);
     world.run_secs(secs);
-    world.configure(document(&[("e1", "d1", ROOM, Ignores)], &[("b", "1", 60)]));
+    world.configure(document(&[("e1", "d1", ENGINE_MEMORY, Ignores)], &[("b", "1", 60)]));
     world.run_secs(90);
     world.check(&[("b", "1")]);
     assert_eq!(world.open_intents(1), 0, "{}", world.transcript);
@@ -269,53 +273,53 @@
     };
     let mut old = serde_json::to_value(&entry).expect("an entry");
     old["Intent"].as_object_mut().expect("an intent").remove("late_order_ms");
-    let read: LeaderEntry = serde_json::from_value(old).expect("an entry of before");
+    let read: LeaderEntry = serde_json::from_value(old).expect("an entry without the bound");
     assert_matches!(read, LeaderEntry::Intent { late_order_ms: u64::MAX, .. });
 }
 
 cases! {
     load_lost_then_takeover_refusing => fault_then_takeover(Refuses, Fault::Lost);
     load_lost_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::Lost);
-    load_late_then_takeover_refusing => fault_then_takeover(Refuses, Fault::Late(secs(8)));
-    load_late_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::Late(secs(8)));
-    load_very_late_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::Late(secs(19)));
-    load_late_into_a_takeover_refusing => late_into_a_takeover(Refuses);
-    load_late_into_a_takeover_ignoring => late_into_a_takeover(Ignores);
-    load_answered_late_refusing => fault_then_takeover(Refuses, Fault::AnswerLate(secs(10)));
-    load_answered_late_ignoring => fault_then_takeover(Ignores, Fault::AnswerLate(secs(10)));
-    load_answer_lost_then_takeover_refusing => fault_then_takeover(Refuses, Fault::AnswerLost);
-    load_answer_lost_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::AnswerLost);
-    frozen_with_load_in_hand_refusing => frozen(Refuses, 5);
-    frozen_with_load_in_hand_ignoring => frozen(Ignores, 5);
-    frozen_past_every_bound_refusing => frozen(Refuses, 60);
-    frozen_past_every_bound_ignoring => frozen(Ignores, 60);
-    intent_read_back_late => reads_its_intent_late();
+    load_late_then_takeover_refusing => fault_then_takeover(Refuses, Fault::Delayed(secs(8)));
+    load_late_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::Delayed(secs(8)));
+    load_very_late_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::Delayed(secs(19)));
+    load_late_into_a_takeover_refusing => order_arrives_during_takeover(Refuses);
+    load_late_into_a_takeover_ignoring => order_arrives_during_takeover(Ignores);
+    load_answered_late_refusing => fault_then_takeover(Refuses, Fault::ResponseDelayed(secs(10)));
+    load_answered_late_ignoring => fault_then_takeover(Ignores, Fault::ResponseDelayed(secs(10)));
+    load_answer_lost_then_takeover_refusing => fault_then_takeover(Refuses, Fault::ResponseLost);
+    load_answer_lost_then_takeover_ignoring => fault_then_takeover(Ignores, Fault::ResponseLost);
+    frozen_with_load_in_hand_refusing => paused_with_unsent_load(Refuses, 5);
+    frozen_with_load_in_hand_ignoring => paused_with_unsent_load(Ignores, 5);
+    frozen_past_every_bound_refusing => paused_with_unsent_load(Refuses, 60);
+    frozen_past_every_bound_ignoring => paused_with_unsent_load(Ignores, 60);
+    intent_read_back_late => intent_read_back_after_takeover();
     old_version_still_answering_refusing => version_change(Refuses, false, Fault::None);
     old_version_still_answering_ignoring => version_change(Ignores, false, Fault::None);
-    load_lost => fault_alone(Refuses, Fault::Lost);
-    load_lost_ignoring => fault_alone(Ignores, Fault::Lost);
-    load_answer_lost_refusing => fault_alone(Refuses, Fault::AnswerLost);
-    load_answer_lost_ignoring => fault_alone(Ignores, Fault::AnswerLost);
-    load_not_sent_ignoring => fault_alone(Ignores, Fault::NotSent);
+    load_lost => fault_without_takeover(Refuses, Fault::Lost);
+    load_lost_ignoring => fault_without_takeover(Ignores, Fault::Lost);
+    load_answer_lost_refusing => fault_without_takeover(Refuses, Fault::ResponseLost);
+    load_answer_lost_ignoring => fault_without_takeover(Ignores, Fault::ResponseLost);
+    load_not_sent_ignoring => fault_without_takeover(Ignores, Fault::NotSent);
     two_at_once_late_copy_and_restart_refusing => late_copy_after_restart(Refuses);
     two_at_once_late_copy_and_restart_ignoring => late_copy_after_restart(Ignores);
-    two_at_once_frozen_and_restart => frozen_over_restart();
+    two_at_once_frozen_and_restart => paused_during_engine_restart();
     two_at_once_late_and_two_takeovers_refusing => two_takeovers(Refuses);
     two_at_once_late_and_two_takeovers_ignoring => two_takeovers(Ignores);
     two_at_once_version_change_and_takeover_refusing
-        => version_change(Refuses, true, Fault::Late(secs(4)));
+        => version_change(Refuses, true, Fault::Delayed(secs(4)));
     two_at_once_version_change_and_takeover_ignoring
-        => version_change(Ignores, true, Fault::Late(secs(4)));
-    found_more_reserved_than_there_is => more_reserved_than_there_is();
+        => version_change(Ignores, true, Fault::Delayed(secs(4)));
+    found_more_reserved_than_there_is => more_memory_reserved_than_available();
     intent_of_a_removed_engine_stays_until_its_bound
         => intent_of_a_removed_engine(Fault::Lost, false);
     intent_of_a_removed_engine_stays_until_its_bound_over_a_takeover
         => intent_of_a_removed_engine(Fault::Lost, true);
     intent_without_its_bound_is_kept => intent_without_its_bound();
-    removed_engine_comes_back_before_a_late_order => removed_engine_comes_back(5);
-    removed_engine_comes_back_after_a_late_order => removed_engine_comes_back(25);
-    removed_engine_comes_back_after_its_bound => removed_engine_comes_back(40);
-    repeated_order_counts_anew => repeated_order_is_counted_anew();
+    removed_engine_comes_back_before_a_late_order => removed_engine_is_added_again(5);
+    removed_engine_comes_back_after_a_late_order => removed_engine_is_added_again(25);
+    removed_engine_comes_back_after_its_bound => removed_engine_is_added_again(40);
+    repeated_order_counts_anew => retried_order_is_counted_again();
     adapter_late_then_takeover_refusing => late_adapter(Refuses);
     adapter_late_then_takeover_ignoring => late_adapter(Ignores);
 }
--- a/crates/placement/tests/placement/random.rs
+++ b/crates/placement/tests/placement/random.rs
@@ -11,24 +11,24 @@
 
 use crate::support::{Fault, STEP, World, document};
 
-const SESSIONS: u32 = 12;
+const CASES: u32 = 12;
 
 #[derive(Debug, Clone)]
-enum Happens {
-    Time(u32),
+enum Step {
+    Advance(u32),
     Fault(Fault),
     Claim(usize),
-    Freeze(usize),
-    FreezeOnLoad(usize),
-    Thaw(usize),
-    Reads(usize, bool),
-    Replace(usize),
-    Restart(usize),
-    Engine(usize, bool),
-    Log(bool),
+    Pause(usize),
+    PauseOnLoad(usize),
+    Resume(usize),
+    ReadLog(usize, bool),
+    ReplaceNode(usize),
+    RestartEngine(usize),
+    SetEngineUp(usize, bool),
+    SetLogUp(bool),
     Configure(usize),
-    AskModel(usize),
-    AskAdapter(usize),
+    RequestModel(usize),
+    RequestAdapter(usize),
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
@@ -36,30 +36,30 @@
     let time = (1..390u32).prop_map(|n| STEP * n);
     prop_oneof![
         Just(Fault::Lost),
-        Just(Fault::AnswerLost),
+        Just(Fault::ResponseLost),
         Just(Fault::NotSent),
-        time.clone().prop_map(Fault::Late),
-        time.prop_map(Fault::AnswerLate),
+        time.clone().prop_map(Fault::Delayed),
+        time.prop_map(Fault::ResponseDelayed),
     ]
 }
 
-fn happens() -> impl Strategy<Value = Happens> {
+fn step_strategy() -> impl Strategy<Value = Step> {
     let node = 0..3usize;
     prop_oneof![
-        8 => (1..120u32).prop_map(Happens::Time),
-        4 => fault().prop_map(Happens::Fault),
-        2 => node.clone().prop_map(Happens::Claim),
-        1 => node.clone().prop_map(Happens::Freeze),
-        2 => node.clone().prop_map(Happens::FreezeOnLoad),
-        2 => node.clone().prop_map(Happens::Thaw),
-        1 => (node.clone(), any::<bool>()).prop_map(|(n, on)| Happens::Reads(n, on)),
-        1 => node.prop_map(Happens::Replace),
-        1 => (0..3usize).prop_map(Happens::Restart),
-        1 => (0..3usize, any::<bool>()).prop_map(|(e, up)| Happens::Engine(e, up)),
-        1 => any::<bool>().prop_map(Happens::Log),
-        3 => (0..4usize).prop_map(Happens::Configure),
-        1 => (0..4usize).prop_map(Happens::AskModel),
-        1 => (0..4usize).prop_map(Happens::AskAdapter),
+        8 => (1..120u32).prop_map(Step::Advance),
+        4 => fault().prop_map(Step::Fault),
+        2 => node.clone().prop_map(Step::Claim),
+        1 => node.clone().prop_map(Step::Pause),
+        2 => node.clone().prop_map(Step::PauseOnLoad),
+        2 => node.clone().prop_map(Step::Resume),
+        1 => (node.clone(), any::<bool>()).prop_map(|(n, on)| Step::ReadLog(n, on)),
+        1 => node.prop_map(Step::ReplaceNode),
+        1 => (0..3usize).prop_map(Step::RestartEngine),
+        1 => (0..3usize, any::<bool>()).prop_map(|(e, up)| Step::SetEngineUp(e, up)),
+        1 => any::<bool>().prop_map(Step::SetLogUp),
+        3 => (0..4usize).prop_map(Step::Configure),
+        1 => (0..4usize).prop_map(Step::RequestModel),
+        1 => (0..4usize).prop_map(Step::RequestAdapter),
     ]
 }
 
@@ -94,43 +94,43 @@
         Session { world, nodes: [0, 1, 2], configuration: 0 }
     }
 
-    fn step(&mut self, happens: Happens) {
+    fn step(&mut self, step: Step) {
         let (world, nodes) = (&mut self.world, &mut self.nodes);
-        match happens {
-            Happens::Time(steps) => world.run(STEP * steps),
-            Happens::Fault(fault) => world.faults.push_back(fault),
-            Happens::Claim(n) => world.claim(nodes[n]),
-            Happens::Freeze(n) => world.freeze(nodes[n]),
-            Happens::FreezeOnLoad(n) => world.nodes[nodes[n]].freezes_on_load = true,
-            Happens::Thaw(n) => world.thaw(nodes[n]),
-            Happens::Reads(n, on) => world.nodes[nodes[n]].reads = on,
-            Happens::Replace(n) => {
+        match step {
+            Step::Advance(steps) => world.run(STEP * steps),
+            Step::Fault(fault) => world.faults.push_back(fault),
+            Step::Claim(n) => world.claim(nodes[n]),
+            Step::Pause(n) => world.pause(nodes[n]),
+            Step::PauseOnLoad(n) => world.nodes[nodes[n]].pauses_on_load = true,
+            Step::Resume(n) => world.resume(nodes[n]),
+            Step::ReadLog(n, on) => world.nodes[nodes[n]].reads_log = on,
+            Step::ReplaceNode(n) => {
                 world.kill(nodes[n]);
                 nodes[n] = world.add_node();
             }
-            Happens::Restart(e) => world.restart(["e1", "e2", "e3"][e]),
-            Happens::Engine(e, up) => world.engine(["e1", "e2", "e3"][e]).up = up,
-            Happens::Log(up) => world.set_log(up),
-            Happens::Configure(n) => {
+            Step::RestartEngine(e) => world.restart(["e1", "e2", "e3"][e]),
+            Step::SetEngineUp(e, up) => world.engine(["e1", "e2", "e3"][e]).up = up,
+            Step::SetLogUp(up) => world.set_log(up),
+            Step::Configure(n) => {
                 self.configuration = n;
                 world.configure(configuration(n));
             }
-            Happens::AskModel(m) => nodes.iter().for_each(|n| world.ask_model(*n, MODELS[m])),
-            Happens::AskAdapter(m) => {
+            Step::RequestModel(m) => nodes.iter().for_each(|n| world.request_model(*n, MODELS[m])),
+            Step::RequestAdapter(m) => {
                 let adapter = format!("{}-a", MODELS[m]);
-                nodes.iter().for_each(|n| world.ask_adapter(*n, MODELS[m], &adapter));
+                nodes.iter().for_each(|n| world.request_adapter(*n, MODELS[m], &adapter));
             }
         }
     }
 
-    fn heal(&mut self) {
+    fn recover(&mut self) {
         let world = &mut self.world;
         world.faults.clear();
         world.set_log(true);
         for n in self.nodes {
-            world.nodes[n].freezes_on_load = false;
-            world.nodes[n].reads = true;
-            world.thaw(n);
+            world.nodes[n].pauses_on_load = false;
+            world.nodes[n].reads_log = true;
+            world.resume(n);
         }
         world.engines.values_mut().for_each(|e| e.up = true);
         world.claim(self.nodes[1]);
@@ -138,19 +138,19 @@
     }
 
     fn check_memory(&self) -> Result<(), TestCaseError> {
-        let over = self.world.overcommitted();
-        prop_assert!(over.is_empty(), "{over:?}\n{}", self.world.transcript);
+        let overcommitted = self.world.overcommitted();
+        prop_assert!(overcommitted.is_empty(), "{overcommitted:?}\n{}", self.world.transcript);
         Ok(())
     }
 }
 
-fn session(all: Vec<Happens>) -> Result<(), TestCaseError> {
+fn run_session(steps: Vec<Step>) -> Result<(), TestCaseError> {
     let mut session = Session::new();
-    for happens in all {
-        session.step(happens);
+    for step in steps {
+        session.step(step);
         session.check_memory()?;
     }
-    session.heal();
+    session.recover();
     session.check_memory()?;
     for (model, found) in &configuration(session.configuration).services[0].models {
         let reachable = session.world.is_reachable(model.as_str(), found.version.as_str());
@@ -159,38 +159,38 @@
     Ok(())
 }
 
-fn sessions(seed: u8) {
-    let config = Config { cases: SESSIONS, failure_persistence: None, ..Config::default() };
+fn run_sessions(seed: u8) {
+    let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    if let Err(e) = runner.run(&vec(happens(), 1..60), session) {
+    if let Err(e) = runner.run(&vec(step_strategy(), 1..60), run_session) {
         panic!("{e}");
     }
 }
 
 /// Two engines that each had the only replica of the other's model blocked each other.
-fn engines_hold_each_others_models() -> Vec<Happens> {
-    use Happens::{Configure, Time};
-    let not_sent = || Happens::Fault(Fault::NotSent);
-    vec![Time(2), not_sent(), not_sent(), Time(45), Configure(2), Time(1), Configure(1)]
+fn engines_hold_each_others_models() -> Vec<Step> {
+    use Step::{Advance, Configure};
+    let not_sent = || Step::Fault(Fault::NotSent);
+    vec![Advance(2), not_sent(), not_sent(), Advance(45), Configure(2), Advance(1), Configure(1)]
 }
 
 /// The old version and a replica together blocked the load of the new version.
-fn old_version_and_replica_in_the_way() -> Vec<Happens> {
-    vec![Happens::Configure(2), Happens::Time(2), Happens::Configure(3)]
+fn old_version_and_replica_in_the_way() -> Vec<Step> {
+    vec![Step::Configure(2), Step::Advance(2), Step::Configure(3)]
 }
 
-fn replays(all: Vec<Happens>) {
-    session(all).expect("memory and reach");
+fn replay(steps: Vec<Step>) {
+    run_session(steps).expect("no overcommitted memory, and every model reachable");
 }
 
 cases! {
-    found_engines_hold_each_others_models => replays(engines_hold_each_others_models());
-    found_old_version_and_replica_in_the_way => replays(old_version_and_replica_in_the_way());
-    seed_1 => sessions(1);
-    seed_2 => sessions(2);
-    seed_3 => sessions(3);
-    seed_4 => sessions(4);
-    seed_5 => sessions(5);
-    seed_6 => sessions(6);
+    found_engines_hold_each_others_models => replay(engines_hold_each_others_models());
+    found_old_version_and_replica_in_the_way => replay(old_version_and_replica_in_the_way());
+    seed_1 => run_sessions(1);
+    seed_2 => run_sessions(2);
+    seed_3 => run_sessions(3);
+    seed_4 => run_sessions(4);
+    seed_5 => run_sessions(5);
+    seed_6 => run_sessions(6);
 }
--- a/crates/placement/tests/placement/reach.rs
+++ b/crates/placement/tests/placement/reach.rs
@@ -23,17 +23,17 @@
 }
 
 /// The engines that have this version.
-fn holder(world: &World, model: &str, version: &str) -> Vec<String> {
+fn engines_with(world: &World, model: &str, version: &str) -> Vec<String> {
     let item = Item::Model(id(model), id(version));
-    let held = world.engines.iter().filter(|(_, e)| e.held.contains_key(&item));
-    held.map(|(id, _)| id.to_string()).collect()
+    let loaded = world.engines.iter().filter(|(_, e)| e.loaded.contains_key(&item));
+    loaded.map(|(id, _)| id.to_string()).collect()
 }
 
 /// The models of a failed engine must be loaded on the other one, even if the log is down. Engines
 /// that ignore fencing tokens get no unrecorded orders, so theirs wait for the log.
 fn engine_dies(fencing: Fencing, log_up: bool) {
     let mut world = two_engines(fencing, &[("a", "1", 40), ("b", "1", 40)]);
-    let dead = holder(&world, "a", "1").remove(0);
+    let dead = engines_with(&world, "a", "1").remove(0);
     world.set_log(log_up);
     world.engine(&dead).up = false;
     world.run_secs(10);
@@ -50,7 +50,7 @@
 
 /// If the leader dies at any step of a version change, the old or the new version must be ready at
 /// each step.
-fn keeper_dies_in_a_move(fencing: Fencing) {
+fn leader_dies_during_version_change(fencing: Fencing) {
     for steps in (0..80).step_by(4) {
         let mut world = two_engines(fencing, &[("a", "1", 40), ("b", "1", 40)]);
         let engines = [("e1", "d1", 100, fencing), ("e2", "d1", 100, fencing)];
@@ -64,13 +64,13 @@
             assert!(serves, "after {steps} steps\n{}", world.transcript);
         }
         world.check(&[("a", "2"), ("b", "1")]);
-        assert_eq!(holder(&world, "a", "1"), Vec::<String>::new(), "{}", world.transcript);
+        assert_eq!(engines_with(&world, "a", "1"), Vec::<String>::new(), "{}", world.transcript);
     }
 }
 
 /// In a domain without the log, a model that callers request may replace a demand replica but never
 /// a floor replica.
-fn cut_off(fencing: Fencing) {
+fn isolated_domain(fencing: Fencing) {
     let engines =
         [("e1", "d1", 100, fencing), ("f1", "d3", 100, fencing), ("f2", "d3", 100, fencing)];
     let models = [("a", "1", 40), ("b", "1", 40), ("c", "1", 40), ("d", "1", 40)];
@@ -79,17 +79,22 @@
     world.run_secs(5);
     let floor = world.floor_of("e1");
     assert_eq!(floor.len(), 2, "the floor fills the engine");
-    let mut away = models.iter().map(|(m, ..)| *m).filter(|m| !floor.contains(&(*m).to_string()));
-    let asked = away.next().expect("a model elsewhere");
+    let mut not_in_floor =
+        models.iter().map(|(m, ..)| *m).filter(|m| !floor.contains(&(*m).to_string()));
+    let requested = not_in_floor.next().expect("a model elsewhere");
     world.set_log(false);
-    world.ask_model(0, asked);
+    world.request_model(0, requested);
     world.run_secs(10);
-    assert!(!world.is_reachable(asked, "1"), "in place of a floor copy\n{}", world.transcript);
+    assert!(
+        !world.is_reachable(requested, "1"),
+        "loaded in place of a floor replica\n{}",
+        world.transcript
+    );
     floor.iter().for_each(|m| world.check(&[(m, "1")]));
 }
 
-/// As `cut_off`, with a demand replica at `e2` that can be evicted.
-fn cut_off_with_replica() {
+/// As `isolated_domain`, with a demand replica at `e2` that can be evicted.
+fn isolated_domain_with_replica() {
     let engines =
         [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Refuses), ("f1", "d3", 300, Refuses)];
     let mut world = World::new(document(&engines, &[("a", "1", 60), ("b", "1", 60)]), 1);
@@ -98,10 +103,10 @@
     world.run_secs(5);
     world.set_floor(|f| f.models = floor_of(&[("a", &["e1"]), ("b", &["f1"])]));
     world.set_log(false);
-    world.ask_model(0, "b");
+    world.request_model(0, "b");
     world.run_secs(10);
     world.check(&[("a", "1"), ("b", "1")]);
-    assert_eq!(holder(&world, "a", "1"), ["e1"], "{}", world.transcript);
+    assert_eq!(engines_with(&world, "a", "1"), ["e1"], "{}", world.transcript);
 }
 
 fn floor_of(models: &[(&str, &[&str])]) -> IndexMap<ModelId, Vec<UpstreamId>> {
@@ -111,13 +116,17 @@
 /// A leaving engine must get no load and keep serving while its models are loaded elsewhere.
 fn leaving(how: impl Fn(&mut World, &str)) {
     let mut world = two_engines(Refuses, &[("a", "1", 40), ("b", "1", 40)]);
-    let leaves = holder(&world, "a", "1").remove(0);
-    how(&mut world, &leaves);
+    let leaving_engine = engines_with(&world, "a", "1").remove(0);
+    how(&mut world, &leaving_engine);
     world.run_secs(1);
     world.transcript.clear();
     world.run_secs(10);
-    assert!(!world.transcript.contains(&format!("-> {leaves}: load")), "{}", world.transcript);
-    assert_eq!(holder(&world, "a", "1").len(), 2, "{}", world.transcript);
+    assert!(
+        !world.transcript.contains(&format!("-> {leaving_engine}: load")),
+        "{}",
+        world.transcript
+    );
+    assert_eq!(engines_with(&world, "a", "1").len(), 2, "{}", world.transcript);
     world.check(&[("a", "1"), ("b", "1")]);
 }
 
@@ -129,7 +138,7 @@
 }
 
 /// If the only engine fits one version, the new one must replace the old one in the end.
-fn version_change_without_room() {
+fn version_change_on_full_engine() {
     let engines = [("e1", "d1", 100, Refuses)];
     let mut world = World::new(document(&engines, &[("a", "1", 70)]), 1);
     world.claim(0);
@@ -142,7 +151,7 @@
 }
 
 /// If another engine fits the new version, it must be loaded there before the old one is evicted.
-fn version_change_next_door() {
+fn version_change_on_another_engine() {
     let mut world = two_engines(Refuses, &[("a", "1", 70), ("b", "1", 20)]);
     let engines = [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Refuses)];
     world.configure(document(&engines, &[("a", "2", 70), ("b", "1", 20)]));
@@ -155,7 +164,7 @@
         );
     }
     world.check(&[("a", "2"), ("b", "1")]);
-    assert_eq!(holder(&world, "a", "1"), Vec::<String>::new(), "{}", world.transcript);
+    assert_eq!(engines_with(&world, "a", "1"), Vec::<String>::new(), "{}", world.transcript);
 }
 
 /// Old versions must not block the newest one when versions are published faster than they load.
@@ -169,25 +178,25 @@
     world.engine("e1").active.insert(first.clone(), u32::from(in_use));
     for version in ["2", "3", "4", "5"] {
         world.configure(document(&engines, &[("a", version, 50)]));
-        run_offering(&mut world, "a", Duration::from_secs(1));
+        run_checking_placement(&mut world, "a", Duration::from_secs(1));
     }
-    run_offering(&mut world, "a", NEWEST_SERVES);
+    run_checking_placement(&mut world, "a", NEWEST_SERVES);
     world.check(&[("a", "5")]);
     assert!(!in_use || world.is_reachable("a", "1"), "evicted in use\n{}", world.transcript);
     world.engine("e1").active.clear();
-    run_offering(&mut world, "a", Duration::from_secs(30));
+    run_checking_placement(&mut world, "a", Duration::from_secs(30));
     world.check(&[("a", "5")]);
-    let held: Vec<String> = world.engine("e1").held.keys().map(Item::to_string).collect();
-    assert_eq!(held, ["a@5"], "{}", world.transcript);
+    let loaded: Vec<String> = world.engine("e1").loaded.keys().map(Item::to_string).collect();
+    assert_eq!(loaded, ["a@5"], "{}", world.transcript);
 }
 
 /// Runs for `time`; at each step the placement must offer the model, and only in versions that are
 /// ready.
-fn run_offering(world: &mut World, model: &str, time: Duration) {
+fn run_checking_placement(world: &mut World, model: &str, time: Duration) {
     let end = world.now + time;
     while world.now < end {
         world.step();
-        let placement = world.nodes[0].keeper.placement().values();
+        let placement = world.nodes[0].leader.placement().values();
         let offered: Vec<_> = placement.flat_map(|h| &h.models).collect();
         assert!(offered.iter().any(|(m, _)| m.as_str() == model), "{}", world.transcript);
         for (m, v) in offered {
@@ -203,33 +212,37 @@
     let engines = [("e1", "d1", 100, Refuses), ("e2", "d1", 100, Refuses)];
     world.run_secs(10);
     world.configure(document(&engines, &[("a", "1", 40)]));
-    let holder = holder(&world, "b", "1").remove(0);
+    let engine = engines_with(&world, "b", "1").remove(0);
     let item = Item::Model(id("b"), id("1"));
-    world.engine(&holder).active.insert(item.clone(), 1);
+    world.engine(&engine).active.insert(item.clone(), 1);
     world.run_secs(20);
-    assert!(world.engine(&holder).held.contains_key(&item), "evicted in use\n{}", world.transcript);
-    assert!(world.transcript.ends_with(&format!("placement {holder}: \n")), "{}", world.transcript);
-    world.engine(&holder).active.clear();
+    assert!(
+        world.engine(&engine).loaded.contains_key(&item),
+        "evicted in use\n{}",
+        world.transcript
+    );
+    assert!(world.transcript.ends_with(&format!("placement {engine}: \n")), "{}", world.transcript);
+    world.engine(&engine).active.clear();
     world.run_secs(6);
-    assert!(!world.engine(&holder).held.contains_key(&item), "{}", world.transcript);
+    assert!(!world.engine(&engine).loaded.contains_key(&item), "{}", world.transcript);
 }
 
 /// A requested adapter must be loaded where its model is, and its new version next to the old one.
 fn adapter_on_demand() {
     let mut world = two_engines(Ignores, &[("a", "1", 40), ("b", "1", 40)]);
-    world.ask_adapter(0, "a", "a-a");
+    world.request_adapter(0, "a", "a-a");
     world.run_secs(3);
-    let holder = holder(&world, "a", "1").remove(0);
+    let engine = engines_with(&world, "a", "1").remove(0);
     let adapter = |v: &str| Item::Adapter(id("a"), id("a-a"), id(v));
-    assert!(world.engine(&holder).held.contains_key(&adapter("1")), "{}", world.transcript);
+    assert!(world.engine(&engine).loaded.contains_key(&adapter("1")), "{}", world.transcript);
     let doc = world.document();
     world.configure(changed(&doc, |d| {
         let adapters = &mut d.services[0].models[0].adapters;
         adapters[0].version = id("2");
     }));
     world.run_secs(10);
-    let held = &world.engine(&holder).held;
-    assert!(held.contains_key(&adapter("2")) && !held.contains_key(&adapter("1")));
+    let loaded = &world.engine(&engine).loaded;
+    assert!(loaded.contains_key(&adapter("2")) && !loaded.contains_key(&adapter("1")));
     world.check(&[("a", "1")]);
 }
 
@@ -241,15 +254,15 @@
     world.check(&[("a", "1"), ("b", "1")]);
 }
 
-/// A model with unmet demand must get a replica in memory that the floor leaves free.
+/// A model with unmet demand must get a replica in memory that the floor leaving_engine free.
 fn burst_gets_a_replica() {
     let mut world = two_engines(Refuses, &[("a", "1", 40), ("b", "1", 40)]);
     world.run_secs(10);
     for _ in 0..20 {
-        world.ask_model(0, "a");
+        world.request_model(0, "a");
         world.run(Duration::from_secs(1));
     }
-    assert_eq!(holder(&world, "a", "1").len(), 2, "{}", world.transcript);
+    assert_eq!(engines_with(&world, "a", "1").len(), 2, "{}", world.transcript);
     world.check(&[("a", "1"), ("b", "1")]);
 }
 
@@ -267,7 +280,7 @@
         assert!(both || engines.len() < 3, "{}", world.transcript);
     }
     world.check(&[("a", "1"), ("b", "1")]);
-    let (a, b) = (holder(&world, "a", "1"), holder(&world, "b", "1"));
+    let (a, b) = (engines_with(&world, "a", "1"), engines_with(&world, "b", "1"));
     assert!(a.contains(&"e2".into()) && b.contains(&"e1".into()), "{}", world.transcript);
 }
 
@@ -295,16 +308,16 @@
     engine_dies_ignoring => engine_dies(Ignores, true);
     engine_dies_with_the_log_down_refusing => engine_dies(Refuses, false);
     engine_dies_with_the_log_down_ignoring => engine_dies(Ignores, false);
-    keeper_dies_in_a_move_refusing => keeper_dies_in_a_move(Refuses);
-    keeper_dies_in_a_move_ignoring => keeper_dies_in_a_move(Ignores);
-    cut_off_spares_the_floor => cut_off(Refuses);
-    cut_off_gives_up_a_replica => cut_off_with_replica();
+    leader_dies_during_version_change_refusing => leader_dies_during_version_change(Refuses);
+    leader_dies_during_version_change_ignoring => leader_dies_during_version_change(Ignores);
+    cut_off_spares_the_floor => isolated_domain(Refuses);
+    cut_off_gives_up_a_replica => isolated_domain_with_replica();
     leaving_by_configuration => leaving(by_configuration);
     leaving_by_the_platforms_list
-        => leaving(|w, e| w.tell(0, LeaderEvent::Leaving(vec![id(e)])));
+        => leaving(|w, e| w.handle(0, LeaderEvent::Leaving(vec![id(e)])));
     leaving_by_its_own_report => leaving(|w, e| w.engine(e).leaving = true);
-    new_version_without_room_for_both => version_change_without_room();
-    new_version_next_door => version_change_next_door();
+    new_version_without_room_for_both => version_change_on_full_engine();
+    new_version_next_door => version_change_on_another_engine();
     five_versions_a_second_apart_refusing => versions_in_quick_succession(Refuses, false);
     five_versions_a_second_apart_ignoring => versions_in_quick_succession(Ignores, false);
     five_versions_with_the_first_in_use_refusing => versions_in_quick_succession(Refuses, true);
--- a/crates/placement/tests/placement/shares.rs
+++ b/crates/placement/tests/placement/shares.rs
@@ -18,44 +18,45 @@
     (doc, names.iter().map(|d| id(d)).collect())
 }
 
-/// Runs all domains at their maximum for ten minutes, with loads of length `takes`. Returns loads
+/// Runs all domains at their maximum for ten minutes, with loads of length `load_time`. Returns loads
 /// started per second, and the maximum and mean of concurrent loads.
-fn run(domains: usize, rate: f64, parallel: u32, takes: Duration) -> (f64, usize, f64) {
+fn run(domains: usize, rate: f64, parallel: u32, load_time: Duration) -> (f64, usize, f64) {
     const STEPS: u64 = 6000;
     let (doc, names) = store(domains, rate, parallel);
     let mut shares: Vec<WeightStoreShare> =
         names.iter().map(|_| WeightStoreShare::new(Time::ZERO)).collect();
     shares.iter_mut().zip(&names).for_each(|(s, d)| s.configure(&doc, d));
     let mut running: Vec<Vec<Time>> = vec![Vec::new(); domains];
-    let (mut begun, mut most, mut sum) = (0u32, 0, 0);
+    let (mut started, mut max_running, mut sum) = (0u32, 0, 0);
     for step in 1..=STEPS {
         let now = Time::from_millis(step * 100);
         for (share, loads) in shares.iter_mut().zip(&mut running) {
             loads.retain(|end| *end > now);
             share.observe(now, loads.len());
             while share.try_acquire(now, loads.len()) {
-                loads.push(now + takes);
+                loads.push(now + load_time);
                 share.observe(now, loads.len());
-                begun += 1;
+                started += 1;
             }
         }
-        let at_once: usize = running.iter().map(Vec::len).sum();
-        most = most.max(at_once);
-        sum += at_once;
+        let concurrent: usize = running.iter().map(Vec::len).sum();
+        max_running = max_running.max(concurrent);
+        sum += concurrent;
     }
-    (f64::from(begun) / 600.0, most, sum as f64 / STEPS as f64)
+    (f64::from(started) / 600.0, max_running, sum as f64 / STEPS as f64)
 }
 
-fn stays_within(domains: usize, rate: f64, parallel: u32, takes_ms: u64) {
-    let (begun, most, _) = run(domains, rate, parallel, Duration::from_millis(takes_ms));
-    assert!(begun < rate && begun > rate * 0.3, "{begun} a second of {rate}");
-    assert!(most < parallel as usize, "{most} at once of {parallel}");
+fn check_limits(domains: usize, rate: f64, parallel: u32, load_time_ms: u64) {
+    let (started, max_running, _) =
+        run(domains, rate, parallel, Duration::from_millis(load_time_ms));
+    assert!(started < rate && started > rate * 0.3, "{started} a second of {rate}");
+    assert!(max_running < parallel as usize, "{max_running} at once of {parallel}");
 }
 
 /// With more domains than slots, the mean must stay below the limit; the maximum may exceed it.
 fn fractional_slots() {
-    let (begun, _, average) = run(6, 10.0, 3, Duration::from_secs(4));
-    assert!(average < 3.0 && begun > 0.3, "{average} at once, {begun} a second");
+    let (started, _, average) = run(6, 10.0, 3, Duration::from_secs(4));
+    assert!(average < 3.0 && started > 0.3, "{average} at once, {started} a second");
 }
 
 /// An idle bucket must not save up a burst.
@@ -69,9 +70,9 @@
 }
 
 cases! {
-    valdiviesos_store => stays_within(4, 1.5, 6, 3000);
-    tasmans_store => stays_within(4, 1.0, 7, 5000);
-    one_domain => stays_within(1, 1.5, 6, 2000);
+    four_domains_and_six_slots => check_limits(4, 1.5, 6, 3000);
+    four_domains_and_seven_slots => check_limits(4, 1.0, 7, 5000);
+    one_domain => check_limits(1, 1.5, 6, 2000);
     more_domains_than_slots => fractional_slots();
     idle_share => no_burst_after_idling();
 }
--- a/crates/placement/tests/placement/support/node.rs
+++ b/crates/placement/tests/placement/support/node.rs
@@ -1,3 +1,5 @@
+//! Nodes, messages and faults of the simulation.
+
 use std::time::Duration;
 
 use hgw_placement::{Leader, LeaderAction, LeaderEntry, LeaderEvent, OrderResult};
@@ -14,11 +16,11 @@
     /// The order is lost.
     Lost,
     /// The order arrives after this time, without a response.
-    Late(Duration),
+    Delayed(Duration),
     /// The order is executed, but the response is lost.
-    AnswerLost,
+    ResponseLost,
     /// The order is executed; the response takes this time.
-    AnswerLate(Duration),
+    ResponseDelayed(Duration),
     /// The order cannot be sent.
     NotSent,
 }
@@ -30,37 +32,37 @@
 }
 
 #[derive(Debug)]
-pub(crate) enum Wire {
-    Order { node: usize, upstream: UpstreamId, order: Order, answered: bool, late: Duration },
-    Answer { node: usize, order: RecordId, result: OrderResult },
+pub(crate) enum Message {
+    Order { node: usize, upstream: UpstreamId, order: Order, answered: bool, delay: Duration },
+    Response { node: usize, order: RecordId, result: OrderResult },
     State { node: usize, upstream: UpstreamId, asked: Time },
 }
 
 pub(crate) struct Node {
-    pub(crate) keeper: Leader,
-    pub(crate) read: usize,
-    pub(crate) latest: Option<(Term, usize)>,
-    pub(crate) frozen: bool,
+    pub(crate) leader: Leader,
+    pub(crate) next_record: usize,
+    pub(crate) latest_claim: Option<(Term, usize)>,
+    pub(crate) paused: bool,
     pub(crate) dead: bool,
-    pub(crate) reads: bool,
+    pub(crate) reads_log: bool,
     /// Whether it pauses when it is about to send an order that can increase memory use.
-    pub(crate) freezes_on_load: bool,
-    pub(crate) hand: Vec<LeaderAction>,
-    pub(crate) inbox: Vec<LeaderEvent>,
+    pub(crate) pauses_on_load: bool,
+    pub(crate) pending_actions: Vec<LeaderAction>,
+    pub(crate) pending_events: Vec<LeaderEvent>,
 }
 
 impl Node {
-    pub(crate) fn new(keeper: Leader) -> Node {
+    pub(crate) fn new(leader: Leader) -> Node {
         Node {
-            keeper,
-            read: 0,
-            latest: None,
-            frozen: false,
+            leader,
+            next_record: 0,
+            latest_claim: None,
+            paused: false,
             dead: false,
-            reads: true,
-            freezes_on_load: false,
-            hand: Vec::new(),
-            inbox: Vec::new(),
+            reads_log: true,
+            pauses_on_load: false,
+            pending_actions: Vec::new(),
+            pending_events: Vec::new(),
         }
     }
 }
@@ -70,11 +72,11 @@
     Demand { model, urgent: 0, deferrable: 0, unmet: 0, busy_ms: 0, adapters: Vec::new() }
 }
 
-pub(crate) fn name(node: usize) -> char {
+pub(crate) fn node_name(node: usize) -> char {
     char::from(b'A' + u8::try_from(node % 26).unwrap_or_default())
 }
 
-pub(crate) fn show(kind: &OrderKind) -> String {
+pub(crate) fn format_order(kind: &OrderKind) -> String {
     match kind {
         OrderKind::Fence => "fence".into(),
         OrderKind::Load { model, version, .. } => format!("load {model}@{version}"),
--- a/crates/placement/tests/placement/support/world.rs
+++ b/crates/placement/tests/placement/support/world.rs
@@ -1,3 +1,5 @@
+//! Simulation of one failure domain.
+
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -12,7 +14,7 @@
 use hgw_wire::upstream::Order;
 use indexmap::IndexMap;
 
-use super::node::{Fault, Node, Record, Wire, demand, name, show};
+use super::node::{Fault, Message, Node, Record, demand, format_order, node_name};
 use super::{FakeEngine, id};
 
 pub(crate) const STEP: Duration = Duration::from_millis(50);
@@ -30,7 +32,7 @@
     document: Arc<Document>,
     floor: Floor,
     log: Vec<Record>,
-    wires: Vec<(Time, Wire)>,
+    messages: Vec<(Time, Message)>,
 }
 
 impl World {
@@ -49,7 +51,7 @@
             document,
             // Offset 0 is not a valid term.
             log: vec![Record::Claim(usize::MAX)],
-            wires: Vec::new(),
+            messages: Vec::new(),
         };
         for _ in 0..nodes {
             world.add_node();
@@ -62,23 +64,23 @@
         let n = self.nodes.len();
         let settings =
             LeaderSettings { drain_delay: Duration::from_millis(500), ..Default::default() };
-        let keeper = Leader::new(settings, id("d1"), n as u64 + 1);
-        self.nodes.push(Node::new(keeper));
-        self.tell_config(n);
+        let leader = Leader::new(settings, id("d1"), n as u64 + 1);
+        self.nodes.push(Node::new(leader));
+        self.send_config(n);
         n
     }
 
-    fn tell_config(&mut self, node: usize) {
+    fn send_config(&mut self, node: usize) {
         let (version, document) = (self.floor.config, Arc::clone(&self.document));
-        self.tell(node, LeaderEvent::Config { version, document });
-        self.tell(node, LeaderEvent::Floor(self.floor.clone()));
+        self.handle(node, LeaderEvent::Config { version, document });
+        self.handle(node, LeaderEvent::Floor(self.floor.clone()));
     }
 
     pub(crate) fn configure(&mut self, document: Arc<Document>) {
         let version = Offset(self.floor.config.0 + 1);
         self.floor = floor(&document, version, &[], Some(&self.floor));
         self.document = document;
-        (0..self.nodes.len()).for_each(|n| self.tell_config(n));
+        (0..self.nodes.len()).for_each(|n| self.send_config(n));
     }
 
     pub(crate) fn document(&self) -> Arc<Document> {
@@ -95,7 +97,7 @@
     pub(crate) fn set_floor(&mut self, change: impl FnOnce(&mut Floor)) {
         change(&mut self.floor);
         let floor = self.floor.clone();
-        (0..self.nodes.len()).for_each(|n| self.tell(n, LeaderEvent::Floor(floor.clone())));
+        (0..self.nodes.len()).for_each(|n| self.handle(n, LeaderEvent::Floor(floor.clone())));
     }
 
     pub(crate) fn claim(&mut self, node: usize) {
@@ -103,18 +105,18 @@
     }
 
     /// Pauses the process with its pending actions.
-    pub(crate) fn freeze(&mut self, node: usize) {
-        self.nodes[node].frozen = true;
+    pub(crate) fn pause(&mut self, node: usize) {
+        self.nodes[node].paused = true;
     }
 
     /// Resumes the process: first its pending actions, then the events received meanwhile.
-    pub(crate) fn thaw(&mut self, node: usize) {
-        self.note(format!("{} goes on", name(node)));
-        self.nodes[node].frozen = false;
-        let hand = std::mem::take(&mut self.nodes[node].hand);
-        hand.into_iter().for_each(|a| self.act(node, a));
-        let inbox = std::mem::take(&mut self.nodes[node].inbox);
-        inbox.into_iter().for_each(|e| self.tell(node, e));
+    pub(crate) fn resume(&mut self, node: usize) {
+        self.note(format!("{} resumes", node_name(node)));
+        self.nodes[node].paused = false;
+        let actions = std::mem::take(&mut self.nodes[node].pending_actions);
+        actions.into_iter().for_each(|a| self.execute(node, a));
+        let events = std::mem::take(&mut self.nodes[node].pending_events);
+        events.into_iter().for_each(|e| self.handle(node, e));
     }
 
     pub(crate) fn kill(&mut self, node: usize) {
@@ -123,7 +125,7 @@
 
     pub(crate) fn set_log(&mut self, up: bool) {
         self.log_up = up;
-        (0..self.nodes.len()).for_each(|n| self.tell(n, LeaderEvent::LogUp(up)));
+        (0..self.nodes.len()).for_each(|n| self.handle(n, LeaderEvent::LogUp(up)));
     }
 
     pub(crate) fn restart(&mut self, engine: &str) {
@@ -135,42 +137,49 @@
         self.engines.get_mut(&id::<UpstreamId>(engine)).expect("an engine of d1")
     }
 
-    pub(crate) fn tell(&mut self, node: usize, event: LeaderEvent) {
+    pub(crate) fn handle(&mut self, node: usize, event: LeaderEvent) {
         if self.nodes[node].dead {
             return;
         }
-        if self.nodes[node].frozen {
-            self.nodes[node].inbox.push(event);
+        if self.nodes[node].paused {
+            self.nodes[node].pending_events.push(event);
             return;
         }
         let mut out = Vec::new();
-        self.nodes[node].keeper.handle(self.now, event, &mut out);
-        out.into_iter().for_each(|a| self.act(node, a));
+        self.nodes[node].leader.handle(self.now, event, &mut out);
+        out.into_iter().for_each(|a| self.execute(node, a));
     }
 
     /// Executes an action; a paused node queues it.
-    fn act(&mut self, node: usize, action: LeaderAction) {
-        let grows = |a: &LeaderAction| matches!(a, LeaderAction::Order { order, .. } if Item::loaded_by(&order.kind).is_some());
-        if self.nodes[node].freezes_on_load && grows(&action) {
-            self.nodes[node].freezes_on_load = false;
-            self.note(format!("{} stands still with a load in hand", name(node)));
-            self.freeze(node);
+    fn execute(&mut self, node: usize, action: LeaderAction) {
+        let may_load = |a: &LeaderAction| matches!(a, LeaderAction::Order { order, .. } if Item::loaded_by(&order.kind).is_some());
+        if self.nodes[node].pauses_on_load && may_load(&action) {
+            self.nodes[node].pauses_on_load = false;
+            self.note(format!("{} pauses before sending a load", node_name(node)));
+            self.pause(node);
         }
-        if self.nodes[node].frozen {
-            self.nodes[node].hand.push(action);
+        if self.nodes[node].paused {
+            self.nodes[node].pending_actions.push(action);
             return;
         }
         match action {
             LeaderAction::Record { id, entry } => self.append(node, id, entry),
             LeaderAction::ReadState(upstream) => {
-                let wire = Wire::State { node, upstream, asked: self.now };
-                self.wires.push((self.now + STEP, wire));
+                let message = Message::State { node, upstream, asked: self.now };
+                self.messages.push((self.now + STEP, message));
             }
             LeaderAction::Order { upstream, order, send_by } => {
-                self.note(format!("{} -> {upstream}: {}", name(node), show(&order.kind)));
+                self.note(format!(
+                    "{} -> {upstream}: {}",
+                    node_name(node),
+                    format_order(&order.kind)
+                ));
                 if self.now > send_by {
-                    self.note(format!("{} -> {upstream}: too late, not sent", name(node)));
-                    self.tell_later(node, order.id, OrderResult::NotSent, STEP);
+                    self.note(format!(
+                        "{} -> {upstream}: send window passed, not sent",
+                        node_name(node)
+                    ));
+                    self.send_result(node, order.id, OrderResult::NotSent, STEP);
                     return;
                 }
                 self.send(node, upstream, order);
@@ -180,70 +189,74 @@
                     let models = holding.models.iter().map(|(m, v)| format!("{m}@{v}"));
                     let adapters = holding.adapters.iter().map(|(_, a, v)| format!("+{a}@{v}"));
                     let all: Vec<String> = models.chain(adapters).collect();
-                    self.note(format!("{} placement {upstream}: {}", name(node), all.join(" ")));
+                    self.note(format!(
+                        "{} placement {upstream}: {}",
+                        node_name(node),
+                        all.join(" ")
+                    ));
                 }
             }
-            LeaderAction::UnreachableEngines(lost) => {
-                let lost: Vec<&str> = lost.iter().map(UpstreamId::as_str).collect();
-                self.note(format!("{} lost: [{}]", name(node), lost.join(" ")));
+            LeaderAction::UnreachableEngines(unreachable) => {
+                let unreachable: Vec<&str> = unreachable.iter().map(UpstreamId::as_str).collect();
+                self.note(format!("{} unreachable: [{}]", node_name(node), unreachable.join(" ")));
             }
         }
     }
 
     fn append(&mut self, node: usize, id: RecordId, entry: LeaderEntry) {
-        let Some((term, holder)) = self.nodes[node].latest else { return };
-        if !self.log_up || holder != node {
-            self.tell_later_event(node, LeaderEvent::Dropped(id));
+        let Some((term, leader)) = self.nodes[node].latest_claim else { return };
+        if !self.log_up || leader != node {
+            self.queue_event(node, LeaderEvent::Dropped(id));
             return;
         }
         let text = match &entry {
             LeaderEntry::Intent { upstream, kind, .. } => {
-                format!("intent {upstream} {}", show(kind))
+                format!("intent {upstream} {}", format_order(kind))
             }
             LeaderEntry::Settled { orders } => format!("settled {}", orders.len()),
         };
-        self.note(format!("{} records {text}", name(node)));
+        self.note(format!("{} records {text}", node_name(node)));
         self.log.push(Record::Entry { term, id, entry });
     }
 
-    fn tell_later_event(&mut self, node: usize, event: LeaderEvent) {
-        self.nodes[node].inbox.push(event);
+    fn queue_event(&mut self, node: usize, event: LeaderEvent) {
+        self.nodes[node].pending_events.push(event);
     }
 
     fn send(&mut self, node: usize, upstream: UpstreamId, order: Order) {
-        let grows = Item::loaded_by(&order.kind).is_some();
-        let fault = if grows { self.faults.pop_front() } else { None };
-        let mut late = STEP;
-        let (mut answered, mut delay) = (true, Duration::ZERO);
+        let may_load = Item::loaded_by(&order.kind).is_some();
+        let fault = if may_load { self.faults.pop_front() } else { None };
+        let mut order_delay = STEP;
+        let (mut answered, mut response_delay) = (true, Duration::ZERO);
         match fault.unwrap_or(Fault::None) {
             Fault::None => {}
-            Fault::NotSent => return self.tell_later(node, order.id, OrderResult::NotSent, STEP),
-            Fault::Lost => return self.tell_later(node, order.id, OrderResult::Lost, TIMEOUT),
-            Fault::Late(by) => (answered, late) = (false, by),
-            Fault::AnswerLost => answered = false,
-            Fault::AnswerLate(by) => delay = by,
+            Fault::NotSent => return self.send_result(node, order.id, OrderResult::NotSent, STEP),
+            Fault::Lost => return self.send_result(node, order.id, OrderResult::Lost, TIMEOUT),
+            Fault::Delayed(by) => (answered, order_delay) = (false, by),
+            Fault::ResponseLost => answered = false,
+            Fault::ResponseDelayed(by) => response_delay = by,
         }
         if !answered {
-            self.tell_later(node, order.id, OrderResult::Lost, TIMEOUT);
+            self.send_result(node, order.id, OrderResult::Lost, TIMEOUT);
         }
-        let wire = Wire::Order { node, upstream, order, answered, late: delay };
-        self.wires.push((self.now + late, wire));
+        let message = Message::Order { node, upstream, order, answered, delay: response_delay };
+        self.messages.push((self.now + order_delay, message));
     }
 
-    fn tell_later(&mut self, node: usize, order: RecordId, result: OrderResult, after: Duration) {
-        self.wires.push((self.now + after, Wire::Answer { node, order, result }));
+    fn send_result(&mut self, node: usize, order: RecordId, result: OrderResult, after: Duration) {
+        self.messages.push((self.now + after, Message::Response { node, order, result }));
     }
 
     /// Reports callers' requests for an adapter that no engine has.
-    pub(crate) fn ask_adapter(&mut self, node: usize, model: &str, adapter: &str) {
+    pub(crate) fn request_adapter(&mut self, node: usize, model: &str, adapter: &str) {
         let demand = Demand { adapters: vec![id(adapter)], ..demand(model) };
-        self.tell(node, LeaderEvent::Demand(vec![demand]));
+        self.handle(node, LeaderEvent::Demand(vec![demand]));
     }
 
     /// Reports callers' requests for a model without free replicas.
-    pub(crate) fn ask_model(&mut self, node: usize, model: &str) {
+    pub(crate) fn request_model(&mut self, node: usize, model: &str) {
         let demand = Demand { urgent: 20, unmet: 20, busy_ms: 8000, ..demand(model) };
-        self.tell(node, LeaderEvent::Demand(vec![demand]));
+        self.handle(node, LeaderEvent::Demand(vec![demand]));
     }
 
     pub(crate) fn run(&mut self, time: Duration) {
@@ -261,70 +274,73 @@
         self.now += STEP;
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.wires).into_iter().partition(|(t, _)| *t <= now);
-        self.wires = later;
-        let due: Vec<(Time, Wire)> = due;
-        due.into_iter().for_each(|(_, wire)| self.deliver(wire));
+            std::mem::take(&mut self.messages).into_iter().partition(|(t, _)| *t <= now);
+        self.messages = later;
+        let due: Vec<(Time, Message)> = due;
+        due.into_iter().for_each(|(_, message)| self.deliver(message));
         for node in 0..self.nodes.len() {
-            if !self.nodes[node].frozen {
-                let inbox = std::mem::take(&mut self.nodes[node].inbox);
-                inbox.into_iter().for_each(|e| self.tell(node, e));
+            if !self.nodes[node].paused {
+                let events = std::mem::take(&mut self.nodes[node].pending_events);
+                events.into_iter().for_each(|e| self.handle(node, e));
                 self.read_log(node);
-                self.tell(node, LeaderEvent::Tick);
+                self.handle(node, LeaderEvent::Tick);
             }
         }
     }
 
-    fn deliver(&mut self, wire: Wire) {
-        match wire {
-            Wire::Answer { node, order, result } => {
-                self.tell(node, LeaderEvent::Answer { order, result });
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Response { node, order, result } => {
+                self.handle(node, LeaderEvent::Answer { order, result });
             }
-            Wire::State { node, upstream, asked } => {
+            Message::State { node, upstream, asked } => {
                 let engine = &self.engines[&upstream];
                 let state = engine.up.then(|| engine.state(self.now));
-                self.tell(node, LeaderEvent::State { upstream, asked, state });
+                self.handle(node, LeaderEvent::State { upstream, asked, state });
             }
-            Wire::Order { node, upstream, order, answered, late } => {
+            Message::Order { node, upstream, order, answered, delay } => {
                 let engine = &mut self.engines[&upstream];
                 if !engine.up {
                     if answered {
-                        self.tell_later(node, order.id, OrderResult::Lost, STEP);
+                        self.send_result(node, order.id, OrderResult::Lost, STEP);
                     }
                     return;
                 }
                 let (outcome, takes) = engine.order(self.now, &order);
-                self.note(format!("{upstream} {}: {outcome:?}", show(&order.kind)));
+                self.note(format!("{upstream} {}: {outcome:?}", format_order(&order.kind)));
                 if answered {
                     let result = OrderResult::Answered(outcome);
-                    self.tell_later(node, order.id, result, takes + late + STEP);
+                    self.send_result(node, order.id, result, takes + delay + STEP);
                 }
             }
         }
     }
 
     fn read_log(&mut self, node: usize) {
-        while self.log_up && self.nodes[node].reads && self.nodes[node].read < self.log.len() {
+        while self.log_up
+            && self.nodes[node].reads_log
+            && self.nodes[node].next_record < self.log.len()
+        {
             let n = &mut self.nodes[node];
-            let offset = n.read;
-            n.read += 1;
-            let held = n.latest.is_some_and(|(_, holder)| holder == node);
+            let offset = n.next_record;
+            n.next_record += 1;
+            let was_leader = n.latest_claim.is_some_and(|(_, leader)| leader == node);
             match self.log[offset].clone() {
-                Record::Claim(claimer) => {
-                    n.latest = Some((Term(offset as u64), claimer));
-                    if held {
-                        self.tell(node, LeaderEvent::LeaseLost);
+                Record::Claim(claimant) => {
+                    n.latest_claim = Some((Term(offset as u64), claimant));
+                    if was_leader {
+                        self.handle(node, LeaderEvent::LeaseLost);
                     }
-                    if claimer == node {
-                        self.note(format!("{} gains term {offset}", name(node)));
-                        self.tell(node, LeaderEvent::LeaseAcquired(Term(offset as u64)));
+                    if claimant == node {
+                        self.note(format!("{} acquires the lease, term {offset}", node_name(node)));
+                        self.handle(node, LeaderEvent::LeaseAcquired(Term(offset as u64)));
                     }
                 }
                 Record::Entry { term, id, entry } => {
-                    if n.latest.is_some_and(|(latest, _)| latest == term) {
-                        self.tell(node, LeaderEvent::Apply { id, entry });
+                    if n.latest_claim.is_some_and(|(latest, _)| latest == term) {
+                        self.handle(node, LeaderEvent::Apply { id, entry });
                     } else {
-                        self.tell(node, LeaderEvent::Dropped(id));
+                        self.handle(node, LeaderEvent::Dropped(id));
                     }
                 }
             }
@@ -344,17 +360,17 @@
 
     /// Number of open intents in a snapshot of the node's state.
     pub(crate) fn open_intents(&self, node: usize) -> usize {
-        self.nodes[node].keeper.snapshot().len()
+        self.nodes[node].leader.snapshot().len()
     }
 
     /// Panics with the transcript if memory was overcommitted or `models` are not reachable.
     pub(crate) fn check(&self, models: &[(&str, &str)]) {
-        let session = &self.transcript;
-        assert_eq!(self.overcommitted(), Vec::<String>::new(), "\n{session}");
+        let transcript = &self.transcript;
+        assert_eq!(self.overcommitted(), Vec::<String>::new(), "\n{transcript}");
         for (model, version) in models {
             assert!(
                 self.is_reachable(model, version),
-                "{model}@{version} not reachable\n{session}"
+                "{model}@{version} not reachable\n{transcript}"
             );
         }
     }
@@ -362,7 +378,8 @@
     /// Whether a running engine has the version ready.
     pub(crate) fn is_reachable(&self, model: &str, version: &str) -> bool {
         let item = Item::Model(id(model), id(version));
-        let holds = |e: &FakeEngine| e.up && e.held.get(&item).is_some_and(|(_, t)| *t <= self.now);
-        self.engines.values().any(holds)
+        let has_ready =
+            |e: &FakeEngine| e.up && e.loaded.get(&item).is_some_and(|(_, t)| *t <= self.now);
+        self.engines.values().any(has_ready)
     }
 }
