--- a/crates/node/src/keeper/mod.rs
+++ b/crates/node/src/keeper/mod.rs
@@ -148,7 +148,7 @@
                 [("node", node), ("upstream", upstream), ("order", &order), ("result", &shown)];
             emit(LogEvent::OrderNotDone, &fields);
         }
-        self.handle(cx, view, LeaderEvent::Answer { order, result });
+        self.handle(cx, view, LeaderEvent::OrderResult { order, result });
     }
 
     /// Takes an event that is already in the keeper's terms.
--- a/crates/placement/src/api.rs
+++ b/crates/placement/src/api.rs
@@ -73,7 +73,7 @@
     Restore(Vec<LeaderEntry>),
     /// An entry from this node that will never be applied.
     Dropped(RecordId),
-    /// Answer to [`LeaderAction::ReadState`].
+    /// Response to [`LeaderAction::ReadState`].
     State {
         upstream: UpstreamId,
         /// When the state was requested.
@@ -81,8 +81,8 @@
         /// `None` if the engine did not respond.
         state: Option<EngineState>,
     },
-    /// Answer to [`LeaderAction::Order`].
-    Answer {
+    /// Result of [`LeaderAction::Order`].
+    OrderResult {
         order: RecordId,
         result: OrderResult,
     },
--- a/crates/placement/src/leader/drain.rs
+++ b/crates/placement/src/leader/drain.rs
@@ -1,7 +1,7 @@
 //! Drains items that are no longer needed and evicts them once they are unused.
 //!
 //! An item is first withdrawn from the published placement. It is evicted when a read made at least
-//! the settle time later shows no request for it. Requests routed by the old placement may arrive
+//! `drain_delay` later shows no request for it. Requests routed by the old placement may arrive
 //! until then.
 
 use hgw_types::{ModelId, Time, UpstreamId};
@@ -65,8 +65,8 @@
         match item {
             Item::Model(id, _) => {
                 let new = Item::Model(id.clone(), model.version.clone());
-                let has_room = e.free_after_drains() >= model.size || e.ledger.has(&new);
-                let waits_here = self.domain.rank(engine, id).is_some() && has_room;
+                let fits = e.free_after_drains() >= model.size || e.ledger.has(&new);
+                let waits_here = self.domain.rank(engine, id).is_some() && fits;
                 self.is_extra_version(engine, item)
                     || e.serves(&new)
                     || (!waits_here && self.serves_elsewhere(engine, &new))
--- a/crates/placement/src/leader/engine.rs
+++ b/crates/placement/src/leader/engine.rs
@@ -144,12 +144,12 @@
     pub(super) fn read(
         &mut self,
         now: Time,
-        asked: Time,
+        requested_at: Time,
         state: &EngineState,
         fence: Option<Term>,
     ) {
         self.consecutive_failures = 0;
-        if matches!(self.phase, Phase::Read(after) if asked <= after) {
+        if matches!(self.phase, Phase::Read(after) if requested_at <= after) {
             return;
         }
         if fence.is_some_and(|term| state.fence != term) {
@@ -161,7 +161,7 @@
         if matches!(self.phase, Phase::Fence(_)) {
             return;
         }
-        match self.ledger.read(asked, state) {
+        match self.ledger.read(requested_at, state) {
             StateOutcome::Stale => return,
             StateOutcome::Applied => {}
             StateOutcome::Restarted => self.drains.clear(),
--- a/crates/placement/src/leader/mod.rs
+++ b/crates/placement/src/leader/mod.rs
@@ -120,7 +120,7 @@
             LeaderEvent::State { upstream, asked, state } => {
                 self.handle_state(now, &upstream, asked, state.as_ref());
             }
-            LeaderEvent::Answer { order, result } => self.handle_result(now, order, &result),
+            LeaderEvent::OrderResult { order, result } => self.handle_result(now, order, &result),
             LeaderEvent::Demand(demand) => self.handle_demand(now, &demand),
             LeaderEvent::Leaving(leaving) => self.leaving = leaving,
             LeaderEvent::LogUp(up) => self.log_up = up,
--- a/crates/placement/src/ledger/mod.rs
+++ b/crates/placement/src/ledger/mod.rs
@@ -230,7 +230,7 @@
         self.cancel(order);
     }
 
-    /// Applies a state that was requested at `requested_at`.
+    /// Applies a state of the engine.
     ///
     /// A state requested before an item was observed does not remove it, since the engine may have
     /// responded before the item was loaded.
--- a/crates/placement/src/ledger/pending.rs
+++ b/crates/placement/src/ledger/pending.rs
@@ -1,4 +1,4 @@
-//! An order that the ledger counts.
+//! An order that may still take effect and the copies of it that were sent.
 
 use hgw_types::{Generation, MemSize, Time};
 
--- a/crates/placement/tests/placement/support/world.rs
+++ b/crates/placement/tests/placement/support/world.rs
@@ -291,7 +291,7 @@
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Response { node, order, result } => {
-                self.handle(node, LeaderEvent::Answer { order, result });
+                self.handle(node, LeaderEvent::OrderResult { order, result });
             }
             Message::State { node, upstream, asked } => {
                 let engine = &self.engines[&upstream];
