--- a/crates/placement/src/demand/mod.rs
+++ b/crates/placement/src/demand/mod.rs
@@ -1,9 +1,10 @@
-//! Demand replicas: which model to load where, beyond the floor, and what to evict for it.
+//! Demand replicas: which models to load beyond the residency floor, on which engines, and what to
+//! evict for them.
 
 mod api;
+mod capacity;
+mod estimate;
 mod planner;
-mod room;
-mod seen;
 
-pub use api::{DemandSettings, EngineView, HeldView, Move};
+pub use api::{DemandSettings, EngineView, PlannedLoad, ReplicaView};
 pub use planner::DemandPlanner;
--- a/crates/placement/src/floor/mod.rs
+++ b/crates/placement/src/floor/mod.rs
@@ -1,29 +1,29 @@
-//! The residency floor: which engines must keep which model.
+//! The residency floor: the replicas that must stay loaded, by model and engine.
 //!
-//! A pure function of the configuration, the engines that are lost and the floor before it. It does
-//! not look at load, so that it changes with configuration and lost engines only, and moves little.
+//! A pure function of the configuration, the unreachable engines and the previous floor. It ignores
+//! load, so it changes only when configuration or reachability do.
 
-mod region;
+mod packing;
 
 use hgw_config::{Document, ServiceKind};
 use hgw_types::{Offset, RegionId, ServiceId, UpstreamId};
 use indexmap::IndexSet;
 
 use crate::Floor;
-use region::Packing;
+use packing::{EngineSpace, Packing};
 
-/// Works out the floor.
+/// Computes the floor.
 ///
-/// Each region gets a floor of its own, so that regions cut off from each other still reach every
-/// model that fits. Models that have no copy yet in an earlier region go first, so that a model left
-/// out of one region for want of memory is the last to be left out of the next.
+/// Each region gets its own floor, so that regions that cannot reach each other still serve every
+/// model that fits. Models without a replica in an earlier region are placed first, so that a model
+/// left out of one region for lack of memory is included in the next.
 ///
-/// `lost` are engines that do not answer; they and the leaving ones get no copy. What `previous` holds
-/// is kept where it still fits.
+/// Unreachable and leaving engines get no replicas. Replicas in `previous` are kept where
+/// they still fit.
 pub fn floor(
     document: &Document,
     version: Offset,
-    lost: &[UpstreamId],
+    unreachable: &[UpstreamId],
     previous: Option<&Floor>,
 ) -> Floor {
     let mut floor = Floor { config: version, ..Floor::default() };
@@ -35,7 +35,7 @@
             floor.models.entry(model.clone()).or_default();
         }
         for region in regions(document) {
-            let engines = engines(document, id, region, lost);
+            let engines = engines(document, id, region, unreachable);
             let packing = Packing::best(service, engines, &floor, previous);
             packing.add_to(&mut floor);
         }
@@ -51,13 +51,14 @@
     document: &'a Document,
     service: &ServiceId,
     region: &RegionId,
-    lost: &[UpstreamId],
-) -> Vec<region::Room<'a>> {
-    let here = |u: &hgw_config::Upstream| {
+    unreachable: &[UpstreamId],
+) -> Vec<EngineSpace<'a>> {
+    let is_in_region = |u: &hgw_config::Upstream| {
         u.service == *service
             && document.domains.get(&u.domain).is_some_and(|d| d.region == *region)
     };
-    let stays = |id: &UpstreamId, u: &hgw_config::Upstream| !u.leaving && !lost.contains(id);
-    let usable = document.upstreams.iter().filter(|(id, u)| here(u) && stays(id, u));
-    usable.map(|(id, u)| region::Room::new(id, &u.domain, u.memory)).collect()
+    let is_usable =
+        |id: &UpstreamId, u: &hgw_config::Upstream| !u.leaving && !unreachable.contains(id);
+    let usable = document.upstreams.iter().filter(|(id, u)| is_in_region(u) && is_usable(id, u));
+    usable.map(|(id, u)| EngineSpace::new(id, &u.domain, u.memory)).collect()
 }
--- a/crates/placement/src/keeper/retire.rs
+++ b/crates/placement/src/leader/drain.rs
@@ -1,34 +1,35 @@
-//! What is to go, and its eviction once nobody uses it.
+//! Drains items that are no longer needed and evicts them once they are unused.
 //!
-//! An item is first left out of the published placement. It is evicted when a read, asked for at
-//! least the settle time later, shows no request for it: routes are hints, so one that was chosen
-//! before may still be on its way when the placement changes.
+//! An item is first withdrawn from the published placement. It is evicted when a read made at least
+//! `drain_delay` later shows no request for it. Requests routed by the old placement may arrive
+//! until then.
 
 use hgw_types::{ModelId, Time, UpstreamId};
 
-use super::Keeper;
+use super::Leader;
 use super::engine::{Drain, Engine};
-use crate::{Item, KeeperAction};
+use crate::{Item, LeaderAction};
 
-impl Keeper {
-    /// Withdraws what the configuration no longer names, old versions once the new ones serve, and
-    /// all old versions but one on the same engine.
+impl Leader {
+    /// Withdraws items that are not in the configuration, old versions once the new ones serve, and
+    /// all but one old version of a model on the same engine.
     pub(super) fn plan_retirement(&mut self, now: Time) {
-        for id in self.usable() {
+        for id in self.usable_engines() {
             let Some(e) = self.engines.get(&id) else { continue };
-            let serving = e.ledger.held().keys().filter(|i| e.serves(i));
-            let going: Vec<Item> =
-                serving.filter(|i| self.is_to_go(now, &id, i)).cloned().collect();
-            for item in going {
-                // One old version of a model at a time: its other copies carry the load meanwhile.
-                // The one that an extra version leaves behind does so on the same engine.
-                let may_go_now = self.domain.model(&id, item.model()).is_none()
+            let serving = e.ledger.loaded().keys().filter(|i| e.serves(i));
+            let obsolete: Vec<Item> =
+                serving.filter(|i| self.is_obsolete(now, &id, i)).cloned().collect();
+            for item in obsolete {
+                // One old version of a model is drained at a time, while its other replicas serve
+                // its requests. Extra versions on the same engine are exempt, because another one
+                // stays there.
+                let may_drain = self.domain.model(&id, item.model()).is_none()
                     || self.is_extra_version(&id, &item);
-                if may_go_now || !self.is_draining(item.model()) {
+                if may_drain || !self.is_draining(item.model()) {
                     self.drain(now, &id, item);
                 }
             }
-            self.take_back(&id);
+            self.cancel_floor_drains(&id);
         }
     }
 
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Serves again what was to go and is the floor's after all.
-    fn take_back(&mut self, engine: &UpstreamId) {
+    /// Cancels the drain of items that the floor requires again.
+    fn cancel_floor_drains(&mut self, engine: &UpstreamId) {
         let domain = &self.domain;
         let Some(e) = self.engines.get_mut(engine) else { return };
         e.drains.retain(|item, drain| {
@@ -53,19 +54,19 @@
         drains.any(|i| i.is_model() && i.model() == model)
     }
 
-    fn is_to_go(&self, now: Time, engine: &UpstreamId, item: &Item) -> bool {
+    fn is_obsolete(&self, now: Time, engine: &UpstreamId, item: &Item) -> bool {
         if self.domain.is_current(engine, item) {
             return false;
         }
         let Some(model) = self.domain.model(engine, item.model()) else {
-            return now.since(self.gained) >= self.settings.unknown_wait;
+            return now.since(self.term_began) >= self.settings.removal_delay;
         };
         let Some(e) = self.engines.get(engine) else { return false };
         match item {
             Item::Model(id, _) => {
                 let new = Item::Model(id.clone(), model.version.clone());
-                let has_room = e.coming_free() >= model.size || e.ledger.has(&new);
-                let waits_here = self.domain.rank(engine, id).is_some() && has_room;
+                let fits = e.free_after_drains() >= model.size || e.ledger.has(&new);
+                let waits_here = self.domain.rank(engine, id).is_some() && fits;
                 self.is_extra_version(engine, item)
                     || e.serves(&new)
                     || (!waits_here && self.serves_elsewhere(engine, &new))
@@ -77,13 +78,12 @@
         }
     }
 
-    /// Whether the engine serves the old version beside one that it came to hold later, also old.
+    /// Whether the engine serves this old version along with a later one that is old too.
     ///
-    /// The load it is for: versions published faster than they load. The harm: old versions that wait
-    /// for the newest one fill the engine, which then has no room for it, and nothing goes until
-    /// `swap_only`. One is enough, since versions on one engine share its slots: a second one serves no
-    /// more callers. The later one stays, as the nearest to the configuration. One that still loads
-    /// does not count, so that callers always find one that serves.
+    /// When versions are published faster than they load, old versions that wait for the newest one
+    /// would fill the engine and block it until `evict_only_replica_after` has passed. One old version
+    /// is enough, since versions on one engine share its slots. The latest is kept. Versions that
+    /// are still loading do not count, so that one version always serves.
     fn is_extra_version(&self, engine: &UpstreamId, item: &Item) -> bool {
         let Some(e) = self.engines.get(engine) else { return false };
         let is_old = |i: &&Item| {
@@ -92,14 +92,14 @@
                 && e.serves(i)
                 && !self.domain.is_current(engine, i)
         };
-        let kept = e.ledger.held().keys().rfind(is_old);
+        let kept = e.ledger.loaded().keys().rfind(is_old);
         is_old(&item) && kept.is_some_and(|kept| kept != item)
     }
 
-    pub(super) fn evict_drained(&mut self, now: Time, out: &mut Vec<KeeperAction>) {
-        for id in self.usable() {
+    pub(super) fn evict_drained(&mut self, now: Time, out: &mut Vec<LeaderAction>) {
+        for id in self.usable_engines() {
             let Some(e) = self.engines.get(&id) else { continue };
-            if now < e.pause {
+            if now < e.paused_until {
                 continue;
             }
             let unused = |item: &Item, drain: &Drain| self.is_unused(now, e, item, drain);
@@ -113,7 +113,7 @@
                 if self.in_flight(&id) >= self.settings.orders_per_engine {
                     break;
                 }
-                let order = self.give(now, &id, item.evict(), out).ok();
+                let order = self.issue_order(now, &id, item.evict(), out).ok();
                 let drain = self.engines.get_mut(&id).and_then(|e| e.drains.get_mut(&item));
                 if let Some(drain) = drain {
                     drain.order = order;
@@ -123,14 +123,14 @@
     }
 
     fn is_unused(&self, now: Time, engine: &Engine, item: &Item, drain: &Drain) -> bool {
-        let Some(opened) = self.opened else { return false };
-        let settled = drain.since.max(opened) + self.settings.settle;
+        let Some(published) = self.first_published else { return false };
+        let unused_after = drain.since.max(published) + self.settings.drain_delay;
         let ledger = &engine.ledger;
-        if ledger.asked().is_none_or(|asked| asked < settled) {
+        if ledger.read_requested_at().is_none_or(|requested| requested < unused_after) {
             return false;
         }
         let uses = |i: &Item| i == item || (!item.is_model() && i.model() == item.model());
-        let active = ledger.held().iter().any(|(i, h)| uses(i) && h.active > 0);
+        let active = ledger.loaded().iter().any(|(i, h)| uses(i) && h.active > 0);
         !active || now.since(drain.since) >= self.settings.drain_limit
     }
 }
--- a/crates/placement/src/ledger/mod.rs
+++ b/crates/placement/src/ledger/mod.rs
@@ -1,12 +1,12 @@
-//! The memory of one engine, as its keeper must count it.
+//! Accounting of one engine's memory.
 //!
-//! *Reserved* is what is resident or loading, and what every order that may still take effect would
-//! load. Memory is reserved before an order is sent. It is freed only by what the engine itself says:
-//! a state, asked after the fact, in which the item is gone; or an answer that the only copy of the
-//! order had no effect. A lost or a late answer frees nothing.
+//! *Reserved* memory is what is loaded or loading, plus what every order that may still take effect
+//! would load. Memory is reserved before an order is sent. It is released only by a later state of
+//! the engine without the item, or by a response that the only copy of the order had no effect. A
+//! lost or late response releases nothing.
 //!
-//! The one clock in it is the keeper's own: a lost copy counts until the bound that the operator
-//! states for late orders has passed since its loss was known, which is after it was sent.
+//! The only clock involved is the leader's own: a lost copy counts until the engine's bound for
+//! late orders has passed since the loss was detected, which is after it was sent.
 
 mod item;
 mod pending;
@@ -23,214 +23,206 @@
 
 use crate::OrderResult;
 
-/// Outcome of a reservation.
 pub type Result<T> = std::result::Result<T, ReserveError>;
 
-/// Why memory is not reserved.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum ReserveError {
-    /// The engine's state has not been read yet.
     #[display("the engine's state has not been read yet")]
     NotRead,
-    /// The order cannot grow memory.
-    #[display("the order loads nothing")]
+    #[display("the order does not load anything")]
     NothingToLoad,
-    /// The engine holds the item, or an order for it may still take effect.
-    #[display("{item} is held, or an order for it may still take effect")]
-    Taken {
-        /// The item.
-        item: Item,
-    },
-    /// Not enough memory is free.
-    #[display("{item} takes {size}, {free} is free")]
-    Full {
-        /// The item.
-        item: Item,
-        /// Memory that it takes.
-        size: MemSize,
-        /// Memory that is not reserved.
-        free: MemSize,
-    },
+    #[display("{item} is already loaded, or an order for it may still take effect")]
+    AlreadyPresent { item: Item },
+    #[display("{item} needs {size}, but only {free} is free")]
+    NoMemory { item: Item, size: MemSize, free: MemSize },
 }
 
 /// An item in an engine's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
-    /// Memory that it takes.
+pub struct LoadedItem {
     pub size: MemSize,
-    /// Whether it can serve.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Requests for it at the last read; 0 for an adapter.
+    /// Requests in flight at the last read; 0 for an adapter.
     pub active: u32,
-    /// When this was last learnt.
-    pub seen: Time,
+    /// When this was last observed.
+    pub observed_at: Time,
 }
 
-/// What may be in one engine's memory.
+/// Items that are, or may be, in one engine's memory.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     memory: MemSize,
-    reported: Option<MemSize>,
+    reported_memory: Option<MemSize>,
     generation: Option<Generation>,
-    asked: Option<Time>,
-    held: IndexMap<Item, Held>,
+    read_requested_at: Option<Time>,
+    loaded: IndexMap<Item, LoadedItem>,
     orders: IndexMap<RecordId, Pending>,
 }
 
 impl Ledger {
-    /// A ledger of an engine of which nothing is known but its configured memory.
+    /// Creates a ledger for an engine whose state has not been read.
     pub fn new(memory: MemSize) -> Ledger {
         Ledger { memory, ..Ledger::default() }
     }
 
-    /// Sets the configured memory.
     pub fn set_memory(&mut self, memory: MemSize) {
         self.memory = memory;
     }
 
-    /// Memory that may be filled: the smaller of what is configured and what the engine reports.
+    /// Usable memory: the smaller of the configured and the reported size.
     pub fn memory(&self) -> MemSize {
-        self.reported.map_or(self.memory, |m| m.min(self.memory))
+        self.reported_memory.map_or(self.memory, |m| m.min(self.memory))
     }
 
-    /// Memory that is, or may come to be, in use.
+    /// Memory that is in use or may become so through orders.
     pub fn reserved(&self) -> MemSize {
         let mut sizes: IndexMap<&Item, MemSize> =
-            self.held.iter().map(|(item, held)| (item, held.size)).collect();
-        for order in self.orders.values().filter(|o| o.may_grow(self.generation)) {
+            self.loaded.iter().map(|(item, loaded_item)| (item, loaded_item.size)).collect();
+        for order in self.orders.values().filter(|o| o.may_load(self.generation)) {
             let size = sizes.entry(&order.item).or_default();
             *size = order.size.max(*size);
         }
         sizes.into_values().sum()
     }
 
-    /// Memory that is not reserved; none before the first read.
+    /// Memory that is not reserved; zero before the first read.
     pub fn free(&self) -> MemSize {
-        match self.asked {
+        match self.read_requested_at {
             Some(_) => self.memory().saturating_sub(self.reserved()),
             None => MemSize::default(),
         }
     }
 
-    /// When the newest state was asked for.
-    pub fn asked(&self) -> Option<Time> {
-        self.asked
+    /// When the latest applied state was requested.
+    pub fn read_requested_at(&self) -> Option<Time> {
+        self.read_requested_at
     }
 
-    /// The engine's generation at the last read.
     pub fn generation(&self) -> Option<Generation> {
         self.generation
     }
 
-    /// What the engine holds, as far as is known.
-    pub fn held(&self) -> &IndexMap<Item, Held> {
-        &self.held
+    /// Items known to be loaded or loading.
+    pub fn loaded(&self) -> &IndexMap<Item, LoadedItem> {
+        &self.loaded
     }
 
-    /// Whether the engine holds the item ready.
     pub fn is_ready(&self, item: &Item) -> bool {
-        self.held.get(item).is_some_and(|h| h.ready)
+        self.loaded.get(item).is_some_and(|h| h.ready)
     }
 
-    /// Whether the engine holds the item, or an order for it may still take effect.
+    /// Whether the item is loaded, or an order for it may still take effect.
     pub fn has(&self, item: &Item) -> bool {
-        self.held.contains_key(item) || self.orders.values().any(|o| o.item == *item)
+        self.loaded.contains_key(item) || self.orders.values().any(|o| o.item == *item)
     }
 
-    /// The order that may still load the item, with its size, where no answer to it is awaited and the
-    /// engine is not known to have carried it out. To send it again under its own id takes no more
-    /// memory than is reserved.
+    /// Returns an order for the item, with its size, that can be retried under its own id without
+    /// reserving more memory: it waits for no response and the engine is not known to have executed
+    /// it.
     ///
-    /// Nothing where more is reserved than there is. That comes about when an engine restarts: it
-    /// forgets which orders it has carried out, so that one done and undone before may take effect
-    /// again beside one sent since. Both may be gone; to send either again would make sure of it.
-    pub fn repeatable(&self, item: &Item) -> Option<(RecordId, MemSize)> {
-        let fits = |o: &Pending| {
-            o.item == *item && o.flying == 0 && o.done_in.is_none_or(|g| Some(g) != self.generation)
+    /// Returns `None` if more memory is reserved than the engine has. A restarted engine forgets
+    /// which orders it has executed, so an order undone earlier may take effect again next to a
+    /// newer one. Retrying either could overcommit the memory.
+    pub fn retryable(&self, item: &Item) -> Option<(RecordId, MemSize)> {
+        let can_retry = |o: &Pending| {
+            o.item == *item
+                && o.in_flight == 0
+                && o.executed_in.is_none_or(|g| Some(g) != self.generation)
         };
-        if self.held.contains_key(item) || self.reserved() > self.memory() {
+        if self.loaded.contains_key(item) || self.reserved() > self.memory() {
             return None;
         }
-        self.orders.iter().find(|(_, o)| fits(o)).map(|(id, o)| (*id, o.size))
+        self.orders.iter().find(|(_, o)| can_retry(o)).map(|(id, o)| (*id, o.size))
     }
 
-    /// Items that are loading, or that orders may yet load.
-    pub fn loading(&self) -> usize {
-        let loading = self.held.values().filter(|h| !h.ready).count();
-        let coming = |o: &&Pending| {
-            o.may_grow(self.generation) && o.flying > 0 && !self.held.contains_key(&o.item)
+    /// Number of items that are loading or that orders in flight may load.
+    pub fn loads_in_progress(&self) -> usize {
+        let loading = self.loaded.values().filter(|h| !h.ready).count();
+        let may_load_later = |o: &&Pending| {
+            o.may_load(self.generation) && o.in_flight > 0 && !self.loaded.contains_key(&o.item)
         };
-        loading + self.orders.values().filter(coming).count()
+        loading + self.orders.values().filter(may_load_later).count()
     }
 
-    /// Whether any order may still take effect.
-    pub fn is_unsettled(&self) -> bool {
-        self.orders.values().any(|o| o.may_grow(self.generation))
-            || self.held.values().any(|h| !h.ready)
+    /// Whether an item is loading or an order may still load one.
+    pub fn may_be_loading(&self) -> bool {
+        self.orders.values().any(|o| o.may_load(self.generation))
+            || self.loaded.values().any(|h| !h.ready)
     }
 
-    /// Reserves what the order would load. The order may be sent only after this.
+    /// Reserves the memory of the order, which must be done before it is sent.
     pub fn reserve(&mut self, order: RecordId, kind: &OrderKind) -> Result<()> {
         let (item, size) = Item::loaded_by(kind).ok_or(ReserveError::NothingToLoad)?;
-        if self.asked.is_none() {
+        if self.read_requested_at.is_none() {
             return Err(ReserveError::NotRead);
         }
         if self.has(&item) {
-            return Err(ReserveError::Taken { item });
+            return Err(ReserveError::AlreadyPresent { item });
         }
         let free = self.free();
         if size > free {
-            return Err(ReserveError::Full { item, size, free });
+            return Err(ReserveError::NoMemory { item, size, free });
         }
         self.orders.insert(order, Pending::new(item, size));
         Ok(())
     }
 
-    /// Counts another keeper's order, which was sent an unknown number of times, until `dead_at`.
-    pub fn inherit(&mut self, order: RecordId, kind: &OrderKind, dead_at: Time) {
+    /// Counts a previous leader's order, which may have been sent any number of times, until
+    /// `expires_at`.
+    pub fn inherit(&mut self, order: RecordId, kind: &OrderKind, expires_at: Time) {
         let Some((item, size)) = Item::loaded_by(kind) else { return };
         let pending = Pending::new(item, size);
-        self.orders.insert(order, Pending { inherited: true, dead_at: Some(dead_at), ..pending });
+        self.orders
+            .insert(order, Pending { inherited: true, expires_at: Some(expires_at), ..pending });
     }
 
-    /// Counts an order that is to be sent again until `dead_at` at least.
-    pub fn renew(&mut self, order: RecordId, dead_at: Time) {
+    /// Counts an order that will be retried until at least `expires_at`.
+    pub fn extend(&mut self, order: RecordId, expires_at: Time) {
         if let Some(pending) = self.orders.get_mut(&order) {
-            pending.dead_at = pending.dead_at.max(Some(dead_at));
+            pending.expires_at = pending.expires_at.max(Some(expires_at));
         }
     }
 
-    /// A copy of the order is about to be sent.
-    pub fn sending(&mut self, order: RecordId) {
+    /// Records that a copy of the order is being sent.
+    pub fn record_send(&mut self, order: RecordId) {
         if let Some(pending) = self.orders.get_mut(&order) {
-            pending.flying += 1;
+            pending.in_flight += 1;
             pending.consumed = false;
         }
     }
 
-    /// The order will not be sent again; frees it if no copy was ever sent.
+    /// Stops retries of the order; releases it if no copy can take effect.
     pub fn cancel(&mut self, order: RecordId) {
-        if self.orders.get(&order).is_some_and(Pending::is_over) {
+        if self.orders.get(&order).is_some_and(Pending::has_no_copies) {
             self.orders.shift_remove(&order);
         }
     }
 
-    /// What became of one copy of the order. `late` is the operator's bound for late orders.
-    pub fn answered(&mut self, now: Time, order: RecordId, result: &OrderResult, late: Duration) {
-        let Some(pending) = self.orders.get_mut(&order).filter(|o| o.flying > 0) else { return };
-        pending.flying -= 1;
+    /// Applies the result of one copy of the order. `late_order_bound` is the longest time by which an
+    /// order can reach the engine late.
+    pub fn handle_result(
+        &mut self,
+        now: Time,
+        order: RecordId,
+        result: &OrderResult,
+        late_order_bound: Duration,
+    ) {
+        let Some(pending) = self.orders.get_mut(&order).filter(|o| o.in_flight > 0) else { return };
+        pending.in_flight -= 1;
         match result {
-            // Not sent: the caller says next whether it sends again or cancels.
+            // The caller next retries or cancels the order.
             OrderResult::NotSent => return,
-            OrderResult::Lost => pending.lose(now + late),
+            OrderResult::Lost => pending.record_loss(now + late_order_bound),
             OrderResult::Answered(OrderOutcome::Done) => {
-                if pending.done_in.is_none() {
-                    pending.done_in = self.generation;
-                    // A predecessor's order may have been carried out and undone long ago, and is
-                    // answered all the same: only a read shows whether the item is there.
+                if pending.executed_in.is_none() {
+                    pending.executed_in = self.generation;
+                    // A previous leader's order may have been executed and undone long ago, and the
+                    // engine still responds `Done`. Only a read shows whether the item is there.
                     let ready = !pending.inherited;
-                    let held = Held { size: pending.size, ready, active: 0, seen: now };
-                    self.held.insert(pending.item.clone(), held);
+                    let loaded_item =
+                        LoadedItem { size: pending.size, ready, active: 0, observed_at: now };
+                    self.loaded.insert(pending.item.clone(), loaded_item);
                 }
             }
             OrderResult::Answered(_) => {}
@@ -238,33 +230,34 @@
         self.cancel(order);
     }
 
-    /// Takes what the engine said that it holds when it was asked at `asked`.
+    /// Applies a state of the engine.
     ///
-    /// A state asked for before something was learnt does not undo it: the engine may have answered
-    /// before that happened.
-    pub fn read(&mut self, asked: Time, state: &EngineState) -> Reading {
-        if self.asked.is_some_and(|t| asked <= t) {
-            return Reading::Stale;
+    /// A state requested before an item was observed does not remove it, since the engine may have
+    /// responded before the item was loaded.
+    pub fn read(&mut self, requested_at: Time, state: &EngineState) -> StateOutcome {
+        if self.read_requested_at.is_some_and(|t| requested_at <= t) {
+            return StateOutcome::Stale;
         }
         let restarted = self.generation.is_some_and(|g| g != state.generation);
-        self.asked = Some(asked);
+        self.read_requested_at = Some(requested_at);
         self.generation = Some(state.generation);
-        self.reported = Some(state.memory).filter(|m| *m > MemSize::default());
-        let shown = shown(asked, state);
-        self.held
-            .retain(|item, held| !restarted && (held.seen >= asked || shown.contains_key(item)));
-        for order in self.orders.values_mut().filter(|o| shown.contains_key(&o.item)) {
-            order.seen(state.generation);
+        self.reported_memory = Some(state.memory).filter(|m| *m > MemSize::default());
+        let reported = reported(requested_at, state);
+        self.loaded.retain(|item, loaded_item| {
+            !restarted && (loaded_item.observed_at >= requested_at || reported.contains_key(item))
+        });
+        for order in self.orders.values_mut().filter(|o| reported.contains_key(&o.item)) {
+            order.record_observed(state.generation);
         }
-        self.held.extend(shown);
+        self.loaded.extend(reported);
         let generation = state.generation;
-        self.orders.retain(|_, o| o.done_in != Some(generation) || !o.is_over());
-        if restarted { Reading::Restarted } else { Reading::Taken }
+        self.orders.retain(|_, o| o.executed_in != Some(generation) || !o.has_no_copies());
+        if restarted { StateOutcome::Restarted } else { StateOutcome::Applied }
     }
 
-    /// Frees the orders that can no longer take effect by the operator's bound.
+    /// Releases orders that can no longer take effect by the engine's bound for late orders.
     pub fn expire(&mut self, now: Time) {
-        self.orders.retain(|_, o| !o.is_dead(now));
+        self.orders.retain(|_, o| !o.is_expired(now));
     }
 
     /// Whether the order may still take effect.
@@ -273,25 +266,30 @@
     }
 }
 
-/// What a state did to the ledger.
+/// Result of applying a state to the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
-    /// Nothing: a state asked for later has been taken.
+pub enum StateOutcome {
+    /// Ignored: a state requested later has been applied.
     Stale,
-    /// It was taken.
-    Taken,
-    /// It was taken, and the engine has restarted since the one before.
+    Applied,
+    /// Applied, and the engine has restarted since the previous state.
     Restarted,
 }
 
-fn shown(asked: Time, state: &EngineState) -> IndexMap<Item, Held> {
+fn reported(requested_at: Time, state: &EngineState) -> IndexMap<Item, LoadedItem> {
     let models = state.models.iter().map(|m| {
-        let held = Held { size: m.size, ready: m.ready, active: m.active, seen: asked };
-        (Item::Model(m.model.clone(), m.version.clone()), held)
+        let loaded_item = LoadedItem {
+            size: m.size,
+            ready: m.ready,
+            active: m.active,
+            observed_at: requested_at,
+        };
+        (Item::Model(m.model.clone(), m.version.clone()), loaded_item)
     });
     let adapters = state.adapters.iter().map(|a| {
-        let held = Held { size: a.size, ready: a.ready, active: 0, seen: asked };
-        (Item::Adapter(a.model.clone(), a.adapter.clone(), a.version.clone()), held)
+        let loaded_item =
+            LoadedItem { size: a.size, ready: a.ready, active: 0, observed_at: requested_at };
+        (Item::Adapter(a.model.clone(), a.adapter.clone(), a.version.clone()), loaded_item)
     });
     models.chain(adapters).collect()
 }
--- a/crates/placement/src/ledger/pending.rs
+++ b/crates/placement/src/ledger/pending.rs
@@ -1,27 +1,29 @@
+//! An order that may still take effect and the copies of it that were sent.
+
 use hgw_types::{Generation, MemSize, Time};
 
 use super::Item;
 
 /// An order that may still take effect.
 ///
-/// Each sending of the order is a copy. A copy is *flying* until its answer or loss is known, and
-/// *lost* when no answer came. The engine carries the order out once within a generation, but a lost
-/// copy may reach the engine after a restart, which has forgotten the order's id.
+/// Each sending creates a copy. A copy is in flight until its response or loss is known, and lost
+/// if no response arrived. The engine executes an order once per generation, but a lost copy may
+/// arrive after a restart, when the engine no longer knows the order's id.
 #[derive(Debug, Clone)]
 pub(super) struct Pending {
     pub(super) item: Item,
     pub(super) size: MemSize,
-    /// Copies without an answer so far.
-    pub(super) flying: u32,
-    /// Copies whose answer was lost.
+    /// Copies in flight.
+    pub(super) in_flight: u32,
+    /// Lost copies.
     pub(super) lost: u32,
-    /// The generation in which the engine is known to have carried it out.
-    pub(super) done_in: Option<Generation>,
+    /// Engine generation in which the order is known to have been executed.
+    pub(super) executed_in: Option<Generation>,
     /// When lost copies can no longer take effect.
-    pub(super) dead_at: Option<Time>,
-    /// The one copy still flying is known to be the one that took effect.
+    pub(super) expires_at: Option<Time>,
+    /// Whether the only copy in flight is known to have taken effect.
     pub(super) consumed: bool,
-    /// Another keeper's order: how often it was sent is not known.
+    /// Whether a previous leader sent the order, an unknown number of times.
     pub(super) inherited: bool,
 }
 
@@ -30,48 +32,49 @@
         Pending {
             item,
             size,
-            flying: 0,
+            in_flight: 0,
             lost: 0,
-            done_in: None,
-            dead_at: None,
+            executed_in: None,
+            expires_at: None,
             consumed: false,
             inherited: false,
         }
     }
 
-    /// The engine's state shows the item. Where only one copy was out, it is the one that did it.
-    pub(super) fn seen(&mut self, generation: Generation) {
-        if self.done_in == Some(generation) {
+    /// Records that the engine's state shows the item. If there was only one copy, that copy loaded
+    /// it.
+    pub(super) fn record_observed(&mut self, generation: Generation) {
+        if self.executed_in == Some(generation) {
             return;
         }
-        self.done_in = Some(generation);
-        if self.inherited || self.flying + self.lost != 1 {
+        self.executed_in = Some(generation);
+        if self.inherited || self.in_flight + self.lost != 1 {
             return;
         }
-        self.consumed = self.flying == 1;
+        self.consumed = self.in_flight == 1;
         self.lost = 0;
     }
 
-    pub(super) fn lose(&mut self, dead_at: Time) {
+    pub(super) fn record_loss(&mut self, expires_at: Time) {
         if self.consumed {
             return;
         }
         self.lost += 1;
-        self.dead_at = self.dead_at.max(Some(dead_at));
+        self.expires_at = self.expires_at.max(Some(expires_at));
     }
 
-    /// Whether it may still add its item to an engine of this generation.
-    pub(super) fn may_grow(&self, generation: Option<Generation>) -> bool {
-        self.done_in.is_none() || self.done_in != generation
+    /// Whether it may still load its item on an engine of this generation.
+    pub(super) fn may_load(&self, generation: Option<Generation>) -> bool {
+        self.executed_in.is_none() || self.executed_in != generation
     }
 
-    /// Whether no copy is left that could take effect.
-    pub(super) fn is_over(&self) -> bool {
-        !self.inherited && self.flying == 0 && self.lost == 0
+    /// Whether no copy can take effect any more, apart from the bound for late orders.
+    pub(super) fn has_no_copies(&self) -> bool {
+        !self.inherited && self.in_flight == 0 && self.lost == 0
     }
 
-    /// Whether the time has passed after which no copy can take effect.
-    pub(super) fn is_dead(&self, now: Time) -> bool {
-        self.flying == 0 && self.dead_at.is_some_and(|t| now >= t)
+    /// Whether the bound for late orders has passed for all copies.
+    pub(super) fn is_expired(&self, now: Time) -> bool {
+        self.in_flight == 0 && self.expires_at.is_some_and(|t| now >= t)
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,19 +1,21 @@
-//! Decisions on memory: the ledger, the floor, demand replicas and weight store shares.
+//! Placement of models in engine memory: ledger, residency floor, demand replicas and weight store
+//! shares.
 //!
-//! The [`KeeperEvent`]s and [`KeeperAction`]s are the border of the [`Keeper`] of one failure domain:
-//! the only sender of orders to the engines of its domain. [`floor`] is the planner's decision. The
-//! [`Ledger`] and the [`Shares`] stand alone and can be embedded without the keeper.
+//! A failure domain has one leader, its [`Leader`], which alone sends orders to the domain's
+//! engines. It takes [`LeaderEvent`]s and returns [`LeaderAction`]s and does no I/O. [`floor`]
+//! computes the replicas that must stay loaded. [`Ledger`] and [`WeightStoreShare`] can be used
+//! without the leader.
 
 mod api;
 mod demand;
 mod floor;
-mod keeper;
+mod leader;
 pub mod ledger;
-mod shares;
+mod weight_store;
 
-pub use api::{Floor, KeeperAction, KeeperEntry, KeeperEvent, OrderResult};
-pub use demand::{DemandPlanner, DemandSettings, EngineView, HeldView, Move};
+pub use api::{Floor, LeaderAction, LeaderEntry, LeaderEvent, OrderResult};
+pub use demand::{DemandPlanner, DemandSettings, EngineView, PlannedLoad, ReplicaView};
 pub use floor::floor;
-pub use keeper::{Keeper, KeeperSettings, SEND_WINDOW};
-pub use ledger::{Held, Item, Ledger, Reading, ReserveError};
-pub use shares::Shares;
+pub use leader::{Leader, LeaderSettings, SEND_WINDOW};
+pub use ledger::{Item, Ledger, LoadedItem, ReserveError, StateOutcome};
+pub use weight_store::WeightStoreShare;
--- a/crates/placement/tests/placement/support/node.rs
+++ b/crates/placement/tests/placement/support/node.rs
@@ -1,69 +1,68 @@
+//! Nodes, messages and faults of the simulation.
+
 use std::time::Duration;
 
-use hgw_placement::{Keeper, KeeperAction, KeeperEntry, KeeperEvent, OrderResult};
+use hgw_placement::{Leader, LeaderAction, LeaderEntry, LeaderEvent, OrderResult};
 use hgw_types::{RecordId, Term, Time, UpstreamId};
 use hgw_wire::peer::Demand;
 use hgw_wire::upstream::{Order, OrderKind};
 
 use super::id;
 
-/// What happens to the next order that can grow memory.
+/// Fault of the next order that can increase memory use.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fault {
-    /// Nothing.
     None,
-    /// It never arrives, and no answer comes.
+    /// The order is lost.
     Lost,
-    /// No answer comes, and it arrives after this time.
-    Late(Duration),
-    /// It takes effect, and no answer comes.
-    AnswerLost,
-    /// It takes effect, and the answer comes after this time.
-    AnswerLate(Duration),
-    /// No byte of it can be sent.
+    /// The order arrives after this time, without a response.
+    Delayed(Duration),
+    /// The order is executed, but the response is lost.
+    ResponseLost,
+    /// The order is executed; the response takes this time.
+    ResponseDelayed(Duration),
+    /// The order cannot be sent.
     NotSent,
 }
 
 #[derive(Debug, Clone)]
 pub(crate) enum Record {
     Claim(usize),
-    Entry { term: Term, id: RecordId, entry: KeeperEntry },
+    Entry { term: Term, id: RecordId, entry: LeaderEntry },
 }
 
 #[derive(Debug)]
-pub(crate) enum Wire {
-    Order { node: usize, upstream: UpstreamId, order: Order, answered: bool, late: Duration },
-    Answer { node: usize, order: RecordId, result: OrderResult },
+pub(crate) enum Message {
+    Order { node: usize, upstream: UpstreamId, order: Order, answered: bool, delay: Duration },
+    Response { node: usize, order: RecordId, result: OrderResult },
     State { node: usize, upstream: UpstreamId, asked: Time },
 }
 
-/// A node of the domain, or what is left of it.
 pub(crate) struct Node {
-    pub(crate) keeper: Keeper,
-    pub(crate) read: usize,
-    pub(crate) latest: Option<(Term, usize)>,
-    pub(crate) frozen: bool,
+    pub(crate) leader: Leader,
+    pub(crate) next_record: usize,
+    pub(crate) latest_claim: Option<(Term, usize)>,
+    pub(crate) paused: bool,
     pub(crate) dead: bool,
-    /// Whether it reads the log.
-    pub(crate) reads: bool,
-    /// Whether it stands still as soon as it is about to send an order that can grow memory.
-    pub(crate) freezes_on_load: bool,
-    pub(crate) hand: Vec<KeeperAction>,
-    pub(crate) inbox: Vec<KeeperEvent>,
+    pub(crate) reads_log: bool,
+    /// Whether it pauses when it is about to send an order that can increase memory use.
+    pub(crate) pauses_on_load: bool,
+    pub(crate) pending_actions: Vec<LeaderAction>,
+    pub(crate) pending_events: Vec<LeaderEvent>,
 }
 
 impl Node {
-    pub(crate) fn new(keeper: Keeper) -> Node {
+    pub(crate) fn new(leader: Leader) -> Node {
         Node {
-            keeper,
-            read: 0,
-            latest: None,
-            frozen: false,
+            leader,
+            next_record: 0,
+            latest_claim: None,
+            paused: false,
             dead: false,
-            reads: true,
-            freezes_on_load: false,
-            hand: Vec::new(),
-            inbox: Vec::new(),
+            reads_log: true,
+            pauses_on_load: false,
+            pending_actions: Vec::new(),
+            pending_events: Vec::new(),
         }
     }
 }
@@ -73,11 +72,11 @@
     Demand { model, urgent: 0, deferrable: 0, unmet: 0, busy_ms: 0, adapters: Vec::new() }
 }
 
-pub(crate) fn name(node: usize) -> char {
+pub(crate) fn node_name(node: usize) -> char {
     char::from(b'A' + u8::try_from(node % 26).unwrap_or_default())
 }
 
-pub(crate) fn show(kind: &OrderKind) -> String {
+pub(crate) fn format_order(kind: &OrderKind) -> String {
     match kind {
         OrderKind::Fence => "fence".into(),
         OrderKind::Load { model, version, .. } => format!("load {model}@{version}"),
