--- a/crates/direct/tests/in_flight.rs
+++ b/crates/direct/tests/in_flight.rs
@@ -90,24 +90,24 @@
 #[test]
 fn only_changes_are_sent_between_full_updates() {
     let mut tracker = UpdateTracker::default();
-    let mut flights = IndexMap::from([(key(1), load(1)), (key(2), load(2))]);
+    let mut loads = IndexMap::from([(key(1), load(1)), (key(2), load(2))]);
     assert_eq!(
-        tracker.next_updates(0, &flights),
+        tracker.next_updates(0, &loads),
         [full_update(&[InFlightRow(key(1), 1, 1, 100), InFlightRow(key(2), 2, 1, 200)])]
     );
-    assert_eq!(tracker.next_updates(40, &flights), []);
-    flights.insert(key(2), load(3));
+    assert_eq!(tracker.next_updates(40, &loads), []);
+    loads.insert(key(2), load(3));
     assert_eq!(
-        tracker.next_updates(80, &flights),
+        tracker.next_updates(80, &loads),
         [partial_update(&[InFlightRow(key(2), 3, 1, 300)])]
     );
-    flights.swap_remove(&key(1));
+    loads.swap_remove(&key(1));
     assert_eq!(
-        tracker.next_updates(120, &flights),
+        tracker.next_updates(120, &loads),
         [partial_update(&[InFlightRow(key(1), 0, 0, 0)])]
     );
     assert_eq!(
-        tracker.next_updates(1_000, &flights),
+        tracker.next_updates(1_000, &loads),
         [full_update(&[InFlightRow(key(2), 3, 1, 300)])]
     );
 }
@@ -116,16 +116,15 @@
 /// report as if it were all of it.
 #[test]
 fn many_engines_take_several_datagrams() {
-    let flights: IndexMap<EngineKey, InFlightLoad> =
-        (0..3_000).map(|n| (key(n), load(2))).collect();
+    let loads: IndexMap<EngineKey, InFlightLoad> = (0..3_000).map(|n| (key(n), load(2))).collect();
     let mut reports = PeerReports::default();
     reports.apply(addr(1), 0, &full_update(&[InFlightRow(key(5_000), 1, 0, 0)]));
-    for update in UpdateTracker::default().next_updates(0, &flights) {
+    for update in UpdateTracker::default().next_updates(0, &loads) {
         assert!(update.rows.len() <= 100);
         reports.apply(addr(1), 10, &update);
     }
     let sums: IndexMap<EngineKey, InFlightLoad> = reports.sums().collect();
-    assert_eq!(sums.len(), flights.len());
+    assert_eq!(sums.len(), loads.len());
     assert_eq!(reports.sum(key(5_000)), InFlightLoad::default());
 }
 
@@ -139,23 +138,23 @@
         let mut reports = PeerReports::default();
         let mut last: IndexMap<u16, IndexMap<EngineKey, InFlightLoad>> = IndexMap::default();
         let mut tracker: IndexMap<u16, UpdateTracker> = IndexMap::default();
-        for (node, flights, lost) in steps {
-            let flights = flights.into_iter().filter(|(_, n)| *n > 0).map(|(e, n)| (key(e), load(n)));
-            let flights: IndexMap<EngineKey, InFlightLoad> = flights.collect();
-            for update in tracker.entry(node).or_default().next_updates(10, &flights) {
+        for (node, loads, lost) in steps {
+            let loads = loads.into_iter().filter(|(_, n)| *n > 0).map(|(e, n)| (key(e), load(n)));
+            let loads: IndexMap<EngineKey, InFlightLoad> = loads.collect();
+            for update in tracker.entry(node).or_default().next_updates(10, &loads) {
                 if !lost {
                     reports.apply(addr(node), 10, &update);
                 }
             }
-            last.insert(node, flights);
+            last.insert(node, loads);
         }
-        for (node, flights) in &last {
-            for update in tracker[node].next_updates(1_010, flights) {
+        for (node, loads) in &last {
+            for update in tracker[node].next_updates(1_010, loads) {
                 reports.apply(addr(*node), 1_010, &update);
             }
         }
         for engine in 0..6 {
-            let of = |flights: &IndexMap<EngineKey, InFlightLoad>| flights.get(&key(engine)).copied();
+            let of = |loads: &IndexMap<EngineKey, InFlightLoad>| loads.get(&key(engine)).copied();
             let sum = last.values().filter_map(of).fold(InFlightLoad::default(), InFlightLoad::plus);
             prop_assert_eq!(reports.sum(key(engine)), sum);
         }
--- a/crates/hibiscusgw/tests/processes/authentication.rs
+++ b/crates/hibiscusgw/tests/processes/authentication.rs
@@ -11,17 +11,17 @@
 fn a_peer_with_another_secret_gets_no_configuration() {
     let mut cluster = start(settings());
     let secret = ["--secret", "another secret, long enough"];
-    let stranger =
+    let unauthenticated_node =
         cluster.start_node_at("x1", "stgo-b", unreachable_addr(), &secret).expect("it starts");
     let member = cluster.start_node_at("b2", "stgo-b", unreachable_addr(), &[]).expect("it starts");
-    cluster.nodes.extend([stranger, member]);
+    cluster.nodes.extend([unauthenticated_node, member]);
     cluster.list_vms().expect("the list can be set");
     let change = marked(&cluster.deployment.document, "mark-known");
     cluster.publish(FIRST_VERSION, &change).expect("the log accepts the record");
-    let [.., stranger, member] = cluster.nodes.as_slice() else { panic!("five nodes") };
+    let [.., unauthenticated_node, member] = cluster.nodes.as_slice() else { panic!("five nodes") };
     wait("the member has the change", || marker(member).as_deref() == Some("known"))
         .expect("the nodes connect to the VMs on the list");
-    assert_ne!(marker(stranger).as_deref(), Some("known"));
+    assert_ne!(marker(unauthenticated_node).as_deref(), Some("known"));
 }
 
 /// An engine that requires an order token must ignore orders with another one.
--- a/crates/types/tests/text_forms.rs
+++ b/crates/types/tests/text_forms.rs
@@ -5,7 +5,7 @@
 
 use hgw_types::{AttemptId, MemSize, ModelId, Rate, Scope, Time};
 
-fn reads_back<T: FromStr + Display + PartialEq + Debug>(text: &str)
+fn assert_round_trip<T: FromStr + Display + PartialEq + Debug>(text: &str)
 where
     T::Err: Debug,
 {
@@ -13,7 +13,7 @@
     assert_eq!(value.to_string(), text);
 }
 
-fn is_refused<T: FromStr<Err = hgw_types::ParseError> + Debug>(text: &str, message: &str) {
+fn assert_parse_error<T: FromStr<Err = hgw_types::ParseError> + Debug>(text: &str, message: &str) {
     assert_eq!(text.parse::<T>().unwrap_err().to_string(), message);
 }
 
@@ -27,15 +27,17 @@
 }
 
 cases! {
-    model => reads_back::<ModelId>("fill-review@v2");
-    attempt => reads_back::<AttemptId>("00000000000000ff-12");
-    time => reads_back::<Time>("12.005ms");
-    rate => reads_back::<Rate>("1.5");
-    mem_size => reads_back::<MemSize>("70");
-    empty_name => is_refused::<ModelId>(
+    model => assert_round_trip::<ModelId>("fill-review@v2");
+    attempt => assert_round_trip::<AttemptId>("00000000000000ff-12");
+    time => assert_round_trip::<Time>("12.005ms");
+    rate => assert_round_trip::<Rate>("1.5");
+    mem_size => assert_round_trip::<MemSize>("70");
+    empty_name => assert_parse_error::<ModelId>(
         "", "`` is not a valid model id: expected 1 to 128 of A-Z a-z 0-9 . _ : / @ + -");
-    name_with_blank => is_refused::<Scope>(
+    name_with_blank => assert_parse_error::<Scope>(
         "a b", "`a b` is not a valid scope: expected 1 to 128 of A-Z a-z 0-9 . _ : / @ + -");
-    negative_rate => is_refused::<Rate>("-1", "`-1` is not a valid rate: expected a number of 0 or more");
-    endless_rate => is_refused::<Rate>("inf", "`inf` is not a valid rate: expected a number of 0 or more");
+    negative_rate => assert_parse_error::<Rate>(
+        "-1", "`-1` is not a valid rate: expected a number of 0 or more");
+    endless_rate => assert_parse_error::<Rate>(
+        "inf", "`inf` is not a valid rate: expected a number of 0 or more");
 }
