--- a/crates/direct/src/catalog.rs
+++ b/crates/direct/src/catalog.rs
@@ -158,7 +158,7 @@
         let route = host_routes
             .filter(|r| path.starts_with(r.prefix.as_str()))
             .max_by_key(|r| r.prefix.len())?;
-        Some(RouteMatch { route, service: route.target(random)? })
+        Some(RouteMatch { route, service: route.select_service(random)? })
     }
 }
 
@@ -179,7 +179,7 @@
 }
 
 impl Route {
-    fn target(&self, random: f64) -> Option<&ServiceId> {
+    fn select_service(&self, random: f64) -> Option<&ServiceId> {
         let sum: u32 = self.targets.iter().map(|t| t.weight).sum();
         let mut remaining = random * f64::from(sum);
         for target in self.targets.iter().filter(|t| t.weight > 0) {
--- a/crates/direct/src/cursor.rs
+++ b/crates/direct/src/cursor.rs
@@ -34,7 +34,7 @@
 /// A text that is not a valid era.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("`{text}` is not a store era: expected an integer up to {MAX_ERA}")]
-pub struct BadEra {
+pub struct InvalidEra {
     #[error(not(source))]
     pub text: String,
 }
@@ -50,10 +50,10 @@
 }
 
 impl FromStr for Era {
-    type Err = BadEra;
+    type Err = InvalidEra;
 
-    fn from_str(text: &str) -> Result<Era, BadEra> {
-        let bad = || BadEra { text: text.chars().take(40).collect() };
+    fn from_str(text: &str) -> Result<Era, InvalidEra> {
+        let bad = || InvalidEra { text: text.chars().take(40).collect() };
         let era: u32 = text.trim().parse().map_err(|_: ParseIntError| bad())?;
         if era > MAX_ERA { Err(bad()) } else { Ok(Era(era)) }
     }
--- a/crates/direct/src/hubs.rs
+++ b/crates/direct/src/hubs.rs
@@ -109,24 +109,24 @@
         self.skipped.insert(addr, (reason, now + time));
     }
 
-    /// The node that the node at `me` polls, with the leader at `leader`.
+    /// The node that the node at `own_addr` polls, with the leader at `leader`.
     ///
     /// If all candidates are outdated, the leader is polled: the store may be unreachable from a
     /// whole domain. If the leader is outdated too, the store is down for all nodes, and the first
     /// candidate that responds is polled.
-    pub fn parent(&self, me: SocketAddr, leader: Option<SocketAddr>, now: Millis) -> Parent {
+    pub fn parent(&self, own_addr: SocketAddr, leader: Option<SocketAddr>, now: Millis) -> Parent {
         let candidates =
             || self.candidates.iter().map(|c| c.addr).filter(|addr| Some(*addr) != leader);
         let state = |addr: &SocketAddr| {
             let (reason, until) = self.skipped.get(addr)?;
             (now < *until).then_some(*reason)
         };
-        let first = candidates().find(|addr| *addr == me || state(addr).is_none());
+        let first = candidates().find(|addr| *addr == own_addr || state(addr).is_none());
         let leader_is_current = leader.is_some_and(|leader| state(&leader).is_none());
         let stale = || candidates().find(|addr| state(addr) == Some(SkipReason::Stale));
         let hub = first.or_else(|| if leader_is_current { None } else { stale() });
         match hub {
-            Some(addr) if addr != me => Parent::Hub(addr),
+            Some(addr) if addr != own_addr => Parent::Hub(addr),
             _ => Parent::Leader,
         }
     }
--- a/crates/direct/src/isolation.rs
+++ b/crates/direct/src/isolation.rs
@@ -23,12 +23,12 @@
     now: Millis,
 ) -> bool {
     let others = engines.iter().filter(|e| e.accepts_requests() && e.info.domain != domain);
-    let (mut all, mut unreachable) = (0, 0);
+    let (mut total, mut unreachable) = (0, 0);
     for engine in others {
-        all += 1;
+        total += 1;
         unreachable += usize::from(engine.health.is_unreachable(now));
     }
     store_unresponsive_for > STORE_TIMEOUT
-        && all >= MIN_ENGINES
-        && unreachable as f64 >= UNREACHABLE_RATIO * all as f64
+        && total >= MIN_ENGINES
+        && unreachable as f64 >= UNREACHABLE_RATIO * total as f64
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -31,7 +31,7 @@
     Target,
 };
 pub use choice::{Choice, ChoiceParams, CostWeights, NoEngine, choose_engine};
-pub use cursor::{BadEra, Cursor, Era, KnownEra};
+pub use cursor::{Cursor, Era, InvalidEra, KnownEra};
 pub use customer::{
     ApiKey, CallerIdentity, Credentials, Customer, CustomerId, Customers, Quota, QuotaBounds,
     QuotaUnit,
--- a/crates/direct/src/quota/issuer.rs
+++ b/crates/direct/src/quota/issuer.rs
@@ -44,7 +44,7 @@
 
     /// Part of the nodes without recent contact. 0 just after the start, as nodes have to find the
     /// new issuer first.
-    pub fn silent_share(&self, nodes: u32, now: Millis) -> f64 {
+    pub fn unresponsive_share(&self, nodes: u32, now: Millis) -> f64 {
         if now.saturating_sub(self.started_at) < ISOLATED_AFTER {
             return 0.0;
         }
@@ -60,21 +60,21 @@
         (MAX_SHARE_FACTOR * share).clamp(MIN_SHARE, 1.0)
     }
 
-    /// Grants from a customer's quota. `fallback_usage` is usage without the issuer, `silent_share`
-    /// the part of the nodes that may use their share without it, and `max_share` the maximum part
-    /// to grant, unless a single request needs more.
+    /// Grants from a customer's quota. `fallback_usage` is usage without the issuer,
+    /// `unresponsive_share` the part of the nodes that may use their share without it, and
+    /// `max_share` the maximum part to grant, unless a single request needs more.
     pub fn grant(
         &mut self,
         from: SocketAddr,
         customer: &CustomerId,
         params: &IssuanceParams,
         request: &AllowanceRequest,
-        (fallback_usage, silent_share, max_share): (f64, f64, f64),
+        (fallback_usage, unresponsive_share, max_share): (f64, f64, f64),
         now: Millis,
     ) -> IssuedAmount {
         let empty = Bucket { level: params.start, at: self.started_at };
         let bucket = self.buckets.entry(customer.clone()).or_insert(empty);
-        bucket.fill(now, params.rate * (1.0 - FALLBACK_SHARE * silent_share), params.depth);
+        bucket.fill(now, params.rate * (1.0 - FALLBACK_SHARE * unresponsive_share), params.depth);
         // Usage from before the start is not part of this bucket.
         if now.saturating_sub(self.started_at) >= ISOLATED_AFTER {
             bucket.level -= fallback_usage;
--- a/crates/direct/tests/quota.rs
+++ b/crates/direct/tests/quota.rs
@@ -150,14 +150,14 @@
         if nodes > 0 {
             issuer.record_contact(addr(node), nodes, now);
         }
-        let silent_share = issuer.silent_share(all, now);
+        let unresponsive_share = issuer.unresponsive_share(all, now);
         let max_share = Issuer::max_share(nodes, all);
         let issued = issuer.grant(
             addr(node),
             &customer(),
             &params,
             request,
-            (used, silent_share, max_share),
+            (used, unresponsive_share, max_share),
             now,
         );
         let grants = vec![Grant { amount: issued.amount, ttl_ms: params.allowance_ttl() }];
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use futures_util::future::LocalBoxFuture;
-pub use hgw_direct::{BadEra, Cursor, Era};
 use hgw_direct::{
     CachedWeights, Catalog, Credentials, CustomerId, EngineId, EngineInfo, Load, LoadedModel,
     ModelRef, Prompt, StartTime,
 };
+pub use hgw_direct::{Cursor, Era, InvalidEra};
 use hgw_http1::{Head, Request};
 use http::HeaderMap;
 use http::request::Parts;
--- a/crates/gateway/src/quotas/grant.rs
+++ b/crates/gateway/src/quotas/grant.rs
@@ -27,7 +27,7 @@
     if request.nodes > 0 {
         issuer.record_contact(request.from, request.nodes, now);
     }
-    let silent_share = issuer.silent_share(nodes, now);
+    let unresponsive_share = issuer.unresponsive_share(nodes, now);
     let mut response = GrantResponse::default();
     for (customer, requested, fallback_usage) in &request.rows {
         let Some((params, _)) = customer_quota(node, customer, None) else { continue };
@@ -37,7 +37,7 @@
             customer,
             &params,
             requested,
-            (*fallback_usage, silent_share, max_share),
+            (*fallback_usage, unresponsive_share, max_share),
             now,
         );
         let grant = Grant { amount: issued.amount, ttl_ms: params.allowance_ttl() };
