--- a/crates/gateway/src/election/lease_record.rs
+++ b/crates/gateway/src/election/lease_record.rs
@@ -37,7 +37,7 @@
 pub(super) fn parse(record: &Record) -> Option<LeaseRecord> {
     let entry: LeaseRecord = serde_json::from_slice(&record.data).ok()?;
     let era = entry.era.map_or(Era::FIRST, |(era, _)| era);
-    (era == record.at.era).then_some(entry)
+    (era == record.position.era).then_some(entry)
 }
 
 /// Serializes a record for the log that ends at `at`.
--- a/crates/gateway/src/election/participant.rs
+++ b/crates/gateway/src/election/participant.rs
@@ -315,7 +315,7 @@
         let mut leadership = self.node.leadership.borrow_mut();
         let lost_claim = leadership.own_claim.filter(|mine| {
             lease_record.node != own_name
-                || (lease_record.kind == RecordKind::Claim && record.at != *mine)
+                || (lease_record.kind == RecordKind::Claim && record.position != *mine)
         });
         if let Some(fence) = lost_claim.and_then(Cursor::fencing_token) {
             emit(Event::KeeperLost, &[("node", &own_name), ("term", &fence)]);
@@ -325,7 +325,7 @@
             leadership.renewed_at = sent_at;
         }
         let LeaseRecord { kind, node, addr, .. } = lease_record;
-        let Some(fence) = record.at.fencing_token() else { return };
+        let Some(fence) = record.position.fencing_token() else { return };
         let known_fence = leadership
             .leader
             .as_ref()
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -96,8 +96,8 @@
         {
             continue;
         }
-        // After an outage, a call that waits for update would delay the detection that the store is
-        // back.
+        // After an outage, a call that waits for an update would delay the detection that the store
+        // is back.
         let default_wait =
             freshness::max_poll_wait(&node, node.settings.borrow().max_catalog_wait());
         let wait = if link.is_down() || has_leader_updates { Duration::ZERO } else { default_wait };
@@ -285,14 +285,14 @@
         state.engines.set_backup_end(update.cursor);
     }
     let mut snapshot = Vec::new();
-    for EngineChange { at, entry } in update.entries {
+    for EngineChange { position, entry } in update.entries {
         match entry {
             EngineEntry::Listed { mut listed, left } => {
                 if let Some(left) = left {
                     let gone_at = Some(now + left.as_millis() as u64);
                     listed.state = EngineState::Leaving { terminates_at: gone_at };
                 }
-                listed.position = at;
+                listed.position = position;
                 keep_reported_models(&state.engines, &mut listed);
                 if update.is_full_list {
                     snapshot.push(*listed);
@@ -302,11 +302,11 @@
             }
             EngineEntry::Gone(id) => {
                 if !keep_missing {
-                    state.engines.remove(&id, at);
+                    state.engines.remove(&id, position);
                 }
             }
             EngineEntry::Unreadable(id) => {
-                state.engines.mark_unreadable(&id, at);
+                state.engines.mark_unreadable(&id, position);
                 if update.is_full_list {
                     snapshot.extend(state.engines.get(&id).map(|engine| engine.info.clone()));
                 }
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -55,7 +55,7 @@
     let Some(fence) = fence(node) else { return OrderResult::Superseded };
     let known = node.engine(engine, |e| (e.info.addr, e.accepted_orders, e.info.started_at));
     let Some((addr, seq, start)) = known else { return OrderResult::Refused };
-    let order = Order { addr, engine, kind, wanted: model_ref, seq, holder: &own_name, fence };
+    let order = Order { addr, engine, kind, model_ref, seq, holder: &own_name, fence };
     let req = node.protocols.upstreams.order_request(&order);
     let result = match call(node, engine, &req).await {
         CallResult::Responded(status, body) => {
@@ -160,14 +160,14 @@
 fn apply_report(node: &Node, engine: &EngineId, report: Report) -> bool {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let Some(known) = state.engines.observe_start(engine, report.start) else { return false };
+    let Some(known) = state.engines.observe_start(engine, report.started_at) else { return false };
     // An order may have been accepted while the report was under way.
     if report.seq < known.accepted_orders {
         return false;
     }
     known.accepted_orders = report.seq;
-    let has_changed = known.info.loaded != report.held;
-    known.info.loaded = report.held;
+    let has_changed = known.info.loaded != report.loaded;
+    known.info.loaded = report.loaded;
     known.info.cached = report.cached;
     known.loading_adapters = report.loading_adapters;
     known.reported_load = Some((report.load, now, known.own_requests));
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -143,7 +143,7 @@
     pub addr: SocketAddr,
     pub engine: &'a EngineId,
     pub kind: OrderKind,
-    pub wanted: &'a ModelRef,
+    pub model_ref: &'a ModelRef,
     /// Number of orders that the engine had accepted when this one was decided; the engine rejects the
     /// order if its own count differs.
     pub seq: u64,
@@ -157,7 +157,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
     /// Loaded models.
-    pub held: Vec<LoadedModel>,
+    pub loaded: Vec<LoadedModel>,
     /// Models that it can load without fetching them.
     pub cached: CachedWeights,
     /// Adapters that are being loaded.
@@ -166,7 +166,7 @@
     pub busy: bool,
     /// Number of orders that it has accepted.
     pub seq: u64,
-    pub start: StartTime,
+    pub started_at: StartTime,
     pub load: Load,
 }
 
@@ -248,7 +248,7 @@
 /// An entry of the list of engines, with its position in the store's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineChange {
-    pub at: Cursor,
+    pub position: Cursor,
     pub entry: EngineEntry,
 }
 
@@ -269,7 +269,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
     /// Position in the log, unique and increasing.
-    pub at: Cursor,
+    pub position: Cursor,
     pub data: Bytes,
 }
 
