--- a/crates/gateway/src/election/mod.rs
+++ b/crates/gateway/src/election/mod.rs
@@ -15,7 +15,7 @@
 
 use lease_record::{RecordKind, parse, serialize};
 
-pub(crate) use participant::take_part;
+pub(crate) use participant::run;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaderInfo {
@@ -49,18 +49,18 @@
     /// After a suspend the node must try to renew before it acts. Once its lease has expired, a
     /// leader that cannot reach the store goes on only if engines reject outdated tokens, because a
     /// successor's orders then stop it.
-    pub(crate) fn fence(&self, lease: Duration, engines_fence: bool) -> Option<u64> {
+    pub(crate) fn fencing_token(&self, lease: Duration, engines_check_fence: bool) -> Option<u64> {
         let now = boot_time();
         let has_lease = now.saturating_sub(self.renewed_at) < lease;
         let attempted_lately = now.saturating_sub(self.attempted_at) < lease / 2;
         self.own_claim
-            .filter(|_| attempted_lately && (has_lease || engines_fence))
+            .filter(|_| attempted_lately && (has_lease || engines_check_fence))
             .and_then(Cursor::fencing_token)
     }
 
     /// Fencing token for actions that only one node may take at a time; none once the lease has
     /// expired. A successor waits for a full lease.
-    pub(crate) fn exclusive_fence(&self, lease: Duration) -> Option<u64> {
+    pub(crate) fn exclusive_fencing_token(&self, lease: Duration) -> Option<u64> {
         let has_lease = boot_time().saturating_sub(self.renewed_at) < lease;
         self.own_claim.filter(|_| has_lease).and_then(Cursor::fencing_token)
     }
--- a/crates/gateway/src/election/participant.rs
+++ b/crates/gateway/src/election/participant.rs
@@ -55,7 +55,7 @@
 }
 
 /// Claims, renews and follows the lease until the process ends.
-pub(crate) async fn take_part(node: Node) {
+pub(crate) async fn run(node: Node) {
     let cpu_share = node.settings.borrow().cpu_share.clamp(0.01, 1.0);
     let base_delay =
         CLAIM_DELAY.div_f64(cpu_share).min(MAX_CLAIM_DELAY).mul_f64(0.5 + random::<f64>() / 2.0);
@@ -206,7 +206,7 @@
     async fn reclaim(&mut self, end: Cursor) -> Result<(), StoreError> {
         let node = Rc::clone(&self.node);
         let lease = node.settings.borrow().lease;
-        let Some(old_fence) = node.leadership.borrow().exclusive_fence(lease) else {
+        let Some(old_fence) = node.leadership.borrow().exclusive_fencing_token(lease) else {
             let name = node.settings.borrow().node.clone();
             let lost_claim = node.leadership.borrow_mut().own_claim.take();
             if let Some(fence) = lost_claim.and_then(Cursor::fencing_token) {
@@ -216,7 +216,7 @@
         };
         if let Some((fence, _)) = self.append_claim(end).await? {
             leader::continue_under(&node, fence);
-            quotas::move_to_fence(&node, old_fence, fence);
+            quotas::update_issuer_fence(&node, old_fence, fence);
         }
         Ok(())
     }
--- a/crates/gateway/src/leader/adapters.rs
+++ b/crates/gateway/src/leader/adapters.rs
@@ -14,7 +14,7 @@
 use crate::shared::Node;
 
 use super::order::{OrderResult, count_accepted, may_send_orders, send_order};
-use super::{model_pools, models, order_lock, placement_changed};
+use super::{announce_placement_change, model_pools, models, order_lock};
 
 /// Pause before the first check of a load; a load takes about this long.
 const MIN_CHECK_PAUSE: Duration = Duration::from_millis(6);
@@ -50,7 +50,7 @@
     node.leader_state.borrow_mut().demand.mark_requested(now, model_ref);
     let model = ModelRef { model: model_ref.model.clone(), adapter: None };
     if model_ref.adapter.is_none() || !is_loaded(node, &model) {
-        return Placement::Coming(models::expected_load_ms(node, &model_ref.model));
+        return Placement::Loading(models::expected_load_ms(node, &model_ref.model));
     }
     // Runs as a separate task, because the caller may disconnect while an order is pending.
     let done = start_placement(node, model_ref, domain);
@@ -68,22 +68,22 @@
     known.remove_loaded(model_ref);
     drop(state);
     node.leader_state.borrow_mut().surveyed.shift_remove(engine);
-    placement_changed(node, engine);
+    announce_placement_change(node, engine);
 }
 
 /// Starts to place an adapter unless that is in progress. The returned `Notify` is notified at the
 /// end.
 fn start_placement(node: &Node, model_ref: &ModelRef, domain: &str) -> Rc<Notify> {
     let mut leader = node.leader_state.borrow_mut();
-    if let Some(in_progress) = leader.placing.get(model_ref) {
+    if let Some(in_progress) = leader.placements_in_progress.get(model_ref) {
         return Rc::clone(in_progress);
     }
     let done = Rc::new(Notify::new());
-    leader.placing.insert(model_ref.clone(), Rc::clone(&done));
+    leader.placements_in_progress.insert(model_ref.clone(), Rc::clone(&done));
     let (node, model_ref, domain) = (Rc::clone(node), model_ref.clone(), domain.to_owned());
     tokio::task::spawn_local(async move {
         place_adapter_now(&node, &model_ref, &domain).await;
-        let done = node.leader_state.borrow_mut().placing.shift_remove(&model_ref);
+        let done = node.leader_state.borrow_mut().placements_in_progress.shift_remove(&model_ref);
         if let Some(done) = done {
             done.notify_waiters();
         }
@@ -95,7 +95,7 @@
 pub(super) fn place_missing_adapter(node: &Node, service: &ServiceId) {
     let model_ref = {
         let leader = node.leader_state.borrow();
-        if leader.placing.len() >= MAX_PLACEMENTS {
+        if leader.placements_in_progress.len() >= MAX_PLACEMENTS {
             return;
         }
         let state = node.state.borrow();
@@ -123,7 +123,7 @@
         let lock = order_lock(node, &engine);
         let _guard = lock.lock().await;
         // Another order may have taken the slot meanwhile.
-        if is_still_valid(node, model_ref, &engine, evict.as_ref()) {
+        if is_action_valid(node, model_ref, &engine, evict.as_ref()) {
             execute(node, &engine, model_ref, evict).await;
         }
     }
@@ -155,7 +155,7 @@
 }
 
 /// Whether the decision still holds: there is a free slot or the evicted adapter is still there.
-fn is_still_valid(
+fn is_action_valid(
     node: &Node,
     model_ref: &ModelRef,
     engine: &EngineId,
@@ -196,19 +196,19 @@
         if let Some(e) = node.state.borrow_mut().engines.get_mut(engine) {
             e.remove_loaded(&evicted);
         }
-        placement_changed(node, engine);
+        announce_placement_change(node, engine);
         node.leader_state.borrow_mut().draining.insert(engine.clone());
-        let unloaded = order_until_done(node, engine, OrderKind::Unload, &evicted).await;
+        let unloaded = repeat_order(node, engine, OrderKind::Unload, &evicted).await;
         node.leader_state.borrow_mut().draining.shift_remove(engine);
         if !unloaded {
             return;
         }
     }
-    order_until_done(node, engine, OrderKind::Load, model_ref).await;
+    repeat_order(node, engine, OrderKind::Load, model_ref).await;
 }
 
 /// Repeats an order until the engine has executed it. Returns whether it has.
-async fn order_until_done(
+async fn repeat_order(
     node: &Node,
     engine: &EngineId,
     kind: OrderKind,
@@ -237,7 +237,7 @@
                         OrderKind::Unload => e.remove_loaded(model_ref),
                     }
                 }
-                placement_changed(node, engine);
+                announce_placement_change(node, engine);
                 return true;
             }
             OrderResult::Accepted => {
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -62,7 +62,7 @@
     /// Engines that reported their state to this leader, and their start at that time.
     surveyed: IndexMap<EngineId, StartTime>,
     /// Engines known to this leader, and their start when it last checked.
-    seen: IndexMap<EngineId, StartTime>,
+    known_starts: IndexMap<EngineId, StartTime>,
     /// Engines with a survey in progress.
     surveying: IndexSet<EngineId>,
     survey_permits: Rc<SurveyPermits>,
@@ -71,7 +71,7 @@
     /// Serialize the orders to each engine.
     order_locks: IndexMap<EngineId, Rc<Mutex<()>>>,
     /// Notified when the placement of an adapter has ended.
-    placing: IndexMap<ModelRef, Rc<Notify>>,
+    placements_in_progress: IndexMap<ModelRef, Rc<Notify>>,
     /// Nodes that have reported their earlier demand to this leader.
     demand_reporters: IndexSet<SocketAddr>,
     /// Position of the last change in the engine list that nodes were notified of.
@@ -211,9 +211,9 @@
     let lease = node.settings.borrow().lease.as_millis() as Millis;
     let Some(start) = node.engine(id, |e| e.info.started_at) else { return false };
     let mut leader = node.leader_state.borrow_mut();
-    let leads_for = node.now().saturating_sub(leader.started_at);
-    let seen_before = leader.seen.insert(id.clone(), start);
-    leads_for > SOLE_LEADER_AFTER_LEASES * lease && seen_before != Some(start)
+    let time_as_leader = node.now().saturating_sub(leader.started_at);
+    let seen_before = leader.known_starts.insert(id.clone(), start);
+    time_as_leader > SOLE_LEADER_AFTER_LEASES * lease && seen_before != Some(start)
 }
 
 /// Services whose engines load models on demand.
@@ -295,7 +295,7 @@
 }
 
 /// Announces that the loaded models of an engine changed.
-fn placement_changed(node: &Node, engine: &EngineId) {
+fn announce_placement_change(node: &Node, engine: &EngineId) {
     let now = node.now();
     if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
         engine.placement_reported_at = Some(now);
--- a/crates/gateway/src/leader/models.rs
+++ b/crates/gateway/src/leader/models.rs
@@ -14,7 +14,7 @@
 use crate::shared::Node;
 
 use super::order::{OrderResult, count_accepted, may_send_orders, send_order};
-use super::{load_rate_limits, model_pools, order_lock, placement_changed, record_load};
+use super::{announce_placement_change, load_rate_limits, model_pools, order_lock, record_load};
 
 /// Interval at which an order in progress is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -168,7 +168,7 @@
         if let Some(engine) = node.state.borrow_mut().engines.get_mut(engine) {
             engine.remove_loaded(model_ref);
         }
-        placement_changed(node, engine);
+        announce_placement_change(node, engine);
         sleep(UNLOAD_NOTICE).await;
     }
     let max_wait =
@@ -201,7 +201,7 @@
             OrderResult::Superseded | OrderResult::Refused => break,
         }
         if kind == OrderKind::Unload {
-            placement_changed(node, engine);
+            announce_placement_change(node, engine);
         }
     }
     // The outcome is unknown, so the engine has to be surveyed again.
@@ -233,5 +233,5 @@
             OrderKind::Unload => engine.remove_loaded(model_ref),
         }
     }
-    placement_changed(node, engine);
+    announce_placement_change(node, engine);
 }
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{Order, OrderKind, Report};
 use crate::shared::Node;
 
-use super::placement_changed;
+use super::announce_placement_change;
 
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -41,7 +41,7 @@
 
 fn fence(node: &Node) -> Option<u64> {
     let settings = node.settings.borrow();
-    node.leadership.borrow().fence(settings.lease, settings.engines_check_fence)
+    node.leadership.borrow().fencing_token(settings.lease, settings.engines_check_fence)
 }
 
 /// Sends an order. Its precondition is the number of orders that the engine has accepted.
@@ -178,7 +178,7 @@
     drop(state);
     node.handle_restarts();
     if should_notify {
-        placement_changed(node, engine);
+        announce_placement_change(node, engine);
     }
     true
 }
@@ -200,7 +200,7 @@
     };
     match timeout(RESPONSE_TIMEOUT, response).await {
         Ok(Some((status, body))) => {
-            node.mark_heard(engine);
+            node.record_response_byte(engine);
             node.pool.put(addr, conn);
             CallResult::Responded(status, body)
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -29,5 +29,5 @@
 mod shutdown;
 mod state;
 
-pub use run::{Ended, Signal, run};
+pub use run::{ExitReason, Signal, run};
 pub use settings::Settings;
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -27,7 +27,7 @@
     histogram!("hgw_request_duration_seconds", "route" => route).record(took.as_secs_f64());
 }
 
-pub(crate) fn first_piece(route: &Route, took: Duration) {
+pub(crate) fn first_byte(route: &Route, took: Duration) {
     histogram!("hgw_first_piece_seconds", "route" => route.name.clone()).record(took.as_secs_f64());
 }
 
@@ -95,17 +95,17 @@
         gauge!("hgw_second_tries_left", "service" => service.to_string()).set(left);
     }
     let state = node.state.borrow();
-    let (mut ready, mut leaving, mut silent) = (0.0, 0.0, 0.0);
+    let (mut ready, mut draining, mut ejected) = (0.0, 0.0, 0.0);
     for engine in state.engines.iter() {
         match (engine.accepts_requests(), engine.health.is_ejected(now)) {
-            (false, _) => leaving += 1.0,
-            (true, true) => silent += 1.0,
+            (false, _) => draining += 1.0,
+            (true, true) => ejected += 1.0,
             (true, false) => ready += 1.0,
         }
     }
     gauge!("hgw_engines", "state" => "ready").set(ready);
-    gauge!("hgw_engines", "state" => "leaving").set(leaving);
-    gauge!("hgw_engines", "state" => "silent").set(silent);
+    gauge!("hgw_engines", "state" => "leaving").set(draining);
+    gauge!("hgw_engines", "state" => "silent").set(ejected);
     gauge!("hgw_config_version").set(state.catalog.as_ref().map_or(0.0, |c| c.version as f64));
     gauge!("hgw_nodes").set(f64::from(state.nodes));
     gauge!("hgw_list_age_seconds").set(node.store_data_age() as f64 / 1000.0);
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -32,8 +32,8 @@
         for entry in entries {
             engines.upsert(entry);
         }
-        for (gone, at) in &update.removed {
-            engines.remove(gone, *at);
+        for (removed_id, at) in &update.removed {
+            engines.remove(removed_id, *at);
         }
     }
     drop(state);
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -166,7 +166,8 @@
     /// An engine has it loaded.
     Placed,
     /// It is being loaded, for about this many milliseconds.
-    Coming(u64),
+    #[serde(rename = "Coming")]
+    Loading(u64),
     /// The leader cannot tell, or there is none.
     Unknown,
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -210,14 +210,14 @@
         leader::add_demand(node, &request.demand);
         add_peer(node, request.from);
     } else {
-        forward_demand(node, &request.demand);
+        record_child_demand(node, &request.demand);
     }
     apply_loads(node, &request.loads);
     json_response(&poll_response::poll_response(node, &request).await)
 }
 
 /// Adds the demand of nodes behind this hub to its own report to the leader.
-fn forward_demand(node: &Node, demand: &[DemandCount]) {
+fn record_child_demand(node: &Node, demand: &[DemandCount]) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     for entry in demand {
--- a/crates/gateway/src/quotas/grant.rs
+++ b/crates/gateway/src/quotas/grant.rs
@@ -17,7 +17,7 @@
 /// Grants allowances as the issuer; `None` unless this node's lease ensures that there is no other.
 pub(super) fn issue(node: &Node, request: &GrantRequest) -> Option<GrantResponse> {
     let lease = node.settings.borrow().lease;
-    let fence = node.leadership.borrow().exclusive_fence(lease)?;
+    let fence = node.leadership.borrow().exclusive_fencing_token(lease)?;
     let (now, nodes) = (boot_now(), node.state.borrow().nodes);
     let mut issuer = node.quotas.issuer.borrow_mut();
     if issuer.as_ref().is_none_or(|(current, _)| *current != fence) {
@@ -47,7 +47,7 @@
 }
 
 /// Keeps the issuer's state, with all earlier grants, when this node's fencing token changes.
-pub(crate) fn move_to_fence(node: &Node, old_fence: u64, fence: u64) {
+pub(crate) fn update_issuer_fence(node: &Node, old_fence: u64, fence: u64) {
     if let Some((current, _)) = node.quotas.issuer.borrow_mut().as_mut()
         && *current == old_fence
     {
@@ -67,7 +67,7 @@
         // A node that has a hub itself forwards nothing: there are only two levels.
         AllowanceSource::Node(Parent::Hub(_), _) => None,
         AllowanceSource::Node(Parent::Leader, _) | AllowanceSource::None => {
-            Some(forward(node, &request).await)
+            Some(grant_as_hub(node, &request).await)
         }
     };
     response.map(|response| serde_json::to_vec(&response)).transpose()
@@ -75,7 +75,7 @@
 
 /// Grants from the allowances of this node, which acts as a hub. If they do not suffice, waits
 /// briefly for more from the issuer.
-async fn forward(node: &Node, request: &GrantRequest) -> GrantResponse {
+async fn grant_as_hub(node: &Node, request: &GrantRequest) -> GrantResponse {
     let mut waiters = Vec::new();
     for (customer, requested, _) in &request.rows {
         let is_short = with_account(node, customer, |account| {
--- a/crates/gateway/src/quotas/mod.rs
+++ b/crates/gateway/src/quotas/mod.rs
@@ -20,7 +20,7 @@
 use crate::clock::boot_time;
 use crate::shared::Node;
 
-pub(crate) use grant::{handle_request, move_to_fence};
+pub(crate) use grant::{handle_request, update_issuer_fence};
 pub(crate) use refill::refill;
 
 /// Longest time that a request waits for an allowance.
--- a/crates/gateway/src/relay/attempt.rs
+++ b/crates/gateway/src/relay/attempt.rs
@@ -135,7 +135,7 @@
             node.pool.put(addr, conn);
             return AttemptResult::NotSent;
         }
-        if self.runs == 0
+        if self.executions == 0
             && let Err(error) = self.check_authorized()
         {
             node.pool.put(addr, conn);
@@ -150,7 +150,7 @@
         let result = self.wait_for_first_byte(&guard, response_head).await;
         match result {
             WaitResult::Done(Ok((head, info))) => {
-                node.mark_heard(engine);
+                node.record_response_byte(engine);
                 self.handle_response_head(engine, conn, head, info, guard).await
             }
             WaitResult::Done(Err(e)) => {
@@ -162,21 +162,21 @@
                 };
                 guard.record_outcome(outcome);
                 node.mark_broken(engine);
-                self.runs += 1;
+                self.executions += 1;
                 AttemptResult::NoResponse
             }
             WaitResult::EngineRestarted => {
-                self.runs += 1;
+                self.executions += 1;
                 AttemptResult::NoResponse
             }
             WaitResult::Stalled => {
                 self.report_unreachable(engine);
-                self.runs += 1;
+                self.executions += 1;
                 AttemptResult::Stalled
             }
             WaitResult::TimedOut => {
                 guard.record_outcome(AttemptOutcome::Failed);
-                self.runs += 1;
+                self.executions += 1;
                 AttemptResult::TimedOut
             }
         }
@@ -251,7 +251,7 @@
             }
             return AttemptResult::NotRun;
         }
-        self.runs += 1;
+        self.executions += 1;
         // Without an id the response may belong to another request; a success without a signature
         // does not come from the engine.
         let is_ours = info.id.is_some();
@@ -316,7 +316,7 @@
         guard: &AttemptGuard,
         future: F,
     ) -> WaitResult<F::Output> {
-        if !self.route.kind.may_repeat() || self.runs + 1 >= self.route.max_attempts {
+        if !self.route.kind.may_repeat() || self.executions + 1 >= self.route.max_attempts {
             return self.unless_engine_restarts(guard, future).await;
         }
         let hung = (self.route.first_byte_objective * HUNG_AFTER_OBJECTIVES)
--- a/crates/gateway/src/relay/buffered.rs
+++ b/crates/gateway/src/relay/buffered.rs
@@ -78,7 +78,7 @@
             response
         }
         Some(Failure::Reason(reason)) => req.fail(StatusCode::BAD_GATEWAY, reason),
-        None if req.runs > 0 => req.fail(StatusCode::BAD_GATEWAY, "no engine is left"),
+        None if req.executions > 0 => req.fail(StatusCode::BAD_GATEWAY, "no engine is left"),
         None => req.refuse_no_engine(no_engine),
     }
 }
@@ -94,7 +94,7 @@
     };
     let is_failure = head.status >= 500;
     guard.record_outcome(if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Success });
-    req.node.mark_heard(&engine);
+    req.node.record_response_byte(&engine);
     guard.return_connection(conn);
     drop(guard);
     if !is_failure {
--- a/crates/gateway/src/relay/request.rs
+++ b/crates/gateway/src/relay/request.rs
@@ -74,7 +74,7 @@
     pub(super) deadline_at: Instant,
     pub(super) tried_engines: Vec<EngineId>,
     /// Attempts that an engine may have executed.
-    pub(super) runs: u32,
+    pub(super) executions: u32,
     /// Attempts that an engine rejected.
     pub(super) rejected: u32,
     /// Attempts that did not reach an engine.
@@ -127,7 +127,7 @@
             deadline: Deadline { timeout },
             deadline_at: received_at + timeout,
             tried_engines: Vec::new(),
-            runs: 0,
+            executions: 0,
             rejected: 0,
             unreached: 0,
             stale_engine: None,
@@ -155,7 +155,7 @@
     /// engine may have executed it.
     pub(super) fn set_may_run(&self, may_run: bool) {
         if let Some(charge) = &self.charge {
-            charge.set_may_have_run(may_run || self.runs > 0);
+            charge.set_may_have_run(may_run || self.executions > 0);
         }
     }
 
@@ -189,7 +189,7 @@
     /// Whether another attempt is allowed after an engine rejected the request or may have executed
     /// it. Takes one retry from the budget that all nodes share.
     pub(super) fn take_retry(&self) -> bool {
-        if self.runs >= self.route.max_attempts || self.rejected > MAX_REJECTED {
+        if self.executions >= self.route.max_attempts || self.rejected > MAX_REJECTED {
             return false;
         }
         if !self.has_time_to_send() {
@@ -231,7 +231,7 @@
                         return Ok(choice);
                     }
                 }
-                Ok(Placement::Coming(ms)) => {
+                Ok(Placement::Loading(ms)) => {
                     // It will not be loaded in time: the response says when to retry.
                     let retry_after = Duration::from_millis(ms);
                     if Instant::now() + retry_after > wait_until {
--- a/crates/gateway/src/relay/stream.rs
+++ b/crates/gateway/src/relay/stream.rs
@@ -99,7 +99,7 @@
 ) -> CallerResponse {
     match failure {
         Some(reason) => req.fail(StatusCode::BAD_GATEWAY, reason),
-        None if req.runs > 0 => req.fail(StatusCode::BAD_GATEWAY, "no engine is left"),
+        None if req.executions > 0 => req.fail(StatusCode::BAD_GATEWAY, "no engine is left"),
         None => req.refuse_no_engine(no_engine),
     }
 }
@@ -147,12 +147,12 @@
             let read = self.read_chunk().await;
             match read {
                 WaitResult::Done(Ok(Some(bytes))) => {
-                    self.req.node.mark_heard(&self.engine);
+                    self.req.node.record_response_byte(&self.engine);
                     let ready = if self.is_events { self.events.push(bytes) } else { Some(bytes) };
                     if let Some(bytes) = ready {
                         self.timing.record_piece();
                         if self.timing.pieces == 1 {
-                            meter::first_piece(&self.req.route, self.req.received_at.elapsed());
+                            meter::first_byte(&self.req.route, self.req.received_at.elapsed());
                         }
                         return Some((Ok(bytes), self));
                     }
@@ -183,7 +183,7 @@
         let req = &self.req;
         let Some(conn) = &mut self.conn else { return WaitResult::Done(Ok(None)) };
         let chunk = conn.read_chunk(&mut self.body);
-        let may_resume = req.route.kind.may_repeat() && req.runs < req.route.max_attempts;
+        let may_resume = req.route.kind.may_repeat() && req.executions < req.route.max_attempts;
         if !may_resume || !self.is_events {
             return req.unless_engine_restarts(&self.guard, chunk).await;
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum ExitReason {
     /// After a graceful shutdown.
     Stopped,
     /// Without a graceful shutdown.
@@ -48,40 +48,40 @@
 /// Runs a node until a signal ends it.
 pub fn run(
     settings: Settings,
-    dialects: Protocols,
+    protocols: Protocols,
     signals: mpsc::UnboundedReceiver<Signal>,
-) -> io::Result<Ended> {
+) -> io::Result<ExitReason> {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
-    let ended = local.block_on(&rt, serve(settings, dialects, signals));
+    let ended = local.block_on(&rt, serve(settings, protocols, signals));
     rt.shutdown_background();
     ended
 }
 
 async fn serve(
     settings: Settings,
-    dialects: Protocols,
+    protocols: Protocols,
     mut signals: mpsc::UnboundedReceiver<Signal>,
-) -> io::Result<Ended> {
+) -> io::Result<ExitReason> {
     let callers = listen::listen(settings.caller_addr)?;
     let ready = listen::listen(settings.ready_addr)?;
     let peer_listener = listen::listen(settings.peer_addr)?;
     let datagrams = UdpSocket::bind(settings.peer_addr).await;
     let metrics = listen::listen(settings.metrics_addr);
-    let node = Shared::new(settings, dialects);
+    let node = Shared::new(settings, protocols);
     let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
         tokio::task::spawn_local(task);
     };
     spawn(Box::pin(follow::catalog(Rc::clone(&node))));
     spawn(Box::pin(follow::engines(Rc::clone(&node))));
-    spawn(Box::pin(election::take_part(Rc::clone(&node))));
+    spawn(Box::pin(election::run(Rc::clone(&node))));
     spawn(Box::pin(peers::poll(Rc::clone(&node))));
     spawn(Box::pin(peers::report_in_flight(Rc::clone(&node))));
     spawn(Box::pin(quotas::refill(Rc::clone(&node))));
     spawn(Box::pin(listen::serve(Rc::clone(&node), peer_listener, peers::handle_request)));
     spawn(Box::pin(members::register_and_count(Rc::clone(&node))));
-    spawn(Box::pin(watch_clocks(Rc::clone(&node))));
-    spawn(Box::pin(listen::serve(Rc::clone(&node), ready, answer_ready)));
+    spawn(Box::pin(watch_suspension(Rc::clone(&node))));
+    spawn(Box::pin(listen::serve(Rc::clone(&node), ready, handle_readiness_probe)));
     spawn(Box::pin(caller_listener::serve(Rc::clone(&node), callers)));
     match datagrams {
         Ok(datagrams) => spawn(Box::pin(peers::receive(Rc::clone(&node), Rc::new(datagrams)))),
@@ -96,13 +96,13 @@
     loop {
         match signals.recv().await {
             Some(Signal::Stop) => break,
-            Some(Signal::Kill) | None => return Ok(Ended::Killed),
+            Some(Signal::Kill) | None => return Ok(ExitReason::Killed),
             Some(Signal::Settings(settings)) => *node.settings.borrow_mut() = *settings,
         }
     }
     tokio::select! {
-        () = shutdown::shut_down(&node) => Ok(Ended::Stopped),
-        () = until_killed(&mut signals) => Ok(Ended::Killed),
+        () = shutdown::shut_down(&node) => Ok(ExitReason::Stopped),
+        () = until_killed(&mut signals) => Ok(ExitReason::Killed),
     }
 }
 
@@ -122,7 +122,7 @@
 
 /// Drops pooled connections after the machine was suspended, and checks whether this node
 /// is isolated and its configuration current.
-async fn watch_clocks(node: Node) {
+async fn watch_suspension(node: Node) {
     let mut last = boot_time();
     loop {
         sleep(CLOCK_CHECK_INTERVAL).await;
@@ -149,12 +149,12 @@
     listen::serve(node, listener, answer).await;
 }
 
-async fn answer_ready(node: Node, req: http::Request<Incoming>) -> ResponseResult {
+async fn handle_readiness_probe(node: Node, req: http::Request<Incoming>) -> ResponseResult {
     let (parts, _) = req.into_parts();
-    Ok(ready_answer(&node, &parts))
+    Ok(readiness_response(&node, &parts))
 }
 
-fn ready_answer(node: &Node, parts: &http::request::Parts) -> CallerResponse {
+fn readiness_response(node: &Node, parts: &http::request::Parts) -> CallerResponse {
     if !node.protocols.callers.is_readiness_probe(parts) {
         return json_error(StatusCode::NOT_FOUND, "unknown path");
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -265,10 +265,10 @@
     /// Updates whether this node is isolated.
     pub(crate) fn update_isolation(&self) {
         let now = self.now();
-        let store_silence = now.saturating_sub(self.store_responded_at.get());
+        let store_unresponsive_for = now.saturating_sub(self.store_responded_at.get());
         let is_isolated = {
             let (state, settings) = (self.state.borrow(), self.settings.borrow());
-            is_isolated(store_silence, &state.engines, &settings.domain, now)
+            is_isolated(store_unresponsive_for, &state.engines, &settings.domain, now)
         };
         if is_isolated != self.is_isolated.replace(is_isolated) {
             let node = self.settings.borrow().node.clone();
@@ -354,7 +354,7 @@
     }
 
     /// Records that a byte arrived from an engine.
-    pub(crate) fn mark_heard(&self, engine: &EngineId) {
+    pub(crate) fn record_response_byte(&self, engine: &EngineId) {
         let now = self.now();
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(engine) {
             engine.last_heard = now;
--- a/crates/hibiscusgw/src/on_platform.rs
+++ b/crates/hibiscusgw/src/on_platform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hgw_events::{Event, emit};
-use hgw_gateway::{Ended, Settings, Signal};
+use hgw_gateway::{ExitReason, Settings, Signal};
 use hgw_platform::SettingsFile;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -44,12 +44,12 @@
     thread::spawn(move || forward_signals(signals, watcher, &node_tx));
     let ended = hgw_gateway::run(settings, hgw_platform::protocols(store), node_rx);
     match ended.map_err(Error::Listen)? {
-        Ended::Stopped => {
+        ExitReason::Stopped => {
             emit(Event::ProcessStopped, &[("node", &node)]);
             logging::flush();
             Ok(())
         }
-        Ended::Killed => Err(Error::ShutdownIncomplete(hgw_net::Exit::Killed)),
+        ExitReason::Killed => Err(Error::ShutdownIncomplete(hgw_net::Exit::Killed)),
     }
 }
 
